--- a/src/quarantine/answermemory.h
+++ b/src/quarantine/answermemory.h
@@ -9,45 +9,47 @@
 
 namespace bamboohold {
 
-/// Which requests were answered whole lately, and how often.
+/// Remembers which requests recently received a complete response, and how often.
 ///
-/// Pure. A request that crashes the targets it runs on gets no whole answer, so that each answer speaks for the request: it was under way
-/// by chance at the crashes before it.
+/// Pure decision code without I/O. A request that crashes its targets never receives a complete response, so each response is evidence that
+/// the request was only running by coincidence when earlier targets crashed.
 class AnswerMemory
 {
 public:
     struct Options {
-        /// An answer counts for this long: a target may have changed since.
+        /// A response counts for this long. After that it proves little, since the target may have changed.
         Duration memory = std::chrono::minutes(1);
-        /// Requests remembered; beyond, the ones answered longest ago are forgotten.
+        /// Maximum number of requests remembered. When it is reached, the requests with the oldest responses are forgotten.
         std::size_t most = 4096;
     };
 
     AnswerMemory();
     explicit AnswerMemory(Options options);
 
-    /// The request was answered whole here.
+    /// Records that this router delivered a complete response to the request.
     void note(const RequestFingerprint &fingerprint, Instant at);
 
-    /// The request was answered whole by a peer, which tells of it.
+    /// Records that a peer reported a complete response to the request.
     void noteElsewhere(const RequestFingerprint &fingerprint, Instant at);
 
-    /// The last answer here, if it came after `crash` and the peers were told of none after that; from now on they were, by the caller.
+    /// Returns the last response of this router if it came after `crash` and no response after `crash` has been announced to the peers yet,
+    /// else nullopt. The response counts as announced from now on, so the caller must announce it.
     std::optional<Instant> takeUntold(const RequestFingerprint &fingerprint, Instant crash);
 
-    /// When the request was answered last; none when it was not, or that is forgotten.
+    /// Returns the time of the last response to the request, or nullopt if there was none or it has been forgotten.
     std::optional<Instant> lastAnswer(const RequestFingerprint &fingerprint) const;
 
-    /// Answers to the request, up to the last pause between two of them that was longer than the memory.
+    /// Returns the number of responses to the request, counted since the last pause between two responses that was longer than the
+    /// retention time. Returns 0 if the last response is older than that.
     unsigned answers(const RequestFingerprint &fingerprint, Instant now) const;
 
-    /// Forgets what is long past. Call now and then.
+    /// Removes outdated responses. Call this periodically.
     void expire(Instant now);
 
 private:
     struct Answers {
         Instant last{};
-        /// The last one here, and the last one here that the peers were told of.
+        /// The last response of this router, and the last one of them that was announced to the peers.
         Instant here{};
         Instant told{};
         unsigned count = 0;
--- a/src/quarantine/crashwatch.cpp
+++ b/src/quarantine/crashwatch.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-/// All attempts at a target that crashed break off within milliseconds of each other; a loop without processor time gets to the last of
-/// them later.
+/// All attempts on a crashed target are interrupted within milliseconds of each other. The margin is for an event loop that is short of
+/// processor time and handles the last of them late.
 constexpr Duration s_memory = std::chrono::seconds(10);
-/// Fingerprints reported of one crash; more than an engine works on at one time.
+/// Maximum number of fingerprints reported for one crash. An engine processes fewer requests at a time.
 constexpr std::size_t s_mostUnderWay = 1024;
-/// A target notices within this time that nobody waits for a request any more, and drops it.
+/// A target notices within this time that the caller of a request has disconnected, and cancels the request.
 constexpr Duration s_leftMemory = std::chrono::seconds(1);
-/// A router knows within this time whether a target at which requests broke off has crashed, or tells of no crash.
+/// Within this time a router has either confirmed that a target with interrupted requests crashed, or reports no crash.
 constexpr Duration s_peersMemory = std::chrono::seconds(2);
-/// Requests remembered for each target that were broken off from this side.
+/// Maximum number of cancelled requests remembered for each target.
 constexpr std::size_t s_mostLeft = 64;
-/// Answers are worth remembering for this long after requests broke off: where targets crash, it is most often in series.
+/// Responses are recorded for this long after an interruption, because crashes of targets mostly come in series.
 constexpr Duration s_alertTime = std::chrono::minutes(1);
 
 }
@@ -63,7 +63,7 @@
     Broken &broken = m_targets[incarnation];
     broken.crashed = true;
     std::vector<RequestFingerprint> underWay = std::exchange(broken.fingerprints, {});
-    // What was broken off counts up to the crash, which the others' ends tell.
+    // Cancelled requests count up to the time of the crash, which is when the last attempt was interrupted.
     takeLeft(m_left[stableHash(incarnation)], underWay, std::min(now, broken.last));
     return underWay;
 }
--- a/src/quarantine/crashwatch.h
+++ b/src/quarantine/crashwatch.h
@@ -11,88 +11,92 @@
 
 namespace bamboohold {
 
-/// Tells crashes of targets from everything else that breaks an answer off, and knows what this router had under way there.
+/// Detects crashes of targets and keeps the requests that this router and its peers had in flight on them.
 ///
-/// Pure. A connection that ends early says little: answers get lost, connections are reset, a host loses power. Only a target that refuses
-/// new connections soon afterwards has ended, so it is asked a few times; one that goes on accepting, or does not answer at all, has not
-/// crashed of a request.
+/// Pure decision code without I/O. A connection that closes early does not prove a crash: responses get lost, connections are reset and
+/// hosts lose power. Only a target that refuses new connections shortly afterwards has terminated, so the caller probes it a few times. A
+/// target that keeps accepting connections, or does not respond at all, was not crashed by a request.
 class CrashWatch
 {
 public:
-    /// What to do about an attempt that broke off.
+    /// What the caller must do about an interrupted attempt.
     enum class Step {
-        /// The target is being asked.
+        /// Nothing: the target is already being probed.
         Wait,
-        /// Ask the target for connections from now on, and tell `refused` or `alive`.
+        /// Start probing the target with new connections, and report the result to `refused` or `alive`.
         Ask,
-        /// The target has crashed: report this request as well.
+        /// The target is known to have crashed: report this request too.
         Report,
     };
 
-    /// An attempt at this life of a target broke off.
+    /// Records that the connection of an attempt closed before the response was complete.
     Step brokeOff(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now);
 
-    /// A caller left, so its request was broken off from this side. The target may go on with it for a moment, and crash.
+    /// Records that a caller disconnected, so that this router cancelled the request. The target may keep processing it for a moment and
+    /// crash.
     void left(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now);
 
-    /// The target refuses connections. Returns what was under way there.
+    /// Records that the target refuses connections, so it has crashed. Returns the requests of this router that were in flight there.
     std::vector<RequestFingerprint> refused(const std::string &incarnation, Instant now);
 
-    /// A peer saw the target crash, named by the hash of its incarnation. Returns what this router had broken off there a moment ago.
+    /// Takes note of a crash that a peer detected; `target` is the hash of the target's incarnation. Returns the requests that this router
+    /// cancelled there shortly before.
     std::vector<RequestFingerprint> crashedElsewhere(std::uint64_t target, Instant now);
 
-    /// What broke off at the target since this was asked last, for the peers: this router may end before it knows whether the target
-    /// crashed.
+    /// Returns the requests that were interrupted on the target since the last call. They are announced to the peers at once, because this
+    /// router may terminate before it knows whether the target crashed.
     std::vector<RequestFingerprint> takeUntold(const std::string &incarnation);
 
-    /// A peer's requests broke off at the target, named by the hash of its incarnation, and it may have crashed. Returns those that were
-    /// under way at a crash that is known.
+    /// Records that requests of a peer were interrupted on a target, which may have crashed; `target` is the hash of the target's
+    /// incarnation. If the target is already known to have crashed, returns these requests; else returns none.
     std::vector<RequestFingerprint> peerBrokeOff(std::uint64_t target, std::vector<RequestFingerprint> fingerprints, Instant now);
 
-    /// The target, named by the hash of its incarnation, has crashed, as this router or a peer saw. Returns what peers had under way there.
+    /// Records that the target has crashed, as detected by this router or a peer; `target` is the hash of the target's incarnation. Returns
+    /// the requests that peers had in flight there.
     std::vector<RequestFingerprint> takePeers(std::uint64_t target, Instant now);
 
-    /// What broke off at a target that may have crashed.
+    /// The requests that were interrupted on a target which may have crashed.
     struct BrokenOff {
-        /// A hash of the target's incarnation.
+        /// Hash of the target's incarnation.
         std::uint64_t target = 0;
         std::vector<RequestFingerprint> underWay;
         Instant since{};
     };
 
-    /// What broke off here and at peers, at targets of which it is not known yet whether they crashed, for a router that has just started.
+    /// Returns the interrupted requests of this router and its peers on targets for which a crash is neither confirmed nor ruled out. A
+    /// router that has just started asks for them.
     std::vector<BrokenOff> undecided(Instant now) const;
 
-    /// When the first of the attempts broke off whose target is being asked or has crashed: the time of its crash. `now` for another
-    /// target.
+    /// Returns the time of the first interrupted attempt on a target that is being probed or has crashed, which is taken as the time of the
+    /// crash. Returns `now` for any other target.
     Instant brokenSince(const std::string &incarnation, Instant now) const;
 
-    /// True when requests broke off at any target lately, here or at a peer: their target may have crashed.
+    /// Returns true if requests of this router or a peer were interrupted recently on any target, so that a target may have crashed.
     bool alert(Instant now) const;
 
-    /// The target accepts connections, or nothing can be said of it.
+    /// Records that the target accepts connections, or that probing it gave no clear result.
     void alive(const std::string &incarnation);
 
-    /// Forgets targets that crashed a while ago. Call now and then.
+    /// Forgets targets that crashed a while ago. Call this periodically.
     void expire(Instant now);
 
 private:
     struct Broken {
         std::vector<RequestFingerprint> fingerprints;
-        /// The first ones of these that peers know of.
+        /// Number of fingerprints, from the first one, that were announced to the peers.
         std::size_t told = 0;
         bool crashed = false;
         Instant first{};
         Instant last{};
     };
 
-    /// A request that was broken off from this side.
+    /// A request that this router cancelled because its caller disconnected.
     struct Left {
         FingerprintPair fingerprints;
         Instant at{};
     };
 
-    /// What peers had under way at a target.
+    /// The requests that peers had in flight on a target.
     struct PeersBroken {
         std::vector<RequestFingerprint> fingerprints;
         bool crashed = false;
@@ -102,7 +106,7 @@
     static void takeLeft(std::vector<Left> &left, std::vector<RequestFingerprint> &into, Instant now);
 
     std::map<std::string, Broken> m_targets;
-    /// By the hash of the target's incarnation.
+    /// Keyed by the hash of the target's incarnation, as is the next map.
     std::map<std::uint64_t, std::vector<Left>> m_left;
     std::map<std::uint64_t, PeersBroken> m_peers;
     std::optional<Instant> m_lastBroken;
--- a/src/quarantine/dropoldest.h
+++ b/src/quarantine/dropoldest.h
@@ -8,8 +8,8 @@
 
 namespace bamboohold {
 
-/// Drops about the quarter of a map's entries whose times, as `timeOf` gives them for a value, are longest ago. A quarter at once, so that
-/// a map that is full does not look through all its entries for each new one.
+/// Removes about a quarter of a map's entries: those with the oldest times, where `timeOf` returns the time of a value. Removing a quarter
+/// at once avoids a scan of the whole map for each new entry of a full map.
 template<typename Map, typename TimeOf>
 void dropOldestQuarter(Map &map, TimeOf timeOf)
 {
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// Crashes kept of one request; beyond, more of them say nothing new.
+/// Maximum number of crashes kept for each request. More of them change no decision.
 constexpr std::size_t s_mostTargets = 8;
-/// Reports of one crash come from every router that had something there, within this time.
+/// Every router that had requests on a crashed target reports the crash within this time.
 constexpr Duration s_reportTime = std::chrono::seconds(1);
-/// Told to a caller whose copy might be the next on trial, but was not; and the pause after a trial that reached no target.
+/// Shortest wait returned to a caller whose copy could be the next trial but was not, and the pause after a trial that reached no target.
 constexpr Duration s_shortestWait = std::chrono::seconds(1);
 
 void addTarget(std::vector<std::uint64_t> &targets, std::uint64_t target)
@@ -26,8 +26,8 @@
     }
 }
 
-/// A wait of its own for each request: those held back by the same crashes would all be tried at the same moment, on several routers,
-/// before any has heard of the others' trials.
+/// Returns a delay that depends on the fingerprint. Without it, all requests quarantined by the same crashes would be tried at the same
+/// moment on several routers, before these learn of each other's trials.
 Duration slotOf(const RequestFingerprint &fingerprint)
 {
     constexpr std::uint64_t slots = 8;
@@ -35,7 +35,7 @@
     return static_cast<std::int64_t>(mixed(stableHash(fingerprint.bytes())) % slots) * slot;
 }
 
-/// The first fingerprint in order that a request of this address can have.
+/// Returns the lowest fingerprint with this address hash in the sort order.
 RequestFingerprint lowestOf(std::uint64_t addressHash)
 {
     std::array<char, RequestFingerprint::s_size> bytes{};
@@ -79,8 +79,8 @@
         if (const auto known = m_entries.find(fingerprint); known != m_entries.end()) {
             Entry &entry = known->second;
             addTarget(entry.targets, target);
-            // Copies that were under way when it was first held back change nothing; one on trial does, on whichever router: the one that
-            // began the trial may have ended.
+            // Copies that were already in flight when the request was first quarantined change nothing. A copy on trial does, whichever
+            // router started the trial, because that router may have terminated.
             if (entry.trialAt && now - *entry.trialAt <= s_trialTime && now - ago >= *entry.trialAt) {
                 entry.trialAt.reset();
                 if (entry.trials <= extraTrials(entry)) {
@@ -114,8 +114,8 @@
 
 bool Quarantine::explained(std::uint64_t target, Instant now) const
 {
-    // Reports of one crash come in any order: what was held back a moment ago does not yet clear those that were there with it, or the
-    // cause could be cleared by a request that was there by chance and reported first.
+    // Reports of one crash arrive in any order. A request quarantined just now therefore does not explain the crash for the others yet;
+    // else a harmless request that was reported first could clear the actual cause.
     return std::ranges::any_of(m_entries, [&](const auto &entry) {
         return now - entry.second.since > s_reportTime && std::ranges::find(entry.second.targets, target) != entry.second.targets.end();
     });
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -12,102 +12,106 @@
 
 namespace bamboohold {
 
-/// Which requests crash the targets that run them, by what was under way each time a target crashed.
+/// Identifies requests that crash the targets that process them, and quarantines them.
 ///
-/// Pure, and the same in every router: it is told of each crash that any router saw. A request that was under way when one target crashed
-/// may have been there by chance; so may one that was there twice, since callers try again. One that was there at several crashes in a row
-/// and was never answered in between is held back, as their most likely cause. A whole answer acquits it: a request that crashes targets
-/// gets none.
+/// Pure decision code without I/O; every router runs it with the same reports, since it is told of each crash that any router detects. A
+/// request that was in flight on one crashing target may have been there by coincidence, and so may one that was there twice, since callers
+/// retry. A request that was in flight at several crashes, and received no complete response in between, is quarantined as their most
+/// likely cause. A complete response acquits a request, because a request that crashes its targets never receives one.
 ///
-/// Where all targets crash within a second, whatever is under way everywhere is held back with the cause. So one copy is soon let through
-/// on trial: a request that did nothing is answered and acquitted, the cause crashes one target more and is kept.
+/// If all targets crash within a second, every request in flight is quarantined together with the cause. Therefore one copy of each
+/// quarantined request is soon let through as a trial: a harmless request receives a response and is acquitted, while the cause crashes one
+/// more target and stays quarantined.
 class Quarantine
 {
 public:
-    /// No request waits longer for its next trial, and none is remembered for longer when nobody sends it any more.
+    /// Longest time until the next trial. A quarantined request is forgotten if no copy of it arrives for this long after that.
     static constexpr Duration s_longestTerm = std::chrono::hours(24);
-    /// A trial is decided by then, or came to nothing: its caller left, or its target lost the answer.
+    /// A trial that has no result after this time will not get one: its caller disconnected or its response was lost.
     static constexpr Duration s_trialTime = std::chrono::seconds(3);
 
     struct Options {
-        /// Crashes in a row after which a request is held back.
+        /// Number of crashes without a response in between after which a request is quarantined.
         std::size_t crashes = 3;
-        /// Until the first trial, besides a wait of each request's own of less than two seconds: the reports of the crashes are in by then.
+        /// Time until the first trial, by which all reports of the crashes have arrived. Each request waits up to two seconds longer,
+        /// depending on its fingerprint.
         Duration firstTrial = std::chrono::seconds(1);
-        /// Trials in quick succession, as long as none is decided. No more: each may cost a target.
+        /// Maximum number of trials in quick succession while none has a result. It is small because each trial may crash a target.
         unsigned earlyTrials = 2;
-        /// Further trials of a request that was answered lately, one for each answer: it is most likely there by chance, also when the
-        /// target of its trial crashes.
+        /// Maximum number of additional trials for a request that received responses recently, one for each response. Such a request was
+        /// most likely in flight by coincidence, even if the target of its trial crashes.
         unsigned mostExtraTrials = 3;
-        /// From a trial that crashed a target to such a further one.
+        /// Time from a trial that crashed a target until one of these additional trials.
         Duration extraTrialPause = std::chrono::seconds(1);
-        /// Between later trials, and once a trial has crashed a target: it may have crashed of something else.
+        /// Time between later trials, and after the first trial that crashed a target: that crash may have had another cause.
         Duration firstTerm = std::chrono::minutes(10);
-        /// And once two have.
+        /// Time until the next trial after two or more trials crashed a target.
         Duration laterTerm = s_longestTerm;
         /// A crash is remembered for this long.
         Duration memory = std::chrono::hours(1);
-        /// Fingerprints that were under way at crashes; beyond, the ones longest past are forgotten. 96 requests a target and 40 crashes
-        /// within the memory fill it, with some 1 MB.
+        /// Maximum number of fingerprints that were in flight at crashes. When it is exceeded, the oldest ones are forgotten. It is reached
+        /// with 96 requests per target and 40 crashes within the retention time, and then takes about 1 MB.
         std::size_t mostSuspects = 8192;
-        /// Fingerprints that are held back. Rows in the store, so that one read brings them all.
+        /// Maximum number of quarantined fingerprints, which is also the number of rows in the store. One read returns all of them.
         std::size_t mostEntries = 256;
     };
 
-    /// A request that is held back.
+    /// A quarantined request.
     struct Entry {
-        /// From then on one copy may show whether it still crashes targets.
+        /// Time from which on a trial copy may be let through.
         Instant nextTrial{};
-        /// 1 until a trial has crashed a target, and one more each time that one does.
+        /// 1 when the request is first quarantined, and one more for each trial that crashed a target.
         unsigned terms = 0;
-        /// The targets that crashed under it.
+        /// Hashes of the incarnations of the targets that crashed while the request was in flight.
         std::vector<std::uint64_t> targets;
         Instant since{};
-        /// The store has it.
+        /// True if the store has a row for this entry.
         bool stored = false;
-        /// Answers to it, lately, when it was first held back.
+        /// Number of recent responses to the request when it was first quarantined.
         unsigned answers = 0;
-        /// Trials so far, on any router, and when the last one began, as far as is known here, that is not decided.
+        /// Number of trials on all routers so far, and the start of the last one while it has no result, as far as this router knows.
         unsigned trials = 0;
         std::optional<Instant> trialAt;
     };
 
     using Entries = std::map<RequestFingerprint, Entry>;
 
-    /// Milliseconds that a peer or the store gave, as a duration; a spoilt number must not hold a request back for years.
+    /// Converts milliseconds received from a peer or the store to a duration of at most a day in either direction, so that a corrupt number
+    /// cannot quarantine a request for years.
     static Duration boundedTerm(std::int64_t milliseconds);
 
     Quarantine();
     explicit Quarantine(Options options);
 
-    /// A target crashed `ago` before `now`, named by a hash of its incarnation, with these under way among others. Returns those that are
-    /// held back, or held back for longer, from now on because of it.
+    /// Records that a target crashed `ago` before `now` with these requests in flight; `target` is the hash of the target's incarnation.
+    /// Returns the requests that are quarantined, or quarantined for longer, because of this crash.
     std::vector<RequestFingerprint>
     crashed(std::uint64_t target, std::span<const RequestFingerprint> underWay, Instant now, Duration ago = Duration::zero());
 
-    /// A request was answered whole here, whether anything speaks against it or not: reports of crashes before that may still be on their
-    /// way. True when anything spoke against it; the peers are to be told then.
+    /// Records that this router delivered a complete response to the request, even if the request is not suspected: reports of crashes
+    /// before the response may still arrive. Returns true if the request was suspected or quarantined; the peers must then be told.
     bool answered(const RequestFingerprint &fingerprint, Instant at);
 
-    /// A peer tells all others that it answered a request whole. True when anything spoke against it.
+    /// Records a peer's announcement that it delivered a complete response to the request. Returns true if the request was suspected or
+    /// quarantined.
     bool answeredElsewhere(const RequestFingerprint &fingerprint, Instant at);
 
-    /// When the request was answered whole, if that was after `crash`.
+    /// Returns the time of the last complete response to the request if that was after `crash`, else nullopt.
     std::optional<Instant> answeredSince(const RequestFingerprint &fingerprint, Instant crash) const;
 
-    /// Those that were not answered since `crash`, as far as is known here: the ones that it speaks against.
+    /// Returns the requests that received no response since `crash`, as far as this router knows. The crash counts against these.
     std::vector<RequestFingerprint> unanswered(std::span<const RequestFingerprint> underWay, Instant crash) const;
 
-    /// An answer that the peers are to be told, as they blame the request for that crash; see AnswerMemory.
+    /// Returns a response that must be announced to the peers because they count that crash against the request; see AnswerMemory.
     std::optional<Instant> takeUntoldAnswer(const RequestFingerprint &fingerprint, Instant crash)
     {
         return m_answers.takeUntold(fingerprint, crash);
     }
 
-    /// Takes all back that speaks against a request. True when there was anything.
+    /// Clears the request of all suspicion. Returns true if it was suspected or quarantined.
     bool acquit(const RequestFingerprint &fingerprint);
 
-    /// What others know of a request that is held back; see Entry.
+    /// The state of a quarantined request that routers exchange and store; see Entry.
     struct Standing {
         Instant nextTrial{};
         unsigned terms = 1;
@@ -115,56 +119,58 @@
         unsigned answers = 0;
     };
 
-    /// A peer or the store holds a request back. True when that is new, or the request is held back for longer.
+    /// Merges what a peer or the store knows of a quarantined request. Returns true if the request was not quarantined here yet, or is now
+    /// quarantined for longer.
     bool learn(const RequestFingerprint &fingerprint, const Standing &standing, Instant now);
 
-    /// Whether a trial of the request may begin. False for one that is not held back, and while another one is on trial: on one target the
-    /// cause would take it down with itself.
+    /// Returns true if a trial of the request may begin. Returns false for a request that is not quarantined, and while another request is
+    /// on trial: on the same target, the cause would take the other request down with it.
     bool mayTry(const RequestFingerprint &fingerprint, Instant now) const;
 
-    /// A copy goes through on trial.
+    /// Records that a copy of the request is let through as a trial.
     void beginTrial(const RequestFingerprint &fingerprint, Instant now);
 
-    /// The copy on trial reached no target.
+    /// Records that the trial copy reached no target.
     void trialNotRun(const RequestFingerprint &fingerprint, Instant now);
 
-    /// True when something may speak against a request of this address: only then need its fingerprint be made.
+    /// Returns true if a request with this address hash may be suspected or quarantined. Only then does the caller need to compute the
+    /// fingerprint, which takes longer.
     bool mayKnow(std::uint64_t addressHash) const;
 
-    /// True when the request was there at a crash, and not answered since.
+    /// Returns true if the request was in flight at a crash and has received no response since.
     bool knows(const RequestFingerprint &fingerprint) const
     {
         return m_entries.contains(fingerprint) || m_suspects.contains(fingerprint);
     }
 
-    /// How long until the next trial of a request that is held back, a second at least; none when it is not held back.
+    /// Returns the time until the next trial of a quarantined request, at least one second, or nullopt if the request is not quarantined.
     std::optional<Duration> heldFor(const RequestFingerprint &fingerprint, Instant now) const;
 
-    /// A crash, and the requests that it speaks against.
+    /// A crash and the requests that it counts against.
     struct KnownCrash {
-        /// A hash of the target's incarnation.
+        /// Hash of the target's incarnation.
         std::uint64_t target = 0;
         std::vector<RequestFingerprint> underWay;
-        /// The last crash at which any of them was under way.
+        /// Time of the last crash at which any of these requests was in flight.
         Instant at{};
     };
 
-    /// The crashes that speak against requests which are not held back, for a router that has just started.
+    /// Returns the crashes that count against requests which are not quarantined. A router that has just started asks for them.
     std::vector<KnownCrash> knownCrashes() const;
 
-    /// Forgets what is long past. Call now and then.
+    /// Removes outdated entries. Call this periodically.
     void expire(Instant now);
 
-    /// What is held back.
+    /// All quarantined requests.
     const Entries &entries() const
     {
         return m_entries;
     }
 
-    /// The store has the entry: if it has it no longer some day, the request is let pass.
+    /// Records that the store has a row for the entry. If that row disappears later, the request is released.
     void setStored(const RequestFingerprint &fingerprint);
 
-    /// Fingerprints that were under way at a crash and are not held back.
+    /// Returns the number of fingerprints that were in flight at a crash and are not quarantined.
     std::size_t suspects() const
     {
         return m_suspects.size();
@@ -193,7 +199,7 @@
     std::map<RequestFingerprint, Suspect> m_suspects;
     Entries m_entries;
     AnswerMemory m_answers;
-    /// Whose trial is under way somewhere, and until when it counts as undecided.
+    /// The request that is on trial on any router, and the time from which on that trial is taken to have no result.
     std::optional<RequestFingerprint> m_onTrial;
     Instant m_trialEnds{};
 };
