--- a/src/failure/failure.h
+++ b/src/failure/failure.h
@@ -10,7 +10,7 @@
 
 namespace bamboohold {
 
-/// Every way in which the fleet can decline or fail, as callers, logs and the ledger name it.
+/// All kinds of refusals and failures of the fleet, as named to callers, in logs and in the ledger.
 enum class FailureKind {
     InvalidSetting,
     InvalidDocument,
@@ -41,36 +41,36 @@
     Quarantined,
 };
 
-/// What is known about whether the engine ran a request.
+/// Whether the engine executed a request, as far as this is known.
 enum class Ran {
     No,
     Yes,
     Unknown,
 };
 
-/// The typed content of a failed absl::Status. It travels as a payload, so that the kind, not the text, decides what happens next.
+/// The typed content of a failed absl::Status. It is attached as a payload, so that code can act on the kind instead of the message.
 struct Failure {
     FailureKind kind = FailureKind::InvalidRequest;
-    /// What a person needs to act: the flag, the path or the row concerned.
+    /// What a person needs to resolve the failure: the flag, path or row concerned.
     std::string detail;
     Ran ran = Ran::No;
-    /// Milliseconds after which trying again may help; empty when it never will.
+    /// Milliseconds after which a retry may succeed; nullopt if it never will.
     std::optional<std::int64_t> retryAfterMs;
 };
 
-/// The stable, lower-case name of a kind, as in the `type` field of an error answer.
+/// Returns the stable, lower-case name of a kind, as in the `type` field of an error response.
 std::string_view failureName(FailureKind kind);
 
-/// The name of a Ran value: "no", "yes" or "unknown".
+/// Returns "no", "yes" or "unknown".
 std::string_view ranName(Ran ran);
 
-/// Wraps a failure in a status of the nearest absl code.
+/// Wraps a failure in a status with the closest absl code.
 absl::Status toStatus(const Failure &failure);
 
-/// The failure carried by a status that is not OK; a status made elsewhere becomes EngineFailed with an unknown run.
+/// Returns the failure carried by a status that is not OK. A status without one becomes EngineFailed, with an unknown execution.
 Failure toFailure(const absl::Status &status);
 
-/// Short form for the common case of a failure without a time to come back.
+/// Returns a status for a failure without a retry time.
 absl::Status failed(FailureKind kind, std::string_view detail, Ran ran = Ran::No);
 
 }
