--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -21,14 +21,14 @@
 namespace {
 
 constexpr auto s_tuple = boost::asio::as_tuple(boost::asio::use_awaitable);
-/// A host without power answers nothing at all.
+/// A host without power does not respond to a connection attempt at all.
 constexpr Duration s_askTimeout = std::chrono::milliseconds(250);
-/// Pauses before a target is asked whether it still listens. The connections of a process that crashes may close some time before its port
-/// does: asked only at once, it would be taken for alive. The last one leaves time to tell the peers well before a change has to be known
-/// everywhere.
+/// Pauses before each probe of a target. The connections of a crashing process may close some time before its port does, so that a single
+/// immediate probe would find the target alive. After the last probe there is still time to tell the peers well before every router must
+/// know of the crash.
 constexpr std::array<Duration, 4> s_askPauses{
     Duration::zero(), std::chrono::milliseconds(100), std::chrono::milliseconds(400), std::chrono::milliseconds(1000)};
-/// The ends of all attempts at a target that crashed are taken together, so that each peer is told once.
+/// Collects the interruptions of all attempts on a crashed target into one report to each peer.
 constexpr Duration s_gatherTime = std::chrono::milliseconds(20);
 
 std::int64_t inSeconds(Duration duration)
@@ -113,7 +113,8 @@
 void PoisonGuard::left(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
 {
     if (m_quarantine.knows(fingerprints.front())) {
-        // It was there at a crash before: the target is asked, as the router may have no other connection there whose end would tell.
+        // The request was in flight at an earlier crash. The target is probed, because this router may have no other connection there whose
+        // end would show a crash.
         brokeOff(incarnation, address, fingerprints);
         return;
     }
@@ -196,7 +197,7 @@
     }
     m_metrics.count("acquittals_total", {.name = "state", .value = held ? "held" : "suspected"});
     m_tellChange({.fingerprint = fingerprint});
-    // Suspects are many after a crash, and most are acquitted by their caller's next try.
+    // Only quarantined requests are logged: after a crash there are many suspects, and most are acquitted when their caller retries.
     if (held) {
         logLine(Severity::Info, "request.acquitted", {{"fingerprint", fingerprint.text()}, {"by", "an answer"}});
         m_acquitted.insert(fingerprint);
@@ -209,7 +210,7 @@
 {
     std::optional<Duration> longest;
     for (const RequestFingerprint &fingerprint : fingerprints) {
-        // None is less than any duration.
+        // nullopt compares less than any duration.
         longest = std::max(longest, m_quarantine.heldFor(fingerprint, steadyNow()));
     }
     return longest;
@@ -281,10 +282,10 @@
     if (std::vector<RequestFingerprint> left = m_watch.crashedElsewhere(report.target, now); !left.empty()) {
         this->report({.target = report.target, .underWay = std::move(left), .ago = report.ago}, seenBy);
     }
-    // The peer whose requests these were may have ended since it told of them, so that nobody else reports them.
+    // The peer that had these requests in flight may have terminated since it announced them, so that no other router reports them.
     blame({.target = report.target, .underWay = m_watch.takePeers(report.target, now), .ago = report.ago}, seenBy);
     tellAnswered(report);
-    // Whoever saw the crash that decides it tells the others and the store; here it is only believed sooner.
+    // The router whose crash detection completes the evidence tells the peers and the store. Here the request is only quarantined sooner.
     for (const RequestFingerprint &fingerprint : m_quarantine.crashed(report.target, report.underWay, now, report.ago)) {
         logLine(Severity::Warning, "request.quarantined", {{"fingerprint", fingerprint.text()}, {"by", "peers' reports"}});
     }
--- a/src/quarantine/poisonguard.h
+++ b/src/quarantine/poisonguard.h
@@ -18,107 +18,107 @@
 
 namespace bamboohold {
 
-/// What one router had under way at a target that crashed, or may have.
+/// The requests that one router had in flight on a target that crashed, or may have crashed.
 struct CrashReport {
-    /// A hash of the target's incarnation.
+    /// Hash of the target's incarnation.
     std::uint64_t target = 0;
     std::vector<RequestFingerprint> underWay;
-    /// False while it is only known that requests broke off there.
+    /// False if it is only known that the requests were interrupted.
     bool crashed = true;
-    /// Since they broke off.
+    /// Time since the requests were interrupted.
     Duration ago{};
 };
 
-/// A request is held back from now on, or is not any more.
+/// A request that is quarantined from now on, or no longer.
 struct QuarantineChange {
     RequestFingerprint fingerprint;
-    /// Until its next trial; negative once that may begin. Of a request that nothing speaks against any more: negative, the time since the
-    /// answer that showed it.
+    /// Time until its next trial, negative if that may begin already. For an acquitted request: minus the time since the response that
+    /// acquitted it.
     Duration remaining{};
-    /// See Quarantine::Entry; 0: nothing speaks against it any more.
+    /// See Quarantine::Entry; 0 if the request is acquitted.
     unsigned terms = 0;
     unsigned trials = 0;
     unsigned answers = 0;
 };
 
-/// Keeps requests that crash the targets they run on from reaching more of them.
+/// Stops requests that crash the targets they run on from reaching more targets.
 ///
-/// The runtime around CrashWatch and Quarantine: it asks targets whether they still listen, tells the peers what this router saw, and logs
-/// and counts. Lives on one event loop, and outlives all that it spawns there.
+/// This is the runtime around CrashWatch and Quarantine: it probes targets for whether they still listen, announces what this router found
+/// to the peers, and writes logs and metrics. It runs on one event loop and must outlive the coroutines that it spawns there.
 class PoisonGuard
 {
 public:
     PoisonGuard(boost::asio::any_io_executor executor, Metrics &metrics);
 
-    /// Who knows whether a target is about to leave: its end is nobody's fault.
+    /// Sets the function that returns true if a target is about to leave. The end of such a target is not counted as a crash.
     void setExpectedToEnd(std::function<bool(const std::string &incarnation)> expectedToEnd);
 
-    /// Who tells the peers.
+    /// Sets the functions that send crashes and changes of the quarantine to the peers.
     void setAnnouncers(std::function<void(const CrashReport &)> crash, std::function<void(const QuarantineChange &)> change);
 
-    /// An attempt at a target broke off.
+    /// Handles an attempt whose connection to the target closed before the response was complete.
     void brokeOff(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints);
 
-    /// A caller left while its request was under way at a target.
+    /// Handles a caller that disconnected while its request was in flight on a target.
     void left(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints);
 
-    /// A request was answered whole.
+    /// Handles a complete response to a request.
     void answered(const FingerprintPair &fingerprints);
 
-    /// True when something may speak against a request of this address; see Quarantine.
+    /// Returns true if a request with this address hash may be suspected or quarantined; see Quarantine.
     bool mayKnow(std::uint64_t addressHash) const
     {
         return m_quarantine.mayKnow(addressHash);
     }
 
-    /// True when answers to requests of this address are to be told to `answered`.
+    /// Returns true if responses to requests with this address hash must be passed to `answered`.
     bool wantsAnswers(std::uint64_t addressHash) const;
 
-    /// How long until the request may be tried again; none when it is not held back.
+    /// Returns the time until the next trial of the request, or nullopt if it is not quarantined.
     std::optional<Duration> heldFor(const FingerprintPair &fingerprints) const;
 
-    /// Lets a copy of a held request through if a trial is due, and tells the peers, so that copies that arrive elsewhere do not go through
-    /// as well.
+    /// Lets a copy of a quarantined request through if a trial is due, and returns true in that case. Also tells the peers, so that they do
+    /// not let other copies through at the same time.
     bool beginTrial(const FingerprintPair &fingerprints);
 
-    /// The copy on trial reached no target.
+    /// Handles a trial copy that reached no target.
     void trialNotRun(const FingerprintPair &fingerprints);
 
-    /// What this router knows of crashes, for a peer that has just started.
+    /// Returns the crashes and interrupted requests that this router knows of. A peer that has just started asks for them.
     std::vector<CrashReport> knownCrashes() const;
 
-    /// A peer saw a target crash, or requests break off there.
+    /// Handles a peer's report of a crashed target, or of requests that were interrupted there.
     void peerSawCrash(const CrashReport &report);
 
-    /// A peer, or the store, holds a request back or no longer does.
+    /// Applies a change of the quarantine that comes from a peer or the store; `from` names the source in the log.
     void take(const QuarantineChange &change, std::string_view from);
 
-    /// The store lets a request pass again.
+    /// Releases a request because the store no longer quarantines it.
     void lift(const RequestFingerprint &fingerprint);
 
-    /// Forgets what is long past. Call now and then.
+    /// Removes outdated entries. Call this periodically.
     void expire();
 
-    /// What is held back, for whoever keeps it in the store.
+    /// The quarantined requests, for the object that synchronises them with the store.
     Quarantine &quarantine()
     {
         return m_quarantine;
     }
 
-    /// Requests that were held back and acquitted here, which the store has to be told.
+    /// Requests that were acquitted by this router after they had been quarantined, and whose acquittal is not in the store yet.
     std::set<RequestFingerprint> &acquitted()
     {
         return m_acquitted;
     }
 
-    /// Requests whose trial began here, which the store has to be told: the trial may end with this router, and a router that starts later
-    /// would begin another one at once.
+    /// Requests whose trial this router started, and whose trial is not in the store yet. If this router terminates before it is, a router
+    /// that starts later begins another trial at once.
     std::set<RequestFingerprint> &trialsBegun()
     {
         return m_trialsBegun;
     }
 
-    /// Something was decided here that the store should know.
+    /// Notified when there is a decision to write to the store.
     Signal &decided()
     {
         return m_decided;
@@ -128,15 +128,16 @@
     boost::asio::awaitable<void> watch(std::string incarnation, std::string address);
     boost::asio::awaitable<bool> refuses(std::string address);
     void report(CrashReport crash, std::string_view target);
-    /// Tells the peers what broke off at a target that has not refused a connection yet.
+    /// Announces the interrupted requests of a target that has not refused a connection yet to the peers.
     void tellBrokenOff(const std::string &incarnation);
-    /// These were under way at a crash; what is held back because of it is told, and kept.
+    /// Records the crash. Announces requests that are quarantined because of it to the peers, and has them stored.
     void blame(const CrashReport &crash, std::string_view name);
-    /// Tells the peers of those that were answered here since the crash, as the peers blame them for it.
+    /// Announces to the peers which of the requests this router has completed since the crash, because the peers count the crash against
+    /// them.
     void tellAnswered(const CrashReport &crash);
     void acquit(const RequestFingerprint &fingerprint, Instant answered);
     void tell(const RequestFingerprint &fingerprint) const;
-    /// Since attempts at the target broke off.
+    /// Returns the time since the first attempt on the target was interrupted.
     Duration sinceBroken(const std::string &incarnation) const;
     void count() const;
 
--- a/src/quarantine/quarantinekeeper.h
+++ b/src/quarantine/quarantinekeeper.h
@@ -13,19 +13,19 @@
 
 namespace bamboohold {
 
-/// Keeps the quarantine in the store, so that it outlives the routers, and reads what others put there.
+/// Synchronises the quarantine with the store, so that it survives a restart of all routers.
 ///
-/// Routers tell each other at once; the store is for those that were not there: a fleet that lost power would send a request on that had
-/// crashed three targets, three more times.
+/// Routers announce changes to each other at once. The store serves routers that did not receive them: after a power failure of the whole
+/// fleet, a request that had already crashed three targets would otherwise crash three more.
 template<RowStore Store>
 class QuarantineKeeper
 {
 public:
     struct Options {
-        /// Between two reads. Shorter than the time in which a change has to be known to every router in touch with the store, so that the
-        /// notice of a peer may be lost.
+        /// Time between two reads. It is shorter than the time within which every router in contact with the store must know of a change,
+        /// so that a peer's announcement may get lost.
         Duration interval = std::chrono::seconds(2);
-        /// After a call that was declined or lost.
+        /// Time until the next try after a call that failed or a transaction that was declined.
         Duration retryPause = std::chrono::milliseconds(300);
     };
 
@@ -41,7 +41,7 @@
     {
     }
 
-    /// Runs for as long as the process.
+    /// Runs until the process ends.
     boost::asio::awaitable<void> run()
     {
         while (true) {
@@ -50,14 +50,15 @@
         }
     }
 
-    /// Reads the rows and writes what the store lacks. False when a call failed, or another router was quicker.
+    /// Reads the rows and writes what the store lacks. Returns false if a call failed, the read was outdated, or another router changed the
+    /// rows first.
     boost::asio::awaitable<bool> synchronise()
     {
         const std::string table(s_quarantineTable);
         const std::string wholePart;
         const absl::StatusOr<RowsRead> read = co_await m_store.read(table, wholePart);
         noteStore(read.ok());
-        // An answer older than one that was seen lacks rows that are there: what it lacks would be let pass.
+        // A read older than a previous one may lack rows that exist. Requests missing from it would be released.
         if (!read.ok() || read->version < m_version) {
             co_return false;
         }
@@ -77,9 +78,9 @@
     }
 
 private:
-    /// A transaction holds a hundred entries at most, conditions and changes together.
+    /// The store allows at most a hundred entries per transaction, counting conditions and changes.
     static constexpr std::size_t s_mostChanges = 40;
-    /// Every router that reaches the store reads it several times within this.
+    /// Every router in contact with the store reads it several times within this time.
     static constexpr Duration s_acquittalMemory = std::chrono::minutes(1);
 
     using Entries = Quarantine::Entries;
@@ -135,7 +136,7 @@
         m_guard.quarantine().setStored(*fingerprint);
     }
 
-    /// Acquitted so long ago. One that was held back since is held back anew.
+    /// Releases a request that was acquitted `ago` before now, unless it has been quarantined again since.
     void takeAcquittal(const RequestFingerprint &fingerprint, Duration ago)
     {
         const auto entry = m_guard.quarantine().entries().find(fingerprint);
@@ -144,14 +145,14 @@
         }
     }
 
-    /// True when a trial was decided since the row was written, or one has begun here. By the time of the next trial alone a router whose
-    /// clock stood still for a while would prolong every row.
+    /// Returns true if a trial has got a result since the row was written, or a trial has begun here. The time of the next trial alone does
+    /// not make a row newer: a router whose clock had stopped for a while would extend every row.
     static bool isNewer(const QuarantineRow &content, const QuarantineRow &row, bool trialBegun)
     {
         return content.terms > row.terms || (trialBegun && content.terms == row.terms && content.nextTrial > row.nextTrial);
     }
 
-    /// True for a row that nobody needs any more.
+    /// Returns true if no router needs the row any more.
     static bool past(const QuarantineRow &row, StoreTimeMs storeTime)
     {
         if (row.terms == 0) {
@@ -194,7 +195,7 @@
         return transaction;
     }
 
-    /// Rows whose next trial is due before this are more than are kept.
+    /// Returns the time of the next trial before which rows exceed the maximum number, or 0 if there are no more rows than that.
     StoreTimeMs oldestKeptTrial() const
     {
         const std::size_t most = m_guard.quarantine().options().mostEntries;
@@ -226,7 +227,7 @@
     Store &m_store;
     PoisonGuard &m_guard;
     Options m_options;
-    /// As of the last read.
+    /// The rows as of the last read.
     std::map<RequestFingerprint, Row> m_rows;
     std::uint64_t m_version = 0;
     std::uint64_t m_newestSpoilt = 0;
--- a/src/quarantine/quarantinenotice.h
+++ b/src/quarantine/quarantinenotice.h
@@ -7,7 +7,8 @@
 
 namespace bamboohold {
 
-/// Crashes and what follows from them, in the form that routers tell each other. What cannot be read names no request.
+/// Converts crash reports and quarantine changes to and from the messages that routers exchange. Fingerprints that cannot be parsed are
+/// logged and left out; a quarantine change without a valid fingerprint gives nullopt.
 wire::CrashNotice toWire(const CrashReport &report);
 wire::QuarantineNotice toWire(const QuarantineChange &change);
 CrashReport fromWire(const wire::CrashNotice &notice);
--- a/src/quarantine/quarantinerow.cpp
+++ b/src/quarantine/quarantinerow.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A whole number of the object that is not negative; -1 when there is none.
+/// Returns a non-negative integer member of the object, or -1 if there is none.
 std::int64_t numberOf(const boost::json::object &object, std::string_view name)
 {
     const boost::json::value *value = object.if_contains({name.data(), name.size()});
--- a/src/quarantine/quarantinerow.h
+++ b/src/quarantine/quarantinerow.h
@@ -9,16 +9,16 @@
 
 namespace bamboohold {
 
-/// The table of requests that are held back: one part, a row for each, under its fingerprint's text. An operator who takes a row away lets
-/// the request pass again, on every router within seconds.
+/// The store's table of quarantined requests. It has one part, with a row for each request whose key is the fingerprint's text. If an
+/// operator deletes a row, every router releases the request within seconds.
 inline constexpr std::string_view s_quarantineTable = "quarantine";
 
-/// What the store knows of one of them.
+/// The content of a row.
 struct QuarantineRow {
-    /// Store time from which it may be tried; of one that is held back no longer, when that was found.
+    /// Store time in milliseconds from which a trial may begin. For an acquitted request: the time of the acquittal.
     StoreTimeMs nextTrial = 0;
-    /// See Quarantine::Entry. 0: held back no longer. Such a row stays for a while: a router that has missed the peer's word would
-    /// otherwise take its absence for a row that is still to be written.
+    /// See Quarantine::Entry; 0 if the request is acquitted. Such a row is kept for a while: a router that missed the announcement would
+    /// otherwise find no row and write its own.
     unsigned terms = 1;
 
     bool operator==(const QuarantineRow &) const = default;
@@ -26,7 +26,7 @@
 
 std::string toText(const QuarantineRow &row);
 
-/// The row of a text; InvalidDocument when it is none.
+/// Parses the text of a row. Returns InvalidDocument if it is not valid.
 absl::StatusOr<QuarantineRow> quarantineRowFrom(std::string_view text);
 
 }
--- a/src/quarantine/requestfingerprint.cpp
+++ b/src/quarantine/requestfingerprint.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Adds a field behind its length, so that no two different lists of fields read the same.
+/// Adds a field preceded by its length, so that no two different lists of fields give the same input.
 void addField(EVP_MD_CTX *context, std::string_view field)
 {
     const std::uint64_t size = field.size();
@@ -27,7 +27,7 @@
     return source.target.substr(0, source.target.find('?'));
 }
 
-/// A digest of the fields, cut to the size that is kept.
+/// Returns the SHA-256 digest of the fields, truncated to `Size` bytes.
 template<std::size_t Size>
 std::array<char, Size> digestOf(std::initializer_list<std::string_view> fields)
 {
--- a/src/quarantine/requestfingerprint.h
+++ b/src/quarantine/requestfingerprint.h
@@ -9,9 +9,9 @@
 
 namespace bamboohold {
 
-/// What makes a request the same one as an earlier one, whatever its id.
+/// The fields that identify a repeated request, whatever its request id.
 struct FingerprintSource {
-    /// Empty on routes that are open to callers without a key.
+    /// Empty on routes that accept callers without a key.
     std::string_view team;
     std::string_view method;
     std::string_view host;
@@ -20,32 +20,32 @@
     std::string_view body;
 };
 
-/// A digest by which all routers recognise a request that comes again.
+/// A digest by which all routers recognise a repeated request.
 class RequestFingerprint
 {
 public:
-    /// Bytes of the address hash, and kept of the digest of everything. A caller that could find two requests with the same 16 bytes of
-    /// digest could have one of them refused for the other; the team is part of it, so at most its own.
+    /// Sizes in bytes of the address hash and of the truncated digest. A caller that found two requests with the same 16-byte digest could
+    /// have one refused in place of the other. The team is part of the digest, so this affects at most its own requests.
     static constexpr std::size_t s_addressSize = 8;
     static constexpr std::size_t s_digestSize = 16;
     static constexpr std::size_t s_size = s_addressSize + s_digestSize;
 
-    /// Of the whole request.
+    /// Returns the fingerprint of the whole request.
     static RequestFingerprint of(const FingerprintSource &source);
 
-    /// Of what it is at its core: team, path and body, without what callers may change each time, such as a query that only defeats caches.
+    /// Returns the fingerprint of team, path and body only, without parts that a caller may vary, such as a query that bypasses caches.
     static RequestFingerprint ofCore(const FingerprintSource &source);
 
-    /// A hash of team and path: what tells most requests from the few that are looked for, before a long body is digested.
+    /// Returns a hash of team and path. It is computed first, so that a long body is only digested for the few requests that may match.
     static std::uint64_t addressHash(const FingerprintSource &source);
 
-    /// The address hash of the request.
+    /// Returns the address hash of the request.
     std::uint64_t addressHash() const;
 
-    /// The fingerprint with these bytes, as `bytes` gave them; none when their number is another.
+    /// Parses the result of `bytes`; nullopt if the size is wrong.
     static std::optional<RequestFingerprint> fromBytes(std::string_view bytes);
 
-    /// The fingerprint that `text` gave; none for any other text.
+    /// Parses the result of `text`; nullopt for any other text.
     static std::optional<RequestFingerprint> fromText(std::string_view text);
 
     std::string_view bytes() const
@@ -53,13 +53,14 @@
         return {m_bytes.data(), m_bytes.size()};
     }
 
-    /// In hexadecimal, as logs and keys of rows have it.
+    /// Returns the fingerprint in lower-case hexadecimal, as used in logs and as a row key.
     std::string text() const;
 
     bool operator==(const RequestFingerprint &) const = default;
     bool operator<(const RequestFingerprint &other) const
     {
-        // By unsigned bytes: those of one address stand together, from the one whose digest is all zeros on.
+        // Compares unsigned bytes, so that fingerprints with the same address hash are adjacent, beginning with the one whose digest is all
+        // zeros.
         return bytes() < other.bytes();
     }
 
@@ -69,10 +70,11 @@
     std::array<char, s_size> m_bytes{};
 };
 
-/// Both fingerprints of a request. Requests that differ in their query alone may be one that comes again, or many: each is looked at.
+/// Both fingerprints of a request. Requests that differ only in their query may be copies of one request or different ones, so both
+/// fingerprints are tracked.
 using FingerprintPair = std::array<RequestFingerprint, 2>;
 
-/// Core first: it is what logs name the request by.
+/// Returns the core fingerprint first. Logs identify the request by that one.
 FingerprintPair fingerprintsOf(const FingerprintSource &source);
 
 }
