--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -199,7 +199,7 @@
     m_tellChange({.fingerprint = fingerprint});
     // Only quarantined requests are logged: after a crash there are many suspects, and most are acquitted when their caller retries.
     if (held) {
-        logLine(Severity::Info, "request.acquitted", {{"fingerprint", fingerprint.text()}, {"by", "an answer"}});
+        logLine(Severity::Info, "request.acquitted", {{"fingerprint", fingerprint.text()}, {"by", "a complete response"}});
         m_acquitted.insert(fingerprint);
         m_decided.notify();
     }
@@ -270,7 +270,7 @@
 
 void PoisonGuard::peerSawCrash(const CrashReport &report)
 {
-    constexpr std::string_view seenBy = "one that a peer saw crash";
+    constexpr std::string_view seenBy = "reported by a peer";
     const Instant now = steadyNow();
     if (!report.crashed) {
         if (const std::vector<RequestFingerprint> known = m_watch.peerBrokeOff(report.target, report.underWay, now); !known.empty()) {
@@ -287,7 +287,7 @@
     tellAnswered(report);
     // The router whose crash detection completes the evidence tells the peers and the store. Here the request is only quarantined sooner.
     for (const RequestFingerprint &fingerprint : m_quarantine.crashed(report.target, report.underWay, now, report.ago)) {
-        logLine(Severity::Warning, "request.quarantined", {{"fingerprint", fingerprint.text()}, {"by", "peers' reports"}});
+        logLine(Severity::Warning, "request.quarantined", {{"fingerprint", fingerprint.text()}, {"by", "crash reports of peers"}});
     }
     count();
 }
--- a/src/quarantine/quarantinerow.cpp
+++ b/src/quarantine/quarantinerow.cpp
@@ -31,12 +31,12 @@
     boost::json::error_code error;
     const boost::json::value value = boost::json::parse({text.data(), text.size()}, error);
     if (error || !value.is_object()) {
-        return failed(FailureKind::InvalidDocument, "a quarantine row that is no object");
+        return failed(FailureKind::InvalidDocument, "quarantine row is not a JSON object");
     }
     const std::int64_t nextTrial = numberOf(value.get_object(), "next_trial_ms");
     const std::int64_t terms = numberOf(value.get_object(), "terms");
     if (nextTrial < 0 || terms < 0 || terms > std::numeric_limits<std::int32_t>::max()) {
-        return failed(FailureKind::InvalidDocument, "a quarantine row without a time or a number of terms");
+        return failed(FailureKind::InvalidDocument, "quarantine row lacks a valid \"next_trial_ms\" or \"terms\"");
     }
     return QuarantineRow{.nextTrial = nextTrial, .terms = static_cast<unsigned>(terms)};
 }
