--- a/src/tests/answermemorytest.cpp
+++ b/src/tests/answermemorytest.cpp
@@ -25,7 +25,7 @@
     BOOST_TEST(!memory.lastAnswer(request(0)).has_value());
     BOOST_TEST(memory.answers(request(0), s_now) == 0U);
     memory.note(request(0), s_now);
-    // A peer's word of an older answer.
+    // An older response that a peer announced.
     memory.note(request(0), s_now - std::chrono::seconds(1));
     BOOST_TEST((memory.lastAnswer(request(0)) == s_now));
     BOOST_TEST(memory.answers(request(0), s_now) == 2U);
@@ -36,7 +36,7 @@
     BOOST_TEST(!memory.lastAnswer(request(0)).has_value());
 }
 
-// Guards against every router telling every other one of its answers, again for each report of the same crash.
+// Guards against each router announcing its responses to all others again for every report of the same crash.
 BOOST_AUTO_TEST_CASE(anAnswerIsToldOnceForACrash)
 {
     const Instant crash = s_now - std::chrono::seconds(2);
@@ -54,7 +54,7 @@
     BOOST_TEST(memory.answers(request(1), s_now) == 1U);
 }
 
-// A router answers other requests all the time: its memory must not grow with them.
+// A router serves new requests all the time. The memory must not grow with them.
 BOOST_AUTO_TEST_CASE(memoryIsBounded)
 {
     AnswerMemory memory({.memory = std::chrono::minutes(1), .most = 100});
--- a/src/tests/busiestspan.h
+++ b/src/tests/busiestspan.h
@@ -9,16 +9,16 @@
 
 namespace bamboohold {
 
-/// Milliseconds of a simulated test.
+/// Simulated time in milliseconds.
 using Millis = std::int64_t;
 
-/// That moment, on the clock of the objects under test.
+/// Converts simulated time to the clock of the objects under test.
 inline Instant at(Millis time)
 {
     return Instant{} + std::chrono::hours(1) + std::chrono::milliseconds(time);
 }
 
-/// The most arrivals within any span of that length.
+/// Returns the largest number of arrivals within any span of `length` milliseconds.
 inline std::size_t busiestSpan(std::vector<Millis> arrivals, Millis length)
 {
     std::ranges::sort(arrivals);
--- a/src/tests/crashwatchtest.cpp
+++ b/src/tests/crashwatchtest.cpp
@@ -17,7 +17,7 @@
     return fingerprintsOf({.body = body});
 }
 
-/// The fingerprints of all of them.
+/// Returns the fingerprints of all requests.
 std::vector<RequestFingerprint> all(const std::vector<FingerprintPair> &requests)
 {
     std::vector<RequestFingerprint> fingerprints;
@@ -33,8 +33,8 @@
 
 BOOST_AUTO_TEST_SUITE(CrashWatchTest)
 
-// All connections of a target close at once. It is asked once, and all that was under way there is reported together; what the loop gets
-// to later is reported as well.
+// All connections of a crashed target close at once. The target is probed once, and all requests in flight there are reported together. An
+// interruption that the event loop handles later is reported too.
 BOOST_AUTO_TEST_CASE(aTargetThatRefusesHasCrashed)
 {
     CrashWatch watch;
@@ -45,8 +45,8 @@
     BOOST_TEST((watch.brokeOff("target", request("d"), s_now) == Step::Report));
 }
 
-// A target loses an answer, or resets a connection, and lives: nothing is held against what was under way there, also when it crashes of
-// something else a moment later.
+// Guards against blaming requests for a lost response or a reset connection of a target that stays alive, also when that target crashes for
+// another reason a moment later.
 BOOST_AUTO_TEST_CASE(aTargetThatAcceptsLives)
 {
     CrashWatch watch;
@@ -56,8 +56,8 @@
     BOOST_TEST((watch.refused("target", s_now) == all({request("b")})));
 }
 
-// Callers leave soon, and their requests are broken off from here; the target crashes a moment later of one of them. Without these, the
-// requests of an impatient caller were never seen at a crash.
+// Guards against a caller with a short timeout never being seen at a crash: it disconnects, this router cancels its request, and the target
+// crashes a moment later because of that request.
 BOOST_AUTO_TEST_CASE(whatWasJustLeftCounts)
 {
     CrashWatch watch;
@@ -65,12 +65,12 @@
     watch.left("target", request("just now"), s_now - std::chrono::milliseconds(300));
     watch.left("other", request("elsewhere"), s_now);
     watch.brokeOff("target", request("a"), s_now);
-    // The target is found to refuse connections a while after its crash.
+    // The target is found to refuse connections some time after its crash.
     BOOST_TEST((watch.refused("target", s_now + std::chrono::seconds(2)) == all({request("a"), request("just now")})));
     BOOST_TEST(watch.refused("target", s_now + std::chrono::seconds(2)).empty());
 }
 
-// The router had nothing else at that target, so no end of its own tells of the crash; a peer does.
+// This router had no other request on the target, so that no interruption of its own shows the crash. A peer reports it.
 BOOST_AUTO_TEST_CASE(whatWasJustLeftCountsByAPeersWord)
 {
     CrashWatch watch;
@@ -80,7 +80,7 @@
     BOOST_TEST(watch.crashedElsewhere(stableHash("target"), s_now + std::chrono::milliseconds(200)).empty());
 }
 
-// Guards against answers being forgotten that come between a crash and its report.
+// Guards against forgetting responses that arrive between a crash and its report.
 BOOST_AUTO_TEST_CASE(watchesAnswersAfterRequestsBrokeOff)
 {
     CrashWatch watch;
@@ -96,7 +96,7 @@
     BOOST_TEST(peer.alert(s_now));
 }
 
-// Guards against a router that starts knowing nothing of what broke off a moment ago.
+// Guards against a router that starts without knowledge of requests interrupted a moment ago.
 BOOST_AUTO_TEST_CASE(tellsARouterThatStartsWhatIsUndecided)
 {
     CrashWatch watch;
@@ -120,7 +120,8 @@
     BOOST_TEST((watch.brokeOff("target", request("b"), s_now + std::chrono::minutes(1)) == Step::Ask));
 }
 
-// Guards against a router that ends before the port of a crashed target closes, and takes with it what it had under way there.
+// Guards against losing the requests that a router had in flight on a crashed target, when the router terminates before the port of the
+// target closes.
 BOOST_AUTO_TEST_CASE(peersKnowWhatBrokeOffAtACrash)
 {
     CrashWatch watch;
@@ -136,7 +137,7 @@
     BOOST_TEST((peer.peerBrokeOff(target, all({request("b")}), s_now) == all({request("b")})));
 }
 
-// Guards against requests blamed for a crash that came long after a peer's connection was reset.
+// Guards against blaming requests for a crash that came long after the connection of a peer was reset.
 BOOST_AUTO_TEST_CASE(whatBrokeOffLongBeforeACrashIsNotBlamed)
 {
     CrashWatch peer;
--- a/src/tests/poisonfleet.cpp
+++ b/src/tests/poisonfleet.cpp
@@ -14,15 +14,15 @@
 
 using Millis = PoisonDay::Millis;
 
-/// A fleet is told of a crash, and keeps to it, within this long.
+/// Time in milliseconds within which the whole fleet must know of a crash and act on it.
 constexpr Millis s_contact = 3000;
-/// A router that has started reads the store first of all.
+/// A router that has just started reads the store first.
 constexpr Millis s_firstRead = 50;
 constexpr Millis s_dayLength = 60'000;
 constexpr Millis s_askDelays[] = {0, 100, 500, 1500};
-/// Peers that a router asks, when it has started, what they know of crashes.
+/// Number of peers that a router asks after its start which crashes they know of.
 constexpr std::size_t s_peersAsked = 3;
-/// Between the seeds of a day's streams, and between those of one stream's restarts.
+/// Differences between the seeds of a day's streams, and between the seeds of one stream's restarts.
 constexpr unsigned s_streamStep = 1'000'003;
 constexpr unsigned s_restartStep = 15'485'863;
 
@@ -446,7 +446,7 @@
     }
     for (const auto &[fingerprint, entry] : m_rows) {
         Quarantine::Standing standing = standingOf(entry);
-        // Rows do not tell of trials.
+        // Rows do not contain the number of trials.
         standing.trials = 0;
         quarantine.learn(fingerprint, standing, at(m_now));
         quarantine.setStored(fingerprint);
--- a/src/tests/poisonfleet.h
+++ b/src/tests/poisonfleet.h
@@ -15,32 +15,32 @@
 
 namespace bamboohold {
 
-/// What a day of a fleet before targets that crash is like. Times are in milliseconds.
+/// Parameters of a simulated day on which a request crashes the targets of a fleet. Times are in milliseconds.
 struct PoisonDay {
     using Millis = std::int64_t;
 
     unsigned seed = 0;
     int routers = 5;
     int targets = 9;
-    /// Between two copies of the poisonous request, at the most.
+    /// Longest gap between two copies of the poisonous request.
     Millis copyGap = 500;
-    /// Between two crashes of something else, at the most; 0: none.
+    /// Longest gap between two crashes with another cause; 0: none.
     Millis otherCrashGap = 0;
-    /// Of 100 notices between routers, so many get lost.
+    /// Percentage of notices between routers that get lost.
     unsigned lostNotices = 0;
-    /// Of 100 callers of the poison, so many leave before the target has crashed.
+    /// Percentage of callers of the poisonous request that disconnect before the target has crashed.
     unsigned impatient = 0;
-    /// Between two deaths of a router, at the most; 0: none.
+    /// Longest gap between two deaths of a router; 0: none.
     Millis routerDeathGap = 0;
-    /// How long after a crash the port still takes connections.
+    /// Time after a crash during which the port still accepts connections.
     Millis lingering = 0;
-    /// Arrivals, crashes, deaths and losses draw from streams of their own, so that the day stays the same when the decisions change.
-    /// Otherwise one stream serves them all.
+    /// If true, arrivals, crashes, deaths and losses use separate random streams, so that the day stays the same when the decisions change.
+    /// If false, one stream serves them all.
     bool separateStreams = false;
 };
 
-/// Routers, targets and callers in a time of their own. The decision objects are the real ones; the network and the store between them are
-/// a list of things to happen.
+/// Simulates routers, targets and callers on a simulated clock. The decision objects are the real ones; the network and the store between
+/// them are replaced by a queue of events.
 class PoisonFleet
 {
 public:
@@ -48,16 +48,17 @@
 
     explicit PoisonFleet(PoisonDay day);
 
-    /// Plays the day.
+    /// Runs the day.
     void play();
 
-    /// Copies that reached a target although the fleet had to know, sent by routers that had been up for as long.
+    /// Number of copies that reached a target although the whole fleet should have known of the crashes by then. Only routers that had been
+    /// up for that long are counted.
     int lateCopies() const
     {
         return m_lateCopies;
     }
 
-    /// The longest time for which the popular request was refused without an answer to it.
+    /// Longest time in milliseconds for which harmless requests were refused without a response to the popular one.
     Millis longestRefused() const
     {
         return m_longestRefused;
@@ -69,7 +70,7 @@
     }
 
 private:
-    /// What a draw is for.
+    /// What a random number is drawn for.
     enum class Stream : std::size_t {
         PoisonTimes,
         PopularTimes,
@@ -103,7 +104,7 @@
     };
 
     std::size_t draw(Stream stream, std::size_t below);
-    /// Gives the arrival draws of its own, however many of them the ones before it took.
+    /// Reseeds the stream, so that the draws of one arrival do not depend on how many draws the arrivals before it took.
     void restartStream(Stream stream);
     void after(Millis wait, std::function<void()> event);
     void everySoOften(Stream stream, Millis most, const std::function<void()> &event);
@@ -111,11 +112,11 @@
     static bool held(const Router &router, const FingerprintPair &request, Millis now);
     void arrive(const FingerprintPair &request, Stream stream);
     bool beginTrial(std::size_t number, const FingerprintPair &request);
-    /// The store is told when the next trial after this one is due.
+    /// Writes the time of the next trial after this one to the store.
     void noteTrial(std::size_t number, const RequestFingerprint &fingerprint);
     void tell(std::size_t number, const RequestFingerprint &fingerprint);
     void noteRefusal(Stream stream);
-    /// The caller has gone: the router breaks the request off, and the target has not noticed yet.
+    /// The caller has disconnected: the router cancels the request, which the target has not noticed yet.
     void leave(std::size_t target, const std::string &life, std::uint64_t id);
     void finish(std::size_t target, std::uint64_t id, const FingerprintPair &request);
     void acquit(std::size_t number, const FingerprintPair &request);
@@ -128,13 +129,13 @@
     void decide(std::size_t router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant crash);
     void tellAnswered(std::size_t number, const RequestFingerprint &fingerprint, Instant answered);
     void tellAnsweredSince(std::size_t number, const std::vector<RequestFingerprint> &underWay, Instant crash);
-    /// A router that has started asks peers what they know of crashes.
+    /// A router that has just started asks peers which crashes they know of.
     void askPeers(std::size_t number);
     void takeReport(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant crash);
     void takeBrokenOff(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant since);
     void tellOthers(std::size_t router, const std::function<void(Router &)> &notice);
     void sendTo(std::size_t router, const std::function<void(Router &)> &notice);
-    /// Each router reads the store's rows every two seconds, at a time of its own.
+    /// Each router reads the store's rows every two seconds, at its own offset.
     void synchroniseRouters();
     void synchronise(std::size_t number);
     void readStore(std::size_t number);
--- a/src/tests/poisonfleetpropertytest.cpp
+++ b/src/tests/poisonfleetpropertytest.cpp
@@ -10,13 +10,13 @@
 using Day = PoisonDay;
 using Millis = PoisonDay::Millis;
 
-/// Copies that may still reach targets three seconds after the third crash.
+/// Maximum number of copies that may reach targets later than three seconds after the third crash.
 constexpr int s_mostLate = 3;
-/// A request that did nothing is served again within this long of a target's return: targets are away for 6 s at the most, and a trial
-/// follows a second after the last crash or some seconds after the trial before it.
+/// A harmless request receives a response again within this time: targets are down for at most 6 s, and a trial follows a second after the
+/// last crash or some seconds after the previous trial.
 constexpr Millis s_longestRefusal = 12'000;
 
-/// Few copies of the poison pass that day, and no other request is refused for long.
+/// Checks that few copies of the poisonous request pass that day, and that no other request is refused for long.
 void checkDay(const Day &day)
 {
     PoisonFleet fleet(day);
@@ -30,10 +30,10 @@
 
 BOOST_AUTO_TEST_SUITE(PoisonFleetPropertyTest)
 
-// One caller's request crashes every target that begins it and comes again at any router, while other requests run, targets crash of other
-// causes, notices between routers get lost, routers die, callers leave early and ports close late. Three seconds after the third crash
-// hardly any copy may reach a target, and a request that did nothing must not be refused for longer than targets are away and a trial
-// takes.
+// One caller's request crashes every target that starts processing it, and copies arrive at any router, while other requests run, targets
+// crash for other reasons, notices between routers get lost, routers die, callers disconnect early and ports close late. From three seconds
+// after the third crash, at most a few copies may reach a target, and a harmless request must not be refused for longer than targets are
+// down and a trial takes.
 BOOST_AUTO_TEST_CASE(fewCopiesPassAndNobodyElseIsHeldBack)
 {
     const bool held = rc::check("poison is held back, others are not", [] {
@@ -59,9 +59,9 @@
     BOOST_TEST(held);
 }
 
-// Days that once failed. 1: a router that had just started did not read the store at once, and sent copies on until it did; each death of a
-// router cost some targets. 2: the cause and a request that did nothing were on trial at one moment, on one target. 3: callers left before
-// the crash, where nothing else was under way that would have told of it.
+// Days that failed in the past. 1: a router that had just started did not read the store at once and sent copies on until it did, so that
+// each death of a router cost some targets. 2: the cause and a harmless request were on trial at the same time on the same target. 3:
+// callers disconnected before the crash, and no other request was in flight there whose interruption would have shown it.
 BOOST_AUTO_TEST_CASE(daysThatOnceFailed)
 {
     for (const Day &day :
@@ -72,7 +72,7 @@
     }
 }
 
-// Guards against a request that is answered all the time being held back for crashes whose reports came later than its answers.
+// Guards against quarantining a request that receives responses all the time, because crashes were reported later than its responses.
 BOOST_AUTO_TEST_CASE(whatWasAnsweredBeforeACrashWasReported)
 {
     for (const Day &day : {Day{.seed = 570720,
@@ -117,7 +117,7 @@
     }
 }
 
-// Guards against what is known of crashes ending with the few routers that know it, one after the other.
+// Guards against losing all knowledge of crashes when the few routers that have it terminate one after the other.
 BOOST_AUTO_TEST_CASE(routersThatStartLearnWhatOthersKnow)
 {
     for (const Day &day : {Day{.seed = 929601,
@@ -158,8 +158,8 @@
     }
 }
 
-// Nearly everything at once: most callers leave early, a fifth of the notices gets lost, ports close a second late, few targets crash of
-// something else every other second, and few routers die every few seconds with all that they suspect.
+// Nearly all troubles at once in small fleets: most callers disconnect early, a fifth of the notices gets lost, ports close a second late, the
+// few targets crash for other reasons every other second, and the few routers die every few seconds and lose all suspects.
 BOOST_AUTO_TEST_CASE(nearlyEverythingAtOnce)
 {
     for (const Day &day :
@@ -198,7 +198,7 @@
 
 BOOST_AUTO_TEST_SUITE(PoisonFleetExtremesTest)
 
-// Guards against what routers have under way at a target that has crashed, and whose port closes late, being lost with them.
+// Guards against losing the requests in flight on a crashed target whose port closes late, when the routers that sent them die.
 BOOST_AUTO_TEST_CASE(littleIsRememberedWhereEverythingDies)
 {
     for (const Day &day : {Day{.seed = 13943,
@@ -250,7 +250,7 @@
 
 BOOST_AUTO_TEST_SUITE(PoisonFleetRareDaysTest)
 
-// Guards against the last trial of a request by chance falling on another crash, and against what few routers that die in turn lose.
+// Guards against the last trial of a harmless request coinciding with another crash, and against what is lost when few routers die in turn.
 BOOST_AUTO_TEST_CASE(fewDaysOfManyStillFail)
 {
     for (const Day &day : {Day{.seed = 716635,
@@ -287,8 +287,8 @@
 
 BOOST_AUTO_TEST_SUITE(PoisonFleetRestTest)
 
-// Guards against all routers ending one after the other before any has seen a crash, and against the first trial of a request that nobody
-// had seen answered yet falling on another crash.
+// Guards against all routers terminating one after the other before any has detected a crash, and against the first trial of a request
+// without any known response coinciding with another crash.
 BOOST_AUTO_TEST_CASE(whatNobodyKnows)
 {
     for (const Day &day : {Day{.seed = 786123,
--- a/src/tests/poisonrequesttest.cpp
+++ b/src/tests/poisonrequesttest.cpp
@@ -28,9 +28,9 @@
 constexpr std::uint16_t s_firstLinkPort = 17660;
 constexpr std::size_t s_routers = 3;
 constexpr std::size_t s_targets = 6;
-/// Targets that one request may crash before the whole fleet holds it back.
+/// Number of targets that one request may crash before the whole fleet quarantines it.
 constexpr std::size_t s_mostCrashed = 3;
-/// Routers are told of a crash well within this; it is a sixth of what they are allowed.
+/// Routers are told of a crash well within this time. It is a sixth of the time they are allowed.
 constexpr Duration s_spreadTime = std::chrono::milliseconds(500);
 constexpr std::string_view s_poison = "draft the block that never ends";
 
@@ -63,7 +63,7 @@
                         std::string(body));
 }
 
-/// A router with a link to its peers.
+/// A router with links to its peers.
 struct RouterUnderTest {
     RouterUnderTest(WorkerPool &pool, std::size_t number, SharedRows &rows)
         : link(pool.mainLoop().get_executor(), {.self = linkAddress(number)})
@@ -103,7 +103,7 @@
     HttpServer server;
 };
 
-/// Routers before targets that crash on one text.
+/// Routers in front of targets that crash when a request contains a given text.
 class Scene
 {
 public:
@@ -122,7 +122,7 @@
         linkRouters(s_routers);
     }
 
-    /// The first ones of the routers hear of each other, the others hear of nobody.
+    /// Links the first `linked` routers with each other. The other routers have no peers.
     void linkRouters(std::size_t linked)
     {
         std::vector<std::string> peers;
@@ -139,7 +139,7 @@
         return *m_routers[number];
     }
 
-    /// Runs the steps, which stand for what callers do, to their end.
+    /// Runs a coroutine that acts as the callers, until it ends.
     template<typename Steps>
     void play(Steps steps)
     {
@@ -149,7 +149,7 @@
         m_pool.run();
     }
 
-    /// Sends a request to a router and gives the answer.
+    /// Sends a request to a router and returns the response.
     asio::awaitable<std::string> send(std::size_t router, std::string request)
     {
         asio::ip::tcp::socket socket(m_pool.mainLoop());
@@ -162,7 +162,7 @@
         co_return answer;
     }
 
-    /// All targets answer so from now on.
+    /// Makes all targets respond with these bytes from now on.
     void answerAllWith(const std::string &bytes)
     {
         for (const auto &target : m_targets) {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Targets that crash refuse connections only after this long.
+    /// Makes crashed targets refuse connections only after this time.
     void lingerAfterCrashes(Duration lingering)
     {
         for (const auto &target : m_targets) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The target that such a request reaches next crashes.
+    /// Makes the next target that receives a request with this text crash.
     void crashNextOn(const std::string &text)
     {
         for (const auto &target : m_targets) {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Targets crash on poison alone.
+    /// Makes targets crash on the poisonous request only.
     void crashOnPoisonOnly()
     {
         for (const auto &target : m_targets) {
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Three copies, by way of as many routers, crash a target each.
+    /// Sends three copies through one router each. Each copy crashes a target.
     asio::awaitable<void> crashThree(Duration between)
     {
         for (std::size_t copy = 0; copy < s_mostCrashed; ++copy) {
@@ -231,15 +231,15 @@
 
 BOOST_AUTO_TEST_SUITE(PoisonRequestTest)
 
-// Engines ended one after the other, fourteen of nine in ten seconds, each with all streams on it; they came back and ended again. One
-// caller's request crashes whatever engine begins it, and comes again and again, at any router and each time with another id. Nothing
-// connected one arrival with the next, so every copy was sent on. The evidence: at all fourteen ends a request of the same team, route and
-// worst case was under way, sent by four routers, and no other request was there more than twice.
+// Guards against a request that crashes every engine that starts processing it, and is sent again and again to any router, each time with
+// another request id. Nothing connected one arrival with the next, so every copy was sent on: fourteen crashes of nine engines in ten
+// seconds, each with all its streams, and again after the engines had restarted. At all fourteen crashes a request of the same team, route
+// and worst-case cost was in flight, sent by four routers, and no other request was in flight at more than two.
 BOOST_AUTO_TEST_CASE(theFleetHoldsBackARequestThatHasCrashedThreeTargets)
 {
     Scene scene;
     scene.play([&]() -> asio::awaitable<void> {
-        // Links between routers are made in the background.
+        // Links between routers are established in the background.
         co_await pause(s_spreadTime);
         co_await scene.crashThree(Duration::zero());
         BOOST_TEST(scene.crashed() == s_mostCrashed);
@@ -253,7 +253,7 @@
     BOOST_TEST(scene.crashed() == s_mostCrashed);
 }
 
-// The same with copies that come with another query each time, as a script sends them that wants no cached answer.
+// As above, but each copy has a different query, as sent by a script that bypasses caches.
 BOOST_AUTO_TEST_CASE(copiesMayDifferInTheirQuery)
 {
     Scene scene;
@@ -269,7 +269,7 @@
     BOOST_TEST(scene.crashed() == s_mostCrashed);
 }
 
-// Guards against a router that starts knowing nothing of the crashes that its peers saw before.
+// Guards against a router that starts without knowledge of the crashes that its peers have seen.
 BOOST_AUTO_TEST_CASE(aRouterThatStartsAsksItsPeers)
 {
     Scene scene;
@@ -293,8 +293,9 @@
     });
 }
 
-// The same with targets whose connections close some time before their port does, as when the system takes connections until a crashed
-// process is cleared away. A router that asked once, at once, was told that the target lives, and held nothing against the request.
+// Guards against targets whose connections close some time before their port does, for example because the system accepts connections until
+// a crashed process is cleaned up. A router that probed only once, at once, took the target for alive and did not count the crash against
+// the request.
 BOOST_AUTO_TEST_CASE(aTargetMayRefuseConnectionsOnlyAfterAWhile)
 {
     Scene scene;
@@ -310,8 +311,8 @@
     BOOST_TEST(scene.crashed() == s_mostCrashed);
 }
 
-// A target that is short of something answers a copy with a failure of its own, before it begins to run it. That must not clear the
-// request: each copy that is let pass then crashes a target.
+// A target that lacks some resource responds to a copy with an error of its own before it starts processing it. This must not acquit the
+// request, or each copy that passes afterwards crashes a target.
 BOOST_AUTO_TEST_CASE(aFailureDoesNotAcquit)
 {
     Scene scene;
@@ -330,8 +331,7 @@
     BOOST_TEST(scene.crashed() == s_mostCrashed);
 }
 
-// The caller of a poisonous request has others too, and so have its fellows: they did nothing, and are served as before, on targets that
-// are left.
+// Other requests of the caller and of its team are harmless. They are served as before on the remaining targets.
 BOOST_AUTO_TEST_CASE(otherRequestsOfTheSameCallerAreServed)
 {
     Scene scene;
@@ -347,8 +347,8 @@
     });
 }
 
-// Targets crash of something else while one request is under way at each of them, and its caller tries again: it must not be refused. Here
-// it is answered between the crashes.
+// Targets crash for another reason while one request is in flight on each of them, and its caller retries. The request receives responses
+// between the crashes and must not be refused.
 BOOST_AUTO_TEST_CASE(aRequestThatIsAnsweredBetweenCrashesIsServed)
 {
     Scene scene;
--- a/src/tests/quarantinekeepertest.cpp
+++ b/src/tests/quarantinekeepertest.cpp
@@ -28,13 +28,13 @@
     return {.table = "quarantine", .part = "", .key = std::move(key)};
 }
 
-/// Rows of the quarantine in the store.
+/// Number of rows of the quarantine in the store.
 std::size_t kept(const SharedRows &rows)
 {
     return rows.rows.read("quarantine", "", rows.now).rows.size();
 }
 
-/// One router's part in it.
+/// The parts of one router that take part in the quarantine.
 struct Router {
     explicit Router(SharedRows &rows)
         : guard(loop.get_executor(), metrics)
@@ -54,7 +54,7 @@
         loop.restart();
     }
 
-    /// Three targets crash with the request under way.
+    /// Three targets crash while the request is in flight.
     void crashThree(const RequestFingerprint &fingerprint)
     {
         for (std::uint64_t target = 1; target <= 3; ++target) {
@@ -72,8 +72,8 @@
 
 BOOST_AUTO_TEST_SUITE(QuarantineKeeperTest)
 
-// All routers lose power after a request has crashed three targets. Those that start know nothing; without the store they would send it on
-// three more times.
+// Guards against a power failure of all routers after a request has crashed three targets. They start without any state of their own;
+// without the store the request would crash three more.
 BOOST_AUTO_TEST_CASE(aQuarantineOutlivesTheRouters)
 {
     SharedRows rows;
@@ -90,7 +90,7 @@
     BOOST_TEST(!after.guard.heldFor(pair("other")).has_value());
 }
 
-// Every router comes to the same verdict by its peers' reports; one of them writes it, and nothing is written again.
+// Every router quarantines the request based on its peers' reports. One of them writes the row, and it is not written again.
 BOOST_AUTO_TEST_CASE(oneOfManyRoutersWrites)
 {
     SharedRows rows;
@@ -107,8 +107,8 @@
     BOOST_TEST(rows.writes == 1);
 }
 
-// A request that was held back by chance is answered after all (a copy was still under way). Its row says so for a while, and it is held
-// back on no router any more, also on one that has missed the peers' word and never saw the row.
+// A request that was quarantined by coincidence receives a response because a copy was still in flight. Its row records the acquittal for a
+// while, and every router releases it, including one that missed the announcement and never saw the row.
 BOOST_AUTO_TEST_CASE(anAcquittalReachesAll)
 {
     SharedRows rows;
@@ -130,7 +130,7 @@
     one.synchronise();
     BOOST_TEST(!one.guard.heldFor(pair("unlucky")).has_value());
     BOOST_TEST(one.guard.acquitted().empty());
-    // And it may be held back anew.
+    // It may be quarantined again.
     other.crashThree(request("unlucky"));
     rows.now += 2000;
     other.synchronise();
@@ -144,7 +144,7 @@
     BOOST_TEST(kept(rows) == 0U);
 }
 
-// The operators have mended the engines and take the row away.
+// The operators have repaired the engines and delete the row.
 BOOST_AUTO_TEST_CASE(operatorsLiftIt)
 {
     SharedRows rows;
@@ -157,7 +157,8 @@
     BOOST_TEST(!router.guard.heldFor(pair("poison")).has_value());
 }
 
-// The store gives an answer from before the row was written, as it may while it rebuilds its history. What the answer lacks is not lifted.
+// The store returns a read from before the row was written, as may happen while it rebuilds its history. A row missing from that read does
+// not release the request.
 BOOST_AUTO_TEST_CASE(anOlderAnswerLiftsNothing)
 {
     SharedRows rows;
@@ -171,7 +172,7 @@
     BOOST_TEST(router.guard.heldFor(pair("poison")).has_value());
 }
 
-// Rows of another writer: whatever stands there, no request is held back for more than a day, and the other rows count.
+// Rows of another writer: whatever they contain, no request is quarantined for more than a day, and the other rows count.
 BOOST_AUTO_TEST_CASE(spoiltRowsHoldNothingBack)
 {
     SharedRows rows;
@@ -191,7 +192,7 @@
     BOOST_TEST((router.guard.heldFor(pair("far")) <= std::chrono::hours(24)));
 }
 
-// Guards against a second trial, a moment after the first, by a router that starts when the one that began the first has ended.
+// Guards against a second trial shortly after the first, by a router that starts when the router that began the first has terminated.
 BOOST_AUTO_TEST_CASE(theStoreKnowsOfATrialThatBegan)
 {
     SharedRows rows;
@@ -211,7 +212,7 @@
     BOOST_TEST(first.guard.trialsBegun().empty());
 }
 
-// Many different poisonous requests in a day: the store keeps no more of them than a router does.
+// With many different poisonous requests in a day, the store keeps no more of them than a router does.
 BOOST_AUTO_TEST_CASE(rowsAreBounded)
 {
     SharedRows rows;
--- a/src/tests/quarantinetest.cpp
+++ b/src/tests/quarantinetest.cpp
@@ -27,7 +27,7 @@
 
 constexpr Duration s_second = std::chrono::seconds(1);
 
-/// Three targets crash under the request.
+/// Three targets crash while the request is in flight.
 void holdBack(Quarantine &quarantine)
 {
     for (std::uint64_t target = 1; target <= 3; ++target) {
@@ -35,7 +35,7 @@
     }
 }
 
-/// What one router says about one crash.
+/// One router's report of one crash.
 struct Report {
     std::uint64_t target = 0;
     std::vector<RequestFingerprint> underWay;
@@ -60,8 +60,8 @@
 
 BOOST_AUTO_TEST_SUITE(QuarantineTest)
 
-// Engines end one after the other under one caller's request, each with other requests under way. The copies come to several routers, and
-// a crash is reported by each router that had something there.
+// Engines crash one after the other because of one caller's request, each with other requests in flight. The copies arrive at several
+// routers, and each router that had requests on the target reports the crash.
 BOOST_AUTO_TEST_CASE(holdsBackWhatWasThereAtEachCrash)
 {
     Quarantine quarantine;
@@ -76,9 +76,9 @@
     BOOST_TEST(quarantine.mayKnow(request(0).addressHash()));
 }
 
-// On the recorded day a request that had crashed three targets was sent on nine more times, twice over, although it was held back: whether
-// anything is known of an address is looked up by the first bytes of fingerprints, and half of all fingerprints stood elsewhere in the
-// order, because bytes of 128 and more counted as negative.
+// Guards against a request that is quarantined and not found: on the recorded day, a request that had crashed three targets was sent on
+// nine more times, on two occasions. Requests are looked up by the first bytes of their fingerprint, but bytes of 128 and more were
+// compared as negative, so that half of all fingerprints were not where the lookup expected them.
 BOOST_AUTO_TEST_CASE(whatIsHeldIsFoundWhateverItsBytes)
 {
     for (int number = 0; number < 200; ++number) {
@@ -92,8 +92,8 @@
     }
 }
 
-// A popular request is under way on every engine at any time, so also at each crash of a day on which engines end of something else. It is
-// answered in between, and must not be refused.
+// A popular request is in flight on every engine at any time, and so at each crash of a day on which engines crash for another reason. It
+// receives responses in between and must not be refused.
 BOOST_AUTO_TEST_CASE(anAnswerAcquits)
 {
     Quarantine quarantine;
@@ -107,7 +107,8 @@
     BOOST_TEST(!quarantine.acquit(request(0)));
 }
 
-// Guards against crashes that count although the request was answered after them, because the answer was there before the report.
+// Guards against counting crashes against a request that received a response after them, when that response preceded the report of the
+// crash.
 BOOST_AUTO_TEST_CASE(anAnswerBeforeTheReportOfACrashCounts)
 {
     Quarantine quarantine;
@@ -118,7 +119,7 @@
     }
     BOOST_TEST(!quarantine.knows(request(0)));
     BOOST_TEST((quarantine.answeredSince(request(0), at(s_second / 2)) == at(s_second)));
-    // Crashes after the answer count.
+    // Crashes after the response count.
     for (std::uint64_t target = 4; target <= 6; ++target) {
         BOOST_TEST(!quarantine.answeredSince(request(0), at(s_second + s_second / 2)).has_value());
         quarantine.crashed(target, underWay, at(2 * s_second), s_second / 2);
@@ -126,7 +127,7 @@
     BOOST_TEST(quarantine.heldFor(request(0), at(2 * s_second)).has_value());
 }
 
-// Guards against a request that was answered lately being held back for long by one trial that fell on another crash.
+// Guards against quarantining a request with recent responses for a long time because one trial coincided with another crash.
 BOOST_AUTO_TEST_CASE(eachLateAnswerGrantsAnotherTrial)
 {
     Quarantine quarantine;
@@ -142,8 +143,9 @@
     }
 }
 
-// A caller tries again twice while a poisonous request goes round, and its request is cut twice by chance. The poison is found; much later
-// an engine ends of something else under the same request. Its first two ends are explained, so it is not refused.
+// A caller retries twice while a poisonous request circulates, and its request is interrupted twice by coincidence. The poisonous request
+// is identified. Much later an engine crashes for another reason with the harmless request in flight. The first two crashes are explained,
+// so that request is not quarantined.
 BOOST_AUTO_TEST_CASE(whatThePoisonExplainsDoesNotCountAgainstOthers)
 {
     Quarantine quarantine;
@@ -153,14 +155,14 @@
     BOOST_TEST(quarantine.heldFor(request(0), at({})).has_value());
     quarantine.crashed(4, std::vector{request(1)}, at(60 * s_second));
     BOOST_TEST(!quarantine.heldFor(request(1), at(60 * s_second)).has_value());
-    // Three of its own are its own.
+    // Three crashes that nothing else explains count.
     quarantine.crashed(5, std::vector{request(1)}, at(61 * s_second));
     quarantine.crashed(6, std::vector{request(1)}, at(62 * s_second));
     BOOST_TEST(quarantine.heldFor(request(1), at(62 * s_second)).has_value());
 }
 
-// A request was held back by chance: every target crashed within a second, and it was under way everywhere. No copy of it passes any more,
-// so it could never be acquitted. One is let through on trial.
+// A harmless request is quarantined because every target crashed within a second with a copy of it in flight. As no copy passes any more,
+// it could never be acquitted by a response. One copy is let through as a trial.
 BOOST_AUTO_TEST_CASE(aTrialAcquitsWhatDidNothing)
 {
     Quarantine quarantine;
@@ -168,13 +170,14 @@
     BOOST_TEST(!quarantine.mayTry(request(0), at({})));
     BOOST_TEST(quarantine.mayTry(request(0), at(3 * s_second)));
     quarantine.beginTrial(request(0), at(3 * s_second));
-    // One at a time.
+    // Only one trial at a time.
     BOOST_TEST(!quarantine.mayTry(request(0), at(4 * s_second)));
     BOOST_TEST(quarantine.acquit(request(0)));
     BOOST_TEST(!quarantine.heldFor(request(0), at(4 * s_second)).has_value());
 }
 
-// The cause itself is let through on trial and crashes one target more: it is held back for a while, and then for a day.
+// The cause itself is let through as a trial and crashes one more target. It is quarantined for ten minutes, and after the next trial for a
+// day.
 BOOST_AUTO_TEST_CASE(aTrialKeepsTheCause)
 {
     Quarantine quarantine;
@@ -190,8 +193,8 @@
     }
 }
 
-// The cause and a request that was cut by chance are both held back. On trial at one time, on one target, the cause would take the other
-// one down with it, which then looks like a cause itself.
+// The cause and a harmless request are both quarantined. If both were on trial at the same time on the same target, the cause would take
+// the other request down with it, which would then look like a cause itself.
 BOOST_AUTO_TEST_CASE(oneTrialAtATime)
 {
     Quarantine quarantine;
@@ -202,13 +205,14 @@
     BOOST_TEST(!quarantine.mayTry(request(1), at(4 * s_second)));
     quarantine.crashed(4, std::vector{request(0)}, at(4 * s_second));
     BOOST_TEST(quarantine.mayTry(request(1), at(4 * s_second)));
-    // A peer tries the other one.
+    // A peer starts a trial of the other request.
     quarantine.learn(request(1), {.nextTrial = at(4 * s_second), .terms = 1, .trials = 1}, at(4 * s_second));
     BOOST_TEST(!quarantine.mayTry(request(1), at(5 * s_second)));
     BOOST_TEST(quarantine.acquit(request(1)));
 }
 
-// Copies on trial whose callers leave, or whose answers get lost, decide nothing. Each may have cost a target, so there are few of them.
+// Trials whose callers disconnect or whose responses get lost have no result. Their number is limited, because each may have crashed a
+// target.
 BOOST_AUTO_TEST_CASE(trialsThatDecideNothingAreFew)
 {
     Quarantine quarantine;
@@ -224,7 +228,7 @@
     BOOST_TEST(quarantine.mayTry(request(0), at(std::chrono::minutes(20))));
 }
 
-// All targets are down, so that the copy on trial reached none: it was no trial.
+// All targets are down, so that the trial copy reached none. It does not count as a trial.
 BOOST_AUTO_TEST_CASE(aTrialThatReachedNoTargetIsRepeated)
 {
     Quarantine quarantine;
@@ -236,25 +240,25 @@
     }
 }
 
-// Guards against a trial that comes to nothing because the router that began it ended before its target was known to have crashed.
+// Guards against losing the result of a trial because the router that started it terminated before the crash of its target was detected.
 BOOST_AUTO_TEST_CASE(aPeersTrialIsDecidedByAnyReport)
 {
     Quarantine quarantine;
     holdBack(quarantine);
     const Instant trial = at(4 * s_second);
     quarantine.learn(request(0), {.nextTrial = trial + Quarantine::s_trialTime, .terms = 1, .trials = 1}, trial);
-    // A crash before the trial began, reported late.
+    // A crash from before the trial began, reported late.
     quarantine.crashed(100, std::vector{request(0)}, trial + s_second, s_second + s_second / 2);
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 1U);
     quarantine.crashed(101, std::vector{request(0)}, trial + s_second, s_second / 2);
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 2U);
-    // The peer lives after all, and says the same.
+    // The peer is alive after all and reports the same.
     BOOST_TEST(!quarantine.learn(request(0), {.nextTrial = trial + std::chrono::minutes(10), .terms = 2, .trials = 1}, trial));
     quarantine.crashed(101, std::vector{request(0)}, trial + s_second, s_second / 2);
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 2U);
 }
 
-// Guards against a router that starts knowing nothing of the crashes which it saw before it ended.
+// Guards against a router that forgets, by a restart, the crashes that it saw before.
 BOOST_AUTO_TEST_CASE(aRouterThatStartsLearnsOfCrashes)
 {
     Quarantine peer;
@@ -268,7 +272,7 @@
     BOOST_TEST(started.crashed(3, std::vector{request(0), request(1)}, at(2 * s_second)).size() == 1U);
 }
 
-// A copy that was under way when its like was first held back crashes its target too: that is no reason for a longer term.
+// A copy that was in flight when its request was first quarantined crashes its target too. That does not lengthen the quarantine.
 BOOST_AUTO_TEST_CASE(copiesAlreadyUnderWayChangeNothing)
 {
     Quarantine quarantine;
@@ -289,7 +293,7 @@
     BOOST_TEST(quarantine.entries().empty());
 }
 
-// A caller sends poison that is another one each time, for as long as it likes: a router's memory must not grow with it.
+// A caller may send a different poisonous request each time, for as long as it likes. The memory of a router must not grow with them.
 BOOST_AUTO_TEST_CASE(memoryIsBounded)
 {
     Quarantine quarantine;
@@ -304,11 +308,11 @@
     BOOST_TEST(quarantine.suspects() <= quarantine.options().mostSuspects);
     BOOST_TEST(quarantine.suspects() >= quarantine.options().mostSuspects / 2);
     BOOST_TEST(quarantine.entries().size() == quarantine.options().mostEntries);
-    // The newest are the ones that are kept.
+    // The newest entries are kept.
     BOOST_TEST(quarantine.heldFor(request(19'996), now).has_value());
 }
 
-// A peer's word and the store's: more terms stand over fewer, and of equal ones the later trial, whichever comes first.
+// State from a peer or the store: more terms override fewer, and of equal terms the later trial counts, in whichever order they arrive.
 BOOST_AUTO_TEST_CASE(learnsFromOthers)
 {
     Quarantine quarantine;
@@ -335,8 +339,8 @@
     BOOST_TEST((Quarantine::boundedTerm(1500) == std::chrono::milliseconds(1500)));
 }
 
-// Reports of the same crashes reach each router in an order of its own, some twice. All hold back the same requests: those that were under
-// way at three crashes or more.
+// Reports of the same crashes reach each router in a different order, some of them twice. All routers quarantine the same requests: those
+// that were in flight at three crashes or more.
 BOOST_AUTO_TEST_CASE(routersAgreeWhateverTheOrderOfReports)
 {
     const bool held = rc::check("the verdict follows from the set of reports", [] {
--- a/src/tests/requestfingerprinttest.cpp
+++ b/src/tests/requestfingerprinttest.cpp
@@ -25,7 +25,7 @@
     BOOST_TEST(RequestFingerprint::of(source).addressHash() == RequestFingerprint::addressHash(source));
 }
 
-// A caller adds a query that defeats caches, or comes by another name of the host: at its core the request is the same one.
+// A caller adds a query that bypasses caches, or uses another name of the host. The core fingerprint is still the same.
 BOOST_AUTO_TEST_CASE(coreLeavesOutWhatMayChange)
 {
     const FingerprintSource source{
@@ -47,7 +47,7 @@
     BOOST_TEST((RequestFingerprint::ofCore({.team = "t"}) != RequestFingerprint::of({.team = "t"})));
 }
 
-// A team could otherwise move letters from one field to the next until its request had the fingerprint of another one.
+// Guards against a team that moves characters from one field to the next until its request has the fingerprint of another one.
 BOOST_AUTO_TEST_CASE(fieldsDoNotRunTogether)
 {
     BOOST_TEST((RequestFingerprint::of({.team = "ab", .method = "c"}) != RequestFingerprint::of({.team = "a", .method = "bc"})));
