--- a/src/tests/poisonfleetpropertytest.cpp
+++ b/src/tests/poisonfleetpropertytest.cpp
@@ -158,8 +158,8 @@
     }
 }
 
-// Nearly all troubles at once in small fleets: most callers disconnect early, a fifth of the notices gets lost, ports close a second late, the
-// few targets crash for other reasons every other second, and the few routers die every few seconds and lose all suspects.
+// Nearly all troubles at once in small fleets: most callers disconnect early, a fifth of the notices gets lost, ports close a second late,
+// the few targets crash for other reasons every other second, and the few routers die every few seconds and lose all suspects.
 BOOST_AUTO_TEST_CASE(nearlyEverythingAtOnce)
 {
     for (const Day &day :
