--- a/src/quarantine/crashwatch.cpp
+++ b/src/quarantine/crashwatch.cpp
@@ -25,7 +25,7 @@
 
 }
 
-CrashWatch::Step CrashWatch::brokeOff(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now)
+CrashWatch::Action CrashWatch::brokeOff(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now)
 {
     const auto [found, first] = m_targets.try_emplace(incarnation);
     Broken &broken = found->second;
@@ -33,12 +33,12 @@
     broken.last = now;
     m_lastBroken = now;
     if (broken.crashed) {
-        return Step::Report;
+        return Action::Report;
     }
     if (broken.fingerprints.size() < s_mostUnderWay) {
         broken.fingerprints.insert(broken.fingerprints.end(), fingerprints.begin(), fingerprints.end());
     }
-    return first ? Step::Ask : Step::Wait;
+    return first ? Action::Probe : Action::Wait;
 }
 
 void CrashWatch::left(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now)
--- a/src/quarantine/crashwatch.h
+++ b/src/quarantine/crashwatch.h
@@ -20,17 +20,17 @@
 {
 public:
     /// What the caller must do about an interrupted attempt.
-    enum class Step {
+    enum class Action {
         /// Nothing: the target is already being probed.
         Wait,
         /// Start probing the target with new connections, and report the result to `refused` or `alive`.
-        Ask,
+        Probe,
         /// The target is known to have crashed: report this request too.
         Report,
     };
 
     /// Records that the connection of an attempt closed before the response was complete.
-    Step brokeOff(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now);
+    Action brokeOff(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now);
 
     /// Records that a caller disconnected, so that this router cancelled the request. The target may keep processing it for a moment and
     /// crash.
--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -67,12 +67,12 @@
         return;
     }
     switch (m_watch.brokeOff(incarnation, fingerprints, steadyNow())) {
-    case CrashWatch::Step::Wait:
+    case CrashWatch::Action::Wait:
         break;
-    case CrashWatch::Step::Ask:
+    case CrashWatch::Action::Probe:
         boost::asio::co_spawn(m_executor, watch(incarnation, address), boost::asio::detached);
         break;
-    case CrashWatch::Step::Report:
+    case CrashWatch::Action::Report:
         report({.target = stableHash(incarnation), .underWay = {fingerprints.begin(), fingerprints.end()}, .ago = sinceBroken(incarnation)},
                incarnation);
         break;
--- a/src/tests/crashwatchtest.cpp
+++ b/src/tests/crashwatchtest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-using Step = CrashWatch::Step;
+using Action = CrashWatch::Action;
 
 FingerprintPair request(const std::string &body)
 {
@@ -38,11 +38,11 @@
 BOOST_AUTO_TEST_CASE(aTargetThatRefusesHasCrashed)
 {
     CrashWatch watch;
-    BOOST_TEST((watch.brokeOff("target", request("a"), s_now) == Step::Ask));
-    BOOST_TEST((watch.brokeOff("target", request("b"), s_now) == Step::Wait));
-    BOOST_TEST((watch.brokeOff("other", request("c"), s_now) == Step::Ask));
+    BOOST_TEST((watch.brokeOff("target", request("a"), s_now) == Action::Probe));
+    BOOST_TEST((watch.brokeOff("target", request("b"), s_now) == Action::Wait));
+    BOOST_TEST((watch.brokeOff("other", request("c"), s_now) == Action::Probe));
     BOOST_TEST((watch.refused("target", s_now) == all({request("a"), request("b")})));
-    BOOST_TEST((watch.brokeOff("target", request("d"), s_now) == Step::Report));
+    BOOST_TEST((watch.brokeOff("target", request("d"), s_now) == Action::Report));
 }
 
 // Guards against blaming requests for a lost response or a reset connection of a target that stays alive, also when that target crashes for
@@ -52,7 +52,7 @@
     CrashWatch watch;
     watch.brokeOff("target", request("a"), s_now);
     watch.alive("target");
-    BOOST_TEST((watch.brokeOff("target", request("b"), s_now) == Step::Ask));
+    BOOST_TEST((watch.brokeOff("target", request("b"), s_now) == Action::Probe));
     BOOST_TEST((watch.refused("target", s_now) == all({request("b")})));
 }
 
@@ -117,7 +117,7 @@
     watch.brokeOff("target", request("a"), s_now);
     watch.refused("target", s_now);
     watch.expire(s_now + std::chrono::minutes(1));
-    BOOST_TEST((watch.brokeOff("target", request("b"), s_now + std::chrono::minutes(1)) == Step::Ask));
+    BOOST_TEST((watch.brokeOff("target", request("b"), s_now + std::chrono::minutes(1)) == Action::Probe));
 }
 
 // Guards against losing the requests that a router had in flight on a crashed target, when the router terminates before the port of the
--- a/src/tests/poisonfleet.cpp
+++ b/src/tests/poisonfleet.cpp
@@ -285,12 +285,12 @@
 void PoisonFleet::brokeOff(const Running &running, const std::string &life)
 {
     switch (m_routers[running.router].watch.brokeOff(life, running.request, at(m_now))) {
-    case CrashWatch::Step::Wait:
+    case CrashWatch::Action::Wait:
         break;
-    case CrashWatch::Step::Ask:
+    case CrashWatch::Action::Probe:
         ask(running.router, life, 0);
         break;
-    case CrashWatch::Step::Report:
+    case CrashWatch::Action::Report:
         report(running.router, life, {running.request.begin(), running.request.end()});
         break;
     }
