--- a/src/quarantine/crashwatch.cpp
+++ b/src/quarantine/crashwatch.cpp
@@ -25,7 +25,7 @@
 
 }
 
-CrashWatch::Action CrashWatch::brokeOff(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now)
+CrashWatch::Action CrashWatch::attemptInterrupted(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now)
 {
     const auto [found, first] = m_targets.try_emplace(incarnation);
     Broken &broken = found->second;
@@ -41,7 +41,7 @@
     return first ? Action::Probe : Action::Wait;
 }
 
-void CrashWatch::left(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now)
+void CrashWatch::callerDisconnected(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now)
 {
     std::vector<Left> &left = m_left[stableHash(incarnation)];
     if (left.size() < s_mostLeft) {
@@ -58,7 +58,7 @@
     }
 }
 
-std::vector<RequestFingerprint> CrashWatch::refused(const std::string &incarnation, Instant now)
+std::vector<RequestFingerprint> CrashWatch::connectionRefused(const std::string &incarnation, Instant now)
 {
     Broken &broken = m_targets[incarnation];
     broken.crashed = true;
@@ -68,7 +68,7 @@
     return underWay;
 }
 
-std::vector<RequestFingerprint> CrashWatch::crashedElsewhere(std::uint64_t target, Instant now)
+std::vector<RequestFingerprint> CrashWatch::takeCancelled(std::uint64_t target, Instant now)
 {
     std::vector<RequestFingerprint> underWay;
     if (const auto found = m_left.find(target); found != m_left.end()) {
@@ -77,7 +77,7 @@
     return underWay;
 }
 
-std::vector<RequestFingerprint> CrashWatch::takeUntold(const std::string &incarnation)
+std::vector<RequestFingerprint> CrashWatch::takeUnannounced(const std::string &incarnation)
 {
     const auto found = m_targets.find(incarnation);
     if (found == m_targets.end()) {
@@ -88,7 +88,8 @@
     return {first, all.end()};
 }
 
-std::vector<RequestFingerprint> CrashWatch::peerBrokeOff(std::uint64_t target, std::vector<RequestFingerprint> fingerprints, Instant now)
+std::vector<RequestFingerprint>
+CrashWatch::peerAttemptsInterrupted(std::uint64_t target, std::vector<RequestFingerprint> fingerprints, Instant now)
 {
     PeersBroken &broken = m_peers[target];
     m_lastBroken = now;
@@ -105,7 +106,7 @@
     return {};
 }
 
-std::vector<RequestFingerprint> CrashWatch::takePeers(std::uint64_t target, Instant now)
+std::vector<RequestFingerprint> CrashWatch::confirmCrash(std::uint64_t target, Instant now)
 {
     PeersBroken &broken = m_peers[target];
     m_lastBroken = now;
@@ -115,9 +116,9 @@
     return recent ? underWay : std::vector<RequestFingerprint>();
 }
 
-std::vector<CrashWatch::BrokenOff> CrashWatch::undecided(Instant now) const
+std::vector<CrashWatch::UnconfirmedCrash> CrashWatch::unconfirmedCrashes(Instant now) const
 {
-    std::vector<BrokenOff> all;
+    std::vector<UnconfirmedCrash> all;
     for (const auto &[incarnation, broken] : m_targets) {
         if (!broken.crashed) {
             all.push_back({.target = stableHash(incarnation), .underWay = broken.fingerprints, .since = broken.first});
@@ -131,18 +132,18 @@
     return all;
 }
 
-Instant CrashWatch::brokenSince(const std::string &incarnation, Instant now) const
+Instant CrashWatch::interruptedSince(const std::string &incarnation, Instant now) const
 {
     const auto found = m_targets.find(incarnation);
     return found != m_targets.end() ? found->second.first : now;
 }
 
-bool CrashWatch::alert(Instant now) const
+bool CrashWatch::recentlyInterrupted(Instant now) const
 {
     return m_lastBroken && now - *m_lastBroken <= s_alertTime;
 }
 
-void CrashWatch::alive(const std::string &incarnation)
+void CrashWatch::targetAlive(const std::string &incarnation)
 {
     m_targets.erase(incarnation);
 }
--- a/src/quarantine/crashwatch.h
+++ b/src/quarantine/crashwatch.h
@@ -23,40 +23,41 @@
     enum class Action {
         /// Nothing: the target is already being probed.
         Wait,
-        /// Start probing the target with new connections, and report the result to `refused` or `alive`.
+        /// Start probing the target with new connections, and report the result to `connectionRefused` or `targetAlive`.
         Probe,
         /// The target is known to have crashed: report this request too.
         Report,
     };
 
     /// Records that the connection of an attempt closed before the response was complete.
-    Action brokeOff(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now);
+    Action attemptInterrupted(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now);
 
     /// Records that a caller disconnected, so that this router cancelled the request. The target may keep processing it for a moment and
     /// crash.
-    void left(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now);
+    void callerDisconnected(const std::string &incarnation, const FingerprintPair &fingerprints, Instant now);
 
     /// Records that the target refuses connections, so it has crashed. Returns the requests of this router that were in flight there.
-    std::vector<RequestFingerprint> refused(const std::string &incarnation, Instant now);
+    std::vector<RequestFingerprint> connectionRefused(const std::string &incarnation, Instant now);
 
     /// Takes note of a crash that a peer detected; `target` is the hash of the target's incarnation. Returns the requests that this router
     /// cancelled there shortly before.
-    std::vector<RequestFingerprint> crashedElsewhere(std::uint64_t target, Instant now);
+    std::vector<RequestFingerprint> takeCancelled(std::uint64_t target, Instant now);
 
     /// Returns the requests that were interrupted on the target since the last call. They are announced to the peers at once, because this
     /// router may terminate before it knows whether the target crashed.
-    std::vector<RequestFingerprint> takeUntold(const std::string &incarnation);
+    std::vector<RequestFingerprint> takeUnannounced(const std::string &incarnation);
 
     /// Records that requests of a peer were interrupted on a target, which may have crashed; `target` is the hash of the target's
     /// incarnation. If the target is already known to have crashed, returns these requests; else returns none.
-    std::vector<RequestFingerprint> peerBrokeOff(std::uint64_t target, std::vector<RequestFingerprint> fingerprints, Instant now);
+    std::vector<RequestFingerprint>
+    peerAttemptsInterrupted(std::uint64_t target, std::vector<RequestFingerprint> fingerprints, Instant now);
 
     /// Records that the target has crashed, as detected by this router or a peer; `target` is the hash of the target's incarnation. Returns
     /// the requests that peers had in flight there.
-    std::vector<RequestFingerprint> takePeers(std::uint64_t target, Instant now);
+    std::vector<RequestFingerprint> confirmCrash(std::uint64_t target, Instant now);
 
     /// The requests that were interrupted on a target which may have crashed.
-    struct BrokenOff {
+    struct UnconfirmedCrash {
         /// Hash of the target's incarnation.
         std::uint64_t target = 0;
         std::vector<RequestFingerprint> underWay;
@@ -65,17 +66,17 @@
 
     /// Returns the interrupted requests of this router and its peers on targets for which a crash is neither confirmed nor ruled out. A
     /// router that has just started asks for them.
-    std::vector<BrokenOff> undecided(Instant now) const;
+    std::vector<UnconfirmedCrash> unconfirmedCrashes(Instant now) const;
 
     /// Returns the time of the first interrupted attempt on a target that is being probed or has crashed, which is taken as the time of the
     /// crash. Returns `now` for any other target.
-    Instant brokenSince(const std::string &incarnation, Instant now) const;
+    Instant interruptedSince(const std::string &incarnation, Instant now) const;
 
     /// Returns true if requests of this router or a peer were interrupted recently on any target, so that a target may have crashed.
-    bool alert(Instant now) const;
+    bool recentlyInterrupted(Instant now) const;
 
     /// Records that the target accepts connections, or that probing it gave no clear result.
-    void alive(const std::string &incarnation);
+    void targetAlive(const std::string &incarnation);
 
     /// Forgets targets that crashed a while ago. Call this periodically.
     void expire(Instant now);
--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -66,7 +66,7 @@
     if (m_expectedToEnd(incarnation)) {
         return;
     }
-    switch (m_watch.brokeOff(incarnation, fingerprints, steadyNow())) {
+    switch (m_watch.attemptInterrupted(incarnation, fingerprints, steadyNow())) {
     case CrashWatch::Action::Wait:
         break;
     case CrashWatch::Action::Probe:
@@ -91,14 +91,15 @@
         const bool refused = co_await refuses(address);
         if (refused) {
             co_await pause(s_gatherTime);
-            report(
-                {.target = stableHash(incarnation), .underWay = m_watch.refused(incarnation, steadyNow()), .ago = sinceBroken(incarnation)},
-                incarnation);
+            report({.target = stableHash(incarnation),
+                    .underWay = m_watch.connectionRefused(incarnation, steadyNow()),
+                    .ago = sinceBroken(incarnation)},
+                   incarnation);
             co_return;
         }
         tellBrokenOff(incarnation);
     }
-    m_watch.alive(incarnation);
+    m_watch.targetAlive(incarnation);
 }
 
 boost::asio::awaitable<bool> PoisonGuard::refuses(std::string address)
@@ -118,13 +119,13 @@
         brokeOff(incarnation, address, fingerprints);
         return;
     }
-    m_watch.left(incarnation, fingerprints, steadyNow());
+    m_watch.callerDisconnected(incarnation, fingerprints, steadyNow());
 }
 
 void PoisonGuard::tellBrokenOff(const std::string &incarnation)
 {
-    std::vector<RequestFingerprint> untold = m_watch.takeUntold(incarnation);
-    const Instant since = m_watch.brokenSince(incarnation, steadyNow());
+    std::vector<RequestFingerprint> untold = m_watch.takeUnannounced(incarnation);
+    const Instant since = m_watch.interruptedSince(incarnation, steadyNow());
     untold = m_quarantine.unanswered(untold, since);
     if (!untold.empty()) {
         m_tellCrash({.target = stableHash(incarnation), .underWay = std::move(untold), .crashed = false, .ago = sinceBroken(incarnation)});
@@ -134,7 +135,7 @@
 Duration PoisonGuard::sinceBroken(const std::string &incarnation) const
 {
     const Instant now = steadyNow();
-    return now - m_watch.brokenSince(incarnation, now);
+    return now - m_watch.interruptedSince(incarnation, now);
 }
 
 void PoisonGuard::report(CrashReport crash, std::string_view target)
@@ -143,7 +144,7 @@
     m_metrics.count("crash_reports_total", {.name = "from", .value = "here"});
     crash.underWay = m_quarantine.unanswered(crash.underWay, steadyNow() - crash.ago);
     m_tellCrash(crash);
-    const std::vector<RequestFingerprint> peers = m_watch.takePeers(crash.target, steadyNow());
+    const std::vector<RequestFingerprint> peers = m_watch.confirmCrash(crash.target, steadyNow());
     crash.underWay.insert(crash.underWay.end(), peers.begin(), peers.end());
     blame(crash, target);
 }
@@ -186,7 +187,7 @@
 
 bool PoisonGuard::wantsAnswers(std::uint64_t addressHash) const
 {
-    return m_watch.alert(steadyNow()) || m_quarantine.mayKnow(addressHash);
+    return m_watch.recentlyInterrupted(steadyNow()) || m_quarantine.mayKnow(addressHash);
 }
 
 void PoisonGuard::acquit(const RequestFingerprint &fingerprint, Instant answered)
@@ -262,7 +263,7 @@
     for (Quarantine::KnownCrash &crash : m_quarantine.knownCrashes()) {
         reports.push_back({.target = crash.target, .underWay = std::move(crash.underWay), .ago = now - crash.at});
     }
-    for (CrashWatch::BrokenOff &broken : m_watch.undecided(now)) {
+    for (CrashWatch::UnconfirmedCrash &broken : m_watch.unconfirmedCrashes(now)) {
         reports.push_back({.target = broken.target, .underWay = std::move(broken.underWay), .crashed = false, .ago = now - broken.since});
     }
     return reports;
@@ -273,17 +274,18 @@
     constexpr std::string_view seenBy = "reported by a peer";
     const Instant now = steadyNow();
     if (!report.crashed) {
-        if (const std::vector<RequestFingerprint> known = m_watch.peerBrokeOff(report.target, report.underWay, now); !known.empty()) {
+        if (const std::vector<RequestFingerprint> known = m_watch.peerAttemptsInterrupted(report.target, report.underWay, now);
+            !known.empty()) {
             blame({.target = report.target, .underWay = known, .ago = report.ago}, seenBy);
         }
         return;
     }
     m_metrics.count("crash_reports_total", {.name = "from", .value = "peer"});
-    if (std::vector<RequestFingerprint> left = m_watch.crashedElsewhere(report.target, now); !left.empty()) {
+    if (std::vector<RequestFingerprint> left = m_watch.takeCancelled(report.target, now); !left.empty()) {
         this->report({.target = report.target, .underWay = std::move(left), .ago = report.ago}, seenBy);
     }
     // The peer that had these requests in flight may have terminated since it announced them, so that no other router reports them.
-    blame({.target = report.target, .underWay = m_watch.takePeers(report.target, now), .ago = report.ago}, seenBy);
+    blame({.target = report.target, .underWay = m_watch.confirmCrash(report.target, now), .ago = report.ago}, seenBy);
     tellAnswered(report);
     // The router whose crash detection completes the evidence tells the peers and the store. Here the request is only quarantined sooner.
     for (const RequestFingerprint &fingerprint : m_quarantine.crashed(report.target, report.underWay, now, report.ago)) {
--- a/src/tests/crashwatchtest.cpp
+++ b/src/tests/crashwatchtest.cpp
@@ -38,11 +38,11 @@
 BOOST_AUTO_TEST_CASE(aTargetThatRefusesHasCrashed)
 {
     CrashWatch watch;
-    BOOST_TEST((watch.brokeOff("target", request("a"), s_now) == Action::Probe));
-    BOOST_TEST((watch.brokeOff("target", request("b"), s_now) == Action::Wait));
-    BOOST_TEST((watch.brokeOff("other", request("c"), s_now) == Action::Probe));
-    BOOST_TEST((watch.refused("target", s_now) == all({request("a"), request("b")})));
-    BOOST_TEST((watch.brokeOff("target", request("d"), s_now) == Action::Report));
+    BOOST_TEST((watch.attemptInterrupted("target", request("a"), s_now) == Action::Probe));
+    BOOST_TEST((watch.attemptInterrupted("target", request("b"), s_now) == Action::Wait));
+    BOOST_TEST((watch.attemptInterrupted("other", request("c"), s_now) == Action::Probe));
+    BOOST_TEST((watch.connectionRefused("target", s_now) == all({request("a"), request("b")})));
+    BOOST_TEST((watch.attemptInterrupted("target", request("d"), s_now) == Action::Report));
 }
 
 // Guards against blaming requests for a lost response or a reset connection of a target that stays alive, also when that target crashes for
@@ -50,10 +50,10 @@
 BOOST_AUTO_TEST_CASE(aTargetThatAcceptsLives)
 {
     CrashWatch watch;
-    watch.brokeOff("target", request("a"), s_now);
-    watch.alive("target");
-    BOOST_TEST((watch.brokeOff("target", request("b"), s_now) == Action::Probe));
-    BOOST_TEST((watch.refused("target", s_now) == all({request("b")})));
+    watch.attemptInterrupted("target", request("a"), s_now);
+    watch.targetAlive("target");
+    BOOST_TEST((watch.attemptInterrupted("target", request("b"), s_now) == Action::Probe));
+    BOOST_TEST((watch.connectionRefused("target", s_now) == all({request("b")})));
 }
 
 // Guards against a caller with a short timeout never being seen at a crash: it disconnects, this router cancels its request, and the target
@@ -61,63 +61,63 @@
 BOOST_AUTO_TEST_CASE(whatWasJustLeftCounts)
 {
     CrashWatch watch;
-    watch.left("target", request("long ago"), s_now - std::chrono::seconds(5));
-    watch.left("target", request("just now"), s_now - std::chrono::milliseconds(300));
-    watch.left("other", request("elsewhere"), s_now);
-    watch.brokeOff("target", request("a"), s_now);
+    watch.callerDisconnected("target", request("long ago"), s_now - std::chrono::seconds(5));
+    watch.callerDisconnected("target", request("just now"), s_now - std::chrono::milliseconds(300));
+    watch.callerDisconnected("other", request("elsewhere"), s_now);
+    watch.attemptInterrupted("target", request("a"), s_now);
     // The target is found to refuse connections some time after its crash.
-    BOOST_TEST((watch.refused("target", s_now + std::chrono::seconds(2)) == all({request("a"), request("just now")})));
-    BOOST_TEST(watch.refused("target", s_now + std::chrono::seconds(2)).empty());
+    BOOST_TEST((watch.connectionRefused("target", s_now + std::chrono::seconds(2)) == all({request("a"), request("just now")})));
+    BOOST_TEST(watch.connectionRefused("target", s_now + std::chrono::seconds(2)).empty());
 }
 
 // This router had no other request on the target, so that no interruption of its own shows the crash. A peer reports it.
 BOOST_AUTO_TEST_CASE(whatWasJustLeftCountsByAPeersWord)
 {
     CrashWatch watch;
-    watch.left("target", request("a"), s_now);
-    BOOST_TEST(watch.crashedElsewhere(stableHash("other"), s_now).empty());
-    BOOST_TEST((watch.crashedElsewhere(stableHash("target"), s_now + std::chrono::milliseconds(200)) == all({request("a")})));
-    BOOST_TEST(watch.crashedElsewhere(stableHash("target"), s_now + std::chrono::milliseconds(200)).empty());
+    watch.callerDisconnected("target", request("a"), s_now);
+    BOOST_TEST(watch.takeCancelled(stableHash("other"), s_now).empty());
+    BOOST_TEST((watch.takeCancelled(stableHash("target"), s_now + std::chrono::milliseconds(200)) == all({request("a")})));
+    BOOST_TEST(watch.takeCancelled(stableHash("target"), s_now + std::chrono::milliseconds(200)).empty());
 }
 
 // Guards against forgetting responses that arrive between a crash and its report.
 BOOST_AUTO_TEST_CASE(watchesAnswersAfterRequestsBrokeOff)
 {
     CrashWatch watch;
-    BOOST_TEST(!watch.alert(s_now));
-    watch.brokeOff("target", request("a"), s_now);
-    watch.brokeOff("target", request("b"), s_now + std::chrono::milliseconds(5));
-    BOOST_TEST((watch.brokenSince("target", s_now + std::chrono::seconds(1)) == s_now));
-    BOOST_TEST((watch.brokenSince("other", s_now + std::chrono::seconds(1)) == s_now + std::chrono::seconds(1)));
-    BOOST_TEST(watch.alert(s_now + std::chrono::seconds(30)));
-    BOOST_TEST(!watch.alert(s_now + std::chrono::minutes(10)));
+    BOOST_TEST(!watch.recentlyInterrupted(s_now));
+    watch.attemptInterrupted("target", request("a"), s_now);
+    watch.attemptInterrupted("target", request("b"), s_now + std::chrono::milliseconds(5));
+    BOOST_TEST((watch.interruptedSince("target", s_now + std::chrono::seconds(1)) == s_now));
+    BOOST_TEST((watch.interruptedSince("other", s_now + std::chrono::seconds(1)) == s_now + std::chrono::seconds(1)));
+    BOOST_TEST(watch.recentlyInterrupted(s_now + std::chrono::seconds(30)));
+    BOOST_TEST(!watch.recentlyInterrupted(s_now + std::chrono::minutes(10)));
     CrashWatch peer;
-    peer.peerBrokeOff(stableHash("target"), all({request("a")}), s_now);
-    BOOST_TEST(peer.alert(s_now));
+    peer.peerAttemptsInterrupted(stableHash("target"), all({request("a")}), s_now);
+    BOOST_TEST(peer.recentlyInterrupted(s_now));
 }
 
 // Guards against a router that starts without knowledge of requests interrupted a moment ago.
 BOOST_AUTO_TEST_CASE(tellsARouterThatStartsWhatIsUndecided)
 {
     CrashWatch watch;
-    watch.brokeOff("here", request("a"), s_now);
-    watch.peerBrokeOff(stableHash("elsewhere"), all({request("b")}), s_now);
-    watch.brokeOff("crashed", request("c"), s_now);
-    watch.refused("crashed", s_now);
-    const std::vector<CrashWatch::BrokenOff> undecided = watch.undecided(s_now + std::chrono::seconds(1));
-    BOOST_REQUIRE(undecided.size() == 2U);
-    BOOST_TEST(undecided.front().target == stableHash("here"));
-    BOOST_TEST((undecided.back().underWay == all({request("b")})));
-    BOOST_TEST(watch.undecided(s_now + std::chrono::seconds(10)).size() == 1U);
+    watch.attemptInterrupted("here", request("a"), s_now);
+    watch.peerAttemptsInterrupted(stableHash("elsewhere"), all({request("b")}), s_now);
+    watch.attemptInterrupted("crashed", request("c"), s_now);
+    watch.connectionRefused("crashed", s_now);
+    const std::vector<CrashWatch::UnconfirmedCrash> unconfirmed = watch.unconfirmedCrashes(s_now + std::chrono::seconds(1));
+    BOOST_REQUIRE(unconfirmed.size() == 2U);
+    BOOST_TEST(unconfirmed.front().target == stableHash("here"));
+    BOOST_TEST((unconfirmed.back().underWay == all({request("b")})));
+    BOOST_TEST(watch.unconfirmedCrashes(s_now + std::chrono::seconds(10)).size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(oldCrashesAreForgotten)
 {
     CrashWatch watch;
-    watch.brokeOff("target", request("a"), s_now);
-    watch.refused("target", s_now);
+    watch.attemptInterrupted("target", request("a"), s_now);
+    watch.connectionRefused("target", s_now);
     watch.expire(s_now + std::chrono::minutes(1));
-    BOOST_TEST((watch.brokeOff("target", request("b"), s_now + std::chrono::minutes(1)) == Action::Probe));
+    BOOST_TEST((watch.attemptInterrupted("target", request("b"), s_now + std::chrono::minutes(1)) == Action::Probe));
 }
 
 // Guards against losing the requests that a router had in flight on a crashed target, when the router terminates before the port of the
@@ -125,16 +125,16 @@
 BOOST_AUTO_TEST_CASE(peersKnowWhatBrokeOffAtACrash)
 {
     CrashWatch watch;
-    watch.brokeOff("target", request("a"), s_now);
-    BOOST_TEST((watch.takeUntold("target") == all({request("a")})));
-    BOOST_TEST(watch.takeUntold("target").empty());
-    watch.brokeOff("target", request("b"), s_now);
-    BOOST_TEST((watch.takeUntold("target") == all({request("b")})));
+    watch.attemptInterrupted("target", request("a"), s_now);
+    BOOST_TEST((watch.takeUnannounced("target") == all({request("a")})));
+    BOOST_TEST(watch.takeUnannounced("target").empty());
+    watch.attemptInterrupted("target", request("b"), s_now);
+    BOOST_TEST((watch.takeUnannounced("target") == all({request("b")})));
     CrashWatch peer;
     const std::uint64_t target = stableHash("target");
-    BOOST_TEST(peer.peerBrokeOff(target, all({request("a")}), s_now).empty());
-    BOOST_TEST((peer.takePeers(target, s_now) == all({request("a")})));
-    BOOST_TEST((peer.peerBrokeOff(target, all({request("b")}), s_now) == all({request("b")})));
+    BOOST_TEST(peer.peerAttemptsInterrupted(target, all({request("a")}), s_now).empty());
+    BOOST_TEST((peer.confirmCrash(target, s_now) == all({request("a")})));
+    BOOST_TEST((peer.peerAttemptsInterrupted(target, all({request("b")}), s_now) == all({request("b")})));
 }
 
 // Guards against blaming requests for a crash that came long after the connection of a peer was reset.
@@ -142,8 +142,8 @@
 {
     CrashWatch peer;
     const std::uint64_t target = stableHash("target");
-    peer.peerBrokeOff(target, all({request("a")}), s_now);
-    BOOST_TEST(peer.takePeers(target, s_now + std::chrono::seconds(5)).empty());
+    peer.peerAttemptsInterrupted(target, all({request("a")}), s_now);
+    BOOST_TEST(peer.confirmCrash(target, s_now + std::chrono::seconds(5)).empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/poisonfleet.cpp
+++ b/src/tests/poisonfleet.cpp
@@ -243,7 +243,8 @@
 void PoisonFleet::acquit(std::size_t number, const FingerprintPair &request)
 {
     Router &router = m_routers[number];
-    if (!router.watch.alert(at(m_now)) && !router.quarantine.knows(request.front()) && !router.quarantine.knows(request.back())) {
+    if (!router.watch.recentlyInterrupted(at(m_now)) && !router.quarantine.knows(request.front())
+        && !router.quarantine.knows(request.back())) {
         return;
     }
     for (const RequestFingerprint &fingerprint : request) {
@@ -284,7 +285,7 @@
 
 void PoisonFleet::brokeOff(const Running &running, const std::string &life)
 {
-    switch (m_routers[running.router].watch.brokeOff(life, running.request, at(m_now))) {
+    switch (m_routers[running.router].watch.attemptInterrupted(life, running.request, at(m_now))) {
     case CrashWatch::Action::Wait:
         break;
     case CrashWatch::Action::Probe:
@@ -303,7 +304,7 @@
         const auto crashed = m_crashedAt.find(life);
         if (crashed != m_crashedAt.end() && m_now - crashed->second >= m_day.lingering) {
             after(20, [this, router, life] {
-                report(router, life, m_routers[router].watch.refused(life, at(m_now)));
+                report(router, life, m_routers[router].watch.connectionRefused(life, at(m_now)));
             });
             return;
         }
@@ -311,7 +312,7 @@
         if (step + 1 < std::size(s_askDelays)) {
             ask(router, life, step + 1);
         } else {
-            m_routers[router].watch.alive(life);
+            m_routers[router].watch.targetAlive(life);
         }
     });
 }
@@ -324,8 +325,8 @@
 void PoisonFleet::tellBrokenOff(std::size_t router, const std::string &life)
 {
     Router &teller = m_routers[router];
-    const Instant crash = teller.watch.brokenSince(life, at(m_now));
-    const std::vector<RequestFingerprint> untold = teller.quarantine.unanswered(teller.watch.takeUntold(life), crash);
+    const Instant crash = teller.watch.interruptedSince(life, at(m_now));
+    const std::vector<RequestFingerprint> untold = teller.quarantine.unanswered(teller.watch.takeUnannounced(life), crash);
     tellOthers(router, [this, target = stableHash(life), untold, crash](Router &other) {
         takeBrokenOff(other, target, untold, crash);
     });
@@ -341,7 +342,7 @@
                     takeReport(asker, crash.target, crash.underWay, crash.at);
                 });
             }
-            for (const CrashWatch::BrokenOff &broken : other.watch.undecided(at(m_now))) {
+            for (const CrashWatch::UnconfirmedCrash &broken : other.watch.unconfirmedCrashes(at(m_now))) {
                 sendTo(number, [this, broken](Router &asker) {
                     takeBrokenOff(asker, broken.target, broken.underWay, broken.since);
                 });
@@ -353,26 +354,26 @@
 void PoisonFleet::takeReport(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant crash)
 {
     const std::size_t number = numberOf(router);
-    decide(number, target, router.watch.crashedElsewhere(target, at(m_now)), crash);
-    decide(number, target, router.watch.takePeers(target, at(m_now)), crash);
+    decide(number, target, router.watch.takeCancelled(target, at(m_now)), crash);
+    decide(number, target, router.watch.confirmCrash(target, at(m_now)), crash);
     tellAnsweredSince(number, underWay, crash);
     router.quarantine.crashed(target, underWay, at(m_now), at(m_now) - crash);
 }
 
 void PoisonFleet::takeBrokenOff(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant since)
 {
-    decide(numberOf(router), target, router.watch.peerBrokeOff(target, underWay, at(m_now)), since);
+    decide(numberOf(router), target, router.watch.peerAttemptsInterrupted(target, underWay, at(m_now)), since);
 }
 
 void PoisonFleet::report(std::size_t router, const std::string &life, std::vector<RequestFingerprint> underWay)
 {
     const std::uint64_t target = stableHash(life);
-    const Instant crash = m_routers[router].watch.brokenSince(life, at(m_now));
+    const Instant crash = m_routers[router].watch.interruptedSince(life, at(m_now));
     underWay = m_routers[router].quarantine.unanswered(underWay, crash);
     tellOthers(router, [this, target, underWay, crash](Router &other) {
         takeReport(other, target, underWay, crash);
     });
-    const std::vector<RequestFingerprint> peers = m_routers[router].watch.takePeers(target, at(m_now));
+    const std::vector<RequestFingerprint> peers = m_routers[router].watch.confirmCrash(target, at(m_now));
     underWay.insert(underWay.end(), peers.begin(), peers.end());
     decide(router, target, underWay, crash);
 }
