--- a/src/quarantine/crashwatch.h
+++ b/src/quarantine/crashwatch.h
@@ -82,35 +82,35 @@
     void expire(Instant now);
 
 private:
-    struct Broken {
+    struct InterruptedTarget {
         std::vector<RequestFingerprint> fingerprints;
         /// Number of fingerprints, from the first one, that were announced to the peers.
-        std::size_t told = 0;
+        std::size_t announced = 0;
         bool crashed = false;
         Instant first{};
         Instant last{};
     };
 
     /// A request that this router cancelled because its caller disconnected.
-    struct Left {
+    struct CancelledRequest {
         FingerprintPair fingerprints;
         Instant at{};
     };
 
     /// The requests that peers had in flight on a target.
-    struct PeersBroken {
+    struct PeerRequests {
         std::vector<RequestFingerprint> fingerprints;
         bool crashed = false;
         Instant last{};
     };
 
-    static void takeLeft(std::vector<Left> &left, std::vector<RequestFingerprint> &into, Instant now);
+    static void collectCancelled(std::vector<CancelledRequest> &cancelled, std::vector<RequestFingerprint> &into, Instant now);
 
-    std::map<std::string, Broken> m_targets;
+    std::map<std::string, InterruptedTarget> m_targets;
     /// Keyed by the hash of the target's incarnation, as is the next map.
-    std::map<std::uint64_t, std::vector<Left>> m_left;
-    std::map<std::uint64_t, PeersBroken> m_peers;
-    std::optional<Instant> m_lastBroken;
+    std::map<std::uint64_t, std::vector<CancelledRequest>> m_cancelled;
+    std::map<std::uint64_t, PeerRequests> m_peerRequests;
+    std::optional<Instant> m_lastInterruption;
 };
 
 }
