--- a/src/quarantine/crashwatch.cpp
+++ b/src/quarantine/crashwatch.cpp
@@ -62,19 +62,19 @@
 {
     InterruptedTarget &interrupted = m_targets[incarnation];
     interrupted.crashed = true;
-    std::vector<RequestFingerprint> underWay = std::exchange(interrupted.fingerprints, {});
+    std::vector<RequestFingerprint> inFlight = std::exchange(interrupted.fingerprints, {});
     // Cancelled requests count up to the time of the crash, which is when the last attempt was interrupted.
-    collectCancelled(m_cancelled[stableHash(incarnation)], underWay, std::min(now, interrupted.last));
-    return underWay;
+    collectCancelled(m_cancelled[stableHash(incarnation)], inFlight, std::min(now, interrupted.last));
+    return inFlight;
 }
 
 std::vector<RequestFingerprint> CrashWatch::takeCancelled(std::uint64_t target, Instant now)
 {
-    std::vector<RequestFingerprint> underWay;
+    std::vector<RequestFingerprint> inFlight;
     if (const auto found = m_cancelled.find(target); found != m_cancelled.end()) {
-        collectCancelled(found->second, underWay, now);
+        collectCancelled(found->second, inFlight, now);
     }
-    return underWay;
+    return inFlight;
 }
 
 std::vector<RequestFingerprint> CrashWatch::takeUnannounced(const std::string &incarnation)
@@ -112,8 +112,8 @@
     m_lastInterruption = now;
     interrupted.crashed = true;
     const bool recent = now - std::exchange(interrupted.last, now) <= s_unconfirmedRetention;
-    std::vector<RequestFingerprint> underWay = std::exchange(interrupted.fingerprints, {});
-    return recent ? underWay : std::vector<RequestFingerprint>();
+    std::vector<RequestFingerprint> inFlight = std::exchange(interrupted.fingerprints, {});
+    return recent ? inFlight : std::vector<RequestFingerprint>();
 }
 
 std::vector<CrashWatch::UnconfirmedCrash> CrashWatch::unconfirmedCrashes(Instant now) const
@@ -121,12 +121,12 @@
     std::vector<UnconfirmedCrash> all;
     for (const auto &[incarnation, interrupted] : m_targets) {
         if (!interrupted.crashed) {
-            all.push_back({.target = stableHash(incarnation), .underWay = interrupted.fingerprints, .since = interrupted.first});
+            all.push_back({.target = stableHash(incarnation), .inFlight = interrupted.fingerprints, .since = interrupted.first});
         }
     }
     for (const auto &[target, interrupted] : m_peerRequests) {
         if (!interrupted.crashed && now - interrupted.last <= s_unconfirmedRetention) {
-            all.push_back({.target = target, .underWay = interrupted.fingerprints, .since = interrupted.last});
+            all.push_back({.target = target, .inFlight = interrupted.fingerprints, .since = interrupted.last});
         }
     }
     return all;
--- a/src/quarantine/crashwatch.h
+++ b/src/quarantine/crashwatch.h
@@ -60,7 +60,7 @@
     struct UnconfirmedCrash {
         /// Hash of the target's incarnation.
         std::uint64_t target = 0;
-        std::vector<RequestFingerprint> underWay;
+        std::vector<RequestFingerprint> inFlight;
         Instant since{};
     };
 
--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -73,7 +73,7 @@
         boost::asio::co_spawn(m_executor, watch(incarnation, address), boost::asio::detached);
         break;
     case CrashWatch::Action::Report:
-        report({.target = stableHash(incarnation), .underWay = {fingerprints.begin(), fingerprints.end()}, .ago = sinceBroken(incarnation)},
+        report({.target = stableHash(incarnation), .inFlight = {fingerprints.begin(), fingerprints.end()}, .ago = sinceBroken(incarnation)},
                incarnation);
         break;
     }
@@ -92,7 +92,7 @@
         if (refused) {
             co_await pause(s_gatherTime);
             report({.target = stableHash(incarnation),
-                    .underWay = m_watch.connectionRefused(incarnation, steadyNow()),
+                    .inFlight = m_watch.connectionRefused(incarnation, steadyNow()),
                     .ago = sinceBroken(incarnation)},
                    incarnation);
             co_return;
@@ -128,7 +128,7 @@
     const Instant since = m_watch.interruptedSince(incarnation, steadyNow());
     untold = m_quarantine.unanswered(untold, since);
     if (!untold.empty()) {
-        m_tellCrash({.target = stableHash(incarnation), .underWay = std::move(untold), .crashed = false, .ago = sinceBroken(incarnation)});
+        m_tellCrash({.target = stableHash(incarnation), .inFlight = std::move(untold), .crashed = false, .ago = sinceBroken(incarnation)});
     }
 }
 
@@ -140,19 +140,19 @@
 
 void PoisonGuard::report(CrashReport crash, std::string_view target)
 {
-    logLine(Severity::Warning, "target.crashed", {{"target", target}, {"under_way", static_cast<std::int64_t>(crash.underWay.size())}});
+    logLine(Severity::Warning, "target.crashed", {{"target", target}, {"under_way", static_cast<std::int64_t>(crash.inFlight.size())}});
     m_metrics.count("crash_reports_total", {.name = "from", .value = "here"});
-    crash.underWay = m_quarantine.unanswered(crash.underWay, steadyNow() - crash.ago);
+    crash.inFlight = m_quarantine.unanswered(crash.inFlight, steadyNow() - crash.ago);
     m_tellCrash(crash);
     const std::vector<RequestFingerprint> peers = m_watch.confirmCrash(crash.target, steadyNow());
-    crash.underWay.insert(crash.underWay.end(), peers.begin(), peers.end());
+    crash.inFlight.insert(crash.inFlight.end(), peers.begin(), peers.end());
     blame(crash, target);
 }
 
 void PoisonGuard::tellAnswered(const CrashReport &crash)
 {
     const Instant now = steadyNow();
-    for (const RequestFingerprint &fingerprint : crash.underWay) {
+    for (const RequestFingerprint &fingerprint : crash.inFlight) {
         if (const std::optional<Instant> answered = m_quarantine.takeUntoldAnswer(fingerprint, now - crash.ago)) {
             m_tellChange({.fingerprint = fingerprint, .remaining = *answered - now});
         }
@@ -163,7 +163,7 @@
 {
     tellAnswered(crash);
     const Instant now = steadyNow();
-    for (const RequestFingerprint &fingerprint : m_quarantine.crashed(crash.target, crash.underWay, now, crash.ago)) {
+    for (const RequestFingerprint &fingerprint : m_quarantine.crashed(crash.target, crash.inFlight, now, crash.ago)) {
         const Quarantine::Entry &entry = m_quarantine.entries().at(fingerprint);
         logLine(Severity::Warning,
                 "request.quarantined",
@@ -261,10 +261,10 @@
     const Instant now = steadyNow();
     std::vector<CrashReport> reports;
     for (Quarantine::KnownCrash &crash : m_quarantine.knownCrashes()) {
-        reports.push_back({.target = crash.target, .underWay = std::move(crash.underWay), .ago = now - crash.at});
+        reports.push_back({.target = crash.target, .inFlight = std::move(crash.inFlight), .ago = now - crash.at});
     }
     for (CrashWatch::UnconfirmedCrash &broken : m_watch.unconfirmedCrashes(now)) {
-        reports.push_back({.target = broken.target, .underWay = std::move(broken.underWay), .crashed = false, .ago = now - broken.since});
+        reports.push_back({.target = broken.target, .inFlight = std::move(broken.inFlight), .crashed = false, .ago = now - broken.since});
     }
     return reports;
 }
@@ -274,21 +274,21 @@
     constexpr std::string_view seenBy = "reported by a peer";
     const Instant now = steadyNow();
     if (!report.crashed) {
-        if (const std::vector<RequestFingerprint> known = m_watch.peerAttemptsInterrupted(report.target, report.underWay, now);
+        if (const std::vector<RequestFingerprint> known = m_watch.peerAttemptsInterrupted(report.target, report.inFlight, now);
             !known.empty()) {
-            blame({.target = report.target, .underWay = known, .ago = report.ago}, seenBy);
+            blame({.target = report.target, .inFlight = known, .ago = report.ago}, seenBy);
         }
         return;
     }
     m_metrics.count("crash_reports_total", {.name = "from", .value = "peer"});
     if (std::vector<RequestFingerprint> left = m_watch.takeCancelled(report.target, now); !left.empty()) {
-        this->report({.target = report.target, .underWay = std::move(left), .ago = report.ago}, seenBy);
+        this->report({.target = report.target, .inFlight = std::move(left), .ago = report.ago}, seenBy);
     }
     // The peer that had these requests in flight may have terminated since it announced them, so that no other router reports them.
-    blame({.target = report.target, .underWay = m_watch.confirmCrash(report.target, now), .ago = report.ago}, seenBy);
+    blame({.target = report.target, .inFlight = m_watch.confirmCrash(report.target, now), .ago = report.ago}, seenBy);
     tellAnswered(report);
     // The router whose crash detection completes the evidence tells the peers and the store. Here the request is only quarantined sooner.
-    for (const RequestFingerprint &fingerprint : m_quarantine.crashed(report.target, report.underWay, now, report.ago)) {
+    for (const RequestFingerprint &fingerprint : m_quarantine.crashed(report.target, report.inFlight, now, report.ago)) {
         logLine(Severity::Warning, "request.quarantined", {{"fingerprint", fingerprint.text()}, {"by", "crash reports of peers"}});
     }
     count();
--- a/src/quarantine/poisonguard.h
+++ b/src/quarantine/poisonguard.h
@@ -22,7 +22,7 @@
 struct CrashReport {
     /// Hash of the target's incarnation.
     std::uint64_t target = 0;
-    std::vector<RequestFingerprint> underWay;
+    std::vector<RequestFingerprint> inFlight;
     /// False if it is only known that the requests were interrupted.
     bool crashed = true;
     /// Time since the requests were interrupted.
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -69,10 +69,10 @@
 }
 
 std::vector<RequestFingerprint>
-Quarantine::crashed(std::uint64_t target, std::span<const RequestFingerprint> underWay, Instant now, Duration ago)
+Quarantine::crashed(std::uint64_t target, std::span<const RequestFingerprint> inFlight, Instant now, Duration ago)
 {
     std::vector<RequestFingerprint> held;
-    for (const RequestFingerprint &fingerprint : underWay) {
+    for (const RequestFingerprint &fingerprint : inFlight) {
         if (answeredSince(fingerprint, now - ago)) {
             continue;
         }
@@ -148,9 +148,9 @@
     return acquit(fingerprint);
 }
 
-std::vector<RequestFingerprint> Quarantine::unanswered(std::span<const RequestFingerprint> underWay, Instant crash) const
+std::vector<RequestFingerprint> Quarantine::unanswered(std::span<const RequestFingerprint> inFlight, Instant crash) const
 {
-    std::vector<RequestFingerprint> left(underWay.begin(), underWay.end());
+    std::vector<RequestFingerprint> left(inFlight.begin(), inFlight.end());
     std::erase_if(left, [&](const RequestFingerprint &fingerprint) {
         return answeredSince(fingerprint, crash).has_value();
     });
@@ -272,7 +272,7 @@
         for (const std::uint64_t target : suspect.targets) {
             KnownCrash &crash = crashes[target];
             crash.target = target;
-            crash.underWay.push_back(fingerprint);
+            crash.inFlight.push_back(fingerprint);
             crash.at = std::max(crash.at, suspect.last);
         }
     }
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -86,7 +86,7 @@
     /// Records that a target crashed `ago` before `now` with these requests in flight; `target` is the hash of the target's incarnation.
     /// Returns the requests that are quarantined, or quarantined for longer, because of this crash.
     std::vector<RequestFingerprint>
-    crashed(std::uint64_t target, std::span<const RequestFingerprint> underWay, Instant now, Duration ago = Duration::zero());
+    crashed(std::uint64_t target, std::span<const RequestFingerprint> inFlight, Instant now, Duration ago = Duration::zero());
 
     /// Records that this router delivered a complete response to the request, even if the request is not suspected: reports of crashes
     /// before the response may still arrive. Returns true if the request was suspected or quarantined; the peers must then be told.
@@ -100,7 +100,7 @@
     std::optional<Instant> answeredSince(const RequestFingerprint &fingerprint, Instant crash) const;
 
     /// Returns the requests that received no response since `crash`, as far as this router knows. The crash counts against these.
-    std::vector<RequestFingerprint> unanswered(std::span<const RequestFingerprint> underWay, Instant crash) const;
+    std::vector<RequestFingerprint> unanswered(std::span<const RequestFingerprint> inFlight, Instant crash) const;
 
     /// Returns a response that must be announced to the peers because they count that crash against the request; see AnswerMemory.
     std::optional<Instant> takeUntoldAnswer(const RequestFingerprint &fingerprint, Instant crash)
@@ -150,7 +150,7 @@
     struct KnownCrash {
         /// Hash of the target's incarnation.
         std::uint64_t target = 0;
-        std::vector<RequestFingerprint> underWay;
+        std::vector<RequestFingerprint> inFlight;
         /// Time of the last crash at which any of these requests was in flight.
         Instant at{};
     };
--- a/src/quarantine/quarantinenotice.cpp
+++ b/src/quarantine/quarantinenotice.cpp
@@ -12,7 +12,7 @@
     notice.set_target(report.target);
     notice.set_broke_off(!report.crashed);
     notice.set_ago_ms(std::chrono::duration_cast<std::chrono::milliseconds>(report.ago).count());
-    for (const RequestFingerprint &fingerprint : report.underWay) {
+    for (const RequestFingerprint &fingerprint : report.inFlight) {
         notice.add_under_way(std::string(fingerprint.bytes()));
     }
     return notice;
@@ -32,12 +32,12 @@
 CrashReport fromWire(const wire::CrashNotice &notice)
 {
     CrashReport report{.target = notice.target(),
-                       .underWay = {},
+                       .inFlight = {},
                        .crashed = !notice.broke_off(),
                        .ago = std::max(Quarantine::boundedTerm(notice.ago_ms()), Duration::zero())};
     for (const std::string &bytes : notice.under_way()) {
         if (const std::optional<RequestFingerprint> fingerprint = RequestFingerprint::fromBytes(bytes)) {
-            report.underWay.push_back(*fingerprint);
+            report.inFlight.push_back(*fingerprint);
         } else {
             logLine(Severity::Warning, "quarantine.notice_unreadable", {{"bytes", static_cast<std::int64_t>(bytes.size())}});
         }
--- a/src/tests/crashwatchtest.cpp
+++ b/src/tests/crashwatchtest.cpp
@@ -107,7 +107,7 @@
     const std::vector<CrashWatch::UnconfirmedCrash> unconfirmed = watch.unconfirmedCrashes(s_now + std::chrono::seconds(1));
     BOOST_REQUIRE(unconfirmed.size() == 2U);
     BOOST_TEST(unconfirmed.front().target == stableHash("here"));
-    BOOST_TEST((unconfirmed.back().underWay == all({request("b")})));
+    BOOST_TEST((unconfirmed.back().inFlight == all({request("b")})));
     BOOST_TEST(watch.unconfirmedCrashes(s_now + std::chrono::seconds(10)).size() == 1U);
 }
 
--- a/src/tests/poisonfleet.cpp
+++ b/src/tests/poisonfleet.cpp
@@ -339,58 +339,58 @@
         sendTo(peer, [this, number](Router &other) {
             for (const Quarantine::KnownCrash &crash : other.quarantine.knownCrashes()) {
                 sendTo(number, [this, crash](Router &asker) {
-                    takeReport(asker, crash.target, crash.underWay, crash.at);
+                    takeReport(asker, crash.target, crash.inFlight, crash.at);
                 });
             }
             for (const CrashWatch::UnconfirmedCrash &broken : other.watch.unconfirmedCrashes(at(m_now))) {
                 sendTo(number, [this, broken](Router &asker) {
-                    takeBrokenOff(asker, broken.target, broken.underWay, broken.since);
+                    takeBrokenOff(asker, broken.target, broken.inFlight, broken.since);
                 });
             }
         });
     }
 }
 
-void PoisonFleet::takeReport(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant crash)
+void PoisonFleet::takeReport(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash)
 {
     const std::size_t number = numberOf(router);
     decide(number, target, router.watch.takeCancelled(target, at(m_now)), crash);
     decide(number, target, router.watch.confirmCrash(target, at(m_now)), crash);
-    tellAnsweredSince(number, underWay, crash);
-    router.quarantine.crashed(target, underWay, at(m_now), at(m_now) - crash);
+    tellAnsweredSince(number, inFlight, crash);
+    router.quarantine.crashed(target, inFlight, at(m_now), at(m_now) - crash);
 }
 
-void PoisonFleet::takeBrokenOff(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant since)
+void PoisonFleet::takeBrokenOff(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant since)
 {
-    decide(numberOf(router), target, router.watch.peerAttemptsInterrupted(target, underWay, at(m_now)), since);
+    decide(numberOf(router), target, router.watch.peerAttemptsInterrupted(target, inFlight, at(m_now)), since);
 }
 
-void PoisonFleet::report(std::size_t router, const std::string &life, std::vector<RequestFingerprint> underWay)
+void PoisonFleet::report(std::size_t router, const std::string &life, std::vector<RequestFingerprint> inFlight)
 {
     const std::uint64_t target = stableHash(life);
     const Instant crash = m_routers[router].watch.interruptedSince(life, at(m_now));
-    underWay = m_routers[router].quarantine.unanswered(underWay, crash);
-    tellOthers(router, [this, target, underWay, crash](Router &other) {
-        takeReport(other, target, underWay, crash);
+    inFlight = m_routers[router].quarantine.unanswered(inFlight, crash);
+    tellOthers(router, [this, target, inFlight, crash](Router &other) {
+        takeReport(other, target, inFlight, crash);
     });
     const std::vector<RequestFingerprint> peers = m_routers[router].watch.confirmCrash(target, at(m_now));
-    underWay.insert(underWay.end(), peers.begin(), peers.end());
-    decide(router, target, underWay, crash);
+    inFlight.insert(inFlight.end(), peers.begin(), peers.end());
+    decide(router, target, inFlight, crash);
 }
 
-void PoisonFleet::tellAnsweredSince(std::size_t number, const std::vector<RequestFingerprint> &underWay, Instant crash)
+void PoisonFleet::tellAnsweredSince(std::size_t number, const std::vector<RequestFingerprint> &inFlight, Instant crash)
 {
-    for (const RequestFingerprint &fingerprint : underWay) {
+    for (const RequestFingerprint &fingerprint : inFlight) {
         if (const std::optional<Instant> answered = m_routers[number].quarantine.takeUntoldAnswer(fingerprint, crash)) {
             tellAnswered(number, fingerprint, *answered);
         }
     }
 }
 
-void PoisonFleet::decide(std::size_t router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant crash)
+void PoisonFleet::decide(std::size_t router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash)
 {
-    tellAnsweredSince(router, underWay, crash);
-    for (const RequestFingerprint &fingerprint : m_routers[router].quarantine.crashed(target, underWay, at(m_now), at(m_now) - crash)) {
+    tellAnsweredSince(router, inFlight, crash);
+    for (const RequestFingerprint &fingerprint : m_routers[router].quarantine.crashed(target, inFlight, at(m_now), at(m_now) - crash)) {
         m_rows[fingerprint] = m_routers[router].quarantine.entries().at(fingerprint);
         tell(router, fingerprint);
     }
--- a/src/tests/poisonfleet.h
+++ b/src/tests/poisonfleet.h
@@ -125,14 +125,14 @@
     void ask(std::size_t router, const std::string &life, std::size_t step);
     std::size_t numberOf(const Router &router) const;
     void tellBrokenOff(std::size_t router, const std::string &life);
-    void report(std::size_t router, const std::string &life, std::vector<RequestFingerprint> underWay);
-    void decide(std::size_t router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant crash);
+    void report(std::size_t router, const std::string &life, std::vector<RequestFingerprint> inFlight);
+    void decide(std::size_t router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash);
     void tellAnswered(std::size_t number, const RequestFingerprint &fingerprint, Instant answered);
-    void tellAnsweredSince(std::size_t number, const std::vector<RequestFingerprint> &underWay, Instant crash);
+    void tellAnsweredSince(std::size_t number, const std::vector<RequestFingerprint> &inFlight, Instant crash);
     /// A router that has just started asks peers which crashes they know of.
     void askPeers(std::size_t number);
-    void takeReport(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant crash);
-    void takeBrokenOff(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &underWay, Instant since);
+    void takeReport(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash);
+    void takeBrokenOff(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant since);
     void tellOthers(std::size_t router, const std::function<void(Router &)> &notice);
     void sendTo(std::size_t router, const std::function<void(Router &)> &notice);
     /// Each router reads the store's rows every two seconds, at its own offset.
--- a/src/tests/quarantinekeepertest.cpp
+++ b/src/tests/quarantinekeepertest.cpp
@@ -58,7 +58,7 @@
     void crashThree(const RequestFingerprint &fingerprint)
     {
         for (std::uint64_t target = 1; target <= 3; ++target) {
-            guard.peerSawCrash({.target = target, .underWay = {fingerprint}});
+            guard.peerSawCrash({.target = target, .inFlight = {fingerprint}});
         }
     }
 
--- a/src/tests/quarantinetest.cpp
+++ b/src/tests/quarantinetest.cpp
@@ -38,7 +38,7 @@
 /// One router's report of one crash.
 struct Report {
     std::uint64_t target = 0;
-    std::vector<RequestFingerprint> underWay;
+    std::vector<RequestFingerprint> inFlight;
 };
 
 std::set<RequestFingerprint> heldAfter(const std::vector<Report> &reports)
@@ -47,7 +47,7 @@
     Instant now = at({});
     for (const Report &report : reports) {
         now += std::chrono::milliseconds(1);
-        quarantine.crashed(report.target, report.underWay, now);
+        quarantine.crashed(report.target, report.inFlight, now);
     }
     std::set<RequestFingerprint> held;
     for (const auto &[fingerprint, entry] : quarantine.entries()) {
@@ -67,9 +67,9 @@
     Quarantine quarantine;
     for (std::uint64_t target = 1; target <= 3; ++target) {
         BOOST_TEST(!quarantine.heldFor(request(0), at({})).has_value());
-        const std::vector<RequestFingerprint> underWay{request(0), request(static_cast<int>(target))};
-        quarantine.crashed(target, underWay, at({}));
-        quarantine.crashed(target, underWay, at({}));
+        const std::vector<RequestFingerprint> inFlight{request(0), request(static_cast<int>(target))};
+        quarantine.crashed(target, inFlight, at({}));
+        quarantine.crashed(target, inFlight, at({}));
     }
     BOOST_TEST((quarantine.heldFor(request(0), at({})) >= s_second));
     BOOST_TEST(quarantine.entries().size() == 1U);
@@ -112,17 +112,17 @@
 BOOST_AUTO_TEST_CASE(anAnswerBeforeTheReportOfACrashCounts)
 {
     Quarantine quarantine;
-    const std::vector underWay{request(0)};
+    const std::vector inFlight{request(0)};
     quarantine.answered(request(0), at(s_second));
     for (std::uint64_t target = 1; target <= 3; ++target) {
-        BOOST_TEST(quarantine.crashed(target, underWay, at(2 * s_second), s_second + s_second / 2).empty());
+        BOOST_TEST(quarantine.crashed(target, inFlight, at(2 * s_second), s_second + s_second / 2).empty());
     }
     BOOST_TEST(!quarantine.knows(request(0)));
     BOOST_TEST((quarantine.answeredSince(request(0), at(s_second / 2)) == at(s_second)));
     // Crashes after the response count.
     for (std::uint64_t target = 4; target <= 6; ++target) {
         BOOST_TEST(!quarantine.answeredSince(request(0), at(s_second + s_second / 2)).has_value());
-        quarantine.crashed(target, underWay, at(2 * s_second), s_second / 2);
+        quarantine.crashed(target, inFlight, at(2 * s_second), s_second / 2);
     }
     BOOST_TEST(quarantine.heldFor(request(0), at(2 * s_second)).has_value());
 }
@@ -266,7 +266,7 @@
     peer.crashed(2, std::vector{request(0)}, at(s_second));
     Quarantine started;
     for (const Quarantine::KnownCrash &crash : peer.knownCrashes()) {
-        started.crashed(crash.target, crash.underWay, at(2 * s_second), at(2 * s_second) - crash.at);
+        started.crashed(crash.target, crash.inFlight, at(2 * s_second), at(2 * s_second) - crash.at);
     }
     BOOST_TEST(started.suspects() == 2U);
     BOOST_TEST(started.crashed(3, std::vector{request(0), request(1)}, at(2 * s_second)).size() == 1U);
@@ -350,7 +350,7 @@
         for (int number = 0; number < count; ++number) {
             Report report{.target = static_cast<std::uint64_t>(*rc::gen::inRange(1, 6))};
             for (const int fingerprint : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5))) {
-                report.underWay.push_back(request(fingerprint));
+                report.inFlight.push_back(request(fingerprint));
                 seen[request(fingerprint)].insert(report.target);
             }
             reports.push_back(report);
