--- a/src/quarantine/answermemory.cpp
+++ b/src/quarantine/answermemory.cpp
@@ -16,33 +16,33 @@
 {
 }
 
-void AnswerMemory::note(const RequestFingerprint &fingerprint, Instant at)
+void AnswerMemory::addLocalAnswer(const RequestFingerprint &fingerprint, Instant at)
 {
-    noteElsewhere(fingerprint, at);
+    addPeerAnswer(fingerprint, at);
     Answers &answers = m_answers[fingerprint];
-    answers.here = std::max(answers.here, at);
+    answers.lastLocal = std::max(answers.lastLocal, at);
 }
 
-void AnswerMemory::noteElsewhere(const RequestFingerprint &fingerprint, Instant at)
+void AnswerMemory::addPeerAnswer(const RequestFingerprint &fingerprint, Instant at)
 {
-    if (m_answers.size() >= m_options.most && !m_answers.contains(fingerprint)) {
+    if (m_answers.size() >= m_options.maxRequests && !m_answers.contains(fingerprint)) {
         dropOldestQuarter(m_answers, [](const Answers &answers) {
             return answers.last;
         });
     }
     Answers &answers = m_answers[fingerprint];
-    answers.count = at - answers.last > m_options.memory ? 1 : answers.count + 1;
+    answers.count = at - answers.last > m_options.retention ? 1 : answers.count + 1;
     answers.last = std::max(answers.last, at);
 }
 
-std::optional<Instant> AnswerMemory::takeUntold(const RequestFingerprint &fingerprint, Instant crash)
+std::optional<Instant> AnswerMemory::takeUnannounced(const RequestFingerprint &fingerprint, Instant crash)
 {
     const auto found = m_answers.find(fingerprint);
-    if (found == m_answers.end() || found->second.here <= crash || found->second.told > crash) {
+    if (found == m_answers.end() || found->second.lastLocal <= crash || found->second.lastAnnounced > crash) {
         return std::nullopt;
     }
-    found->second.told = found->second.here;
-    return found->second.here;
+    found->second.lastAnnounced = found->second.lastLocal;
+    return found->second.lastLocal;
 }
 
 std::optional<Instant> AnswerMemory::lastAnswer(const RequestFingerprint &fingerprint) const
@@ -51,16 +51,16 @@
     return found != m_answers.end() ? std::optional(found->second.last) : std::nullopt;
 }
 
-unsigned AnswerMemory::answers(const RequestFingerprint &fingerprint, Instant now) const
+unsigned AnswerMemory::recentAnswerCount(const RequestFingerprint &fingerprint, Instant now) const
 {
     const auto found = m_answers.find(fingerprint);
-    return found != m_answers.end() && now - found->second.last <= m_options.memory ? found->second.count : 0;
+    return found != m_answers.end() && now - found->second.last <= m_options.retention ? found->second.count : 0;
 }
 
 void AnswerMemory::expire(Instant now)
 {
     std::erase_if(m_answers, [&](const auto &answers) {
-        return now - answers.second.last > m_options.memory;
+        return now - answers.second.last > m_options.retention;
     });
 }
 
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -102,7 +102,7 @@
                                       .terms = 1,
                                       .targets = std::move(suspect.targets),
                                       .since = now,
-                                      .answers = m_answers.answers(fingerprint, now)};
+                                      .answers = m_answers.recentAnswerCount(fingerprint, now)};
             m_suspects.erase(fingerprint);
             held.push_back(fingerprint);
         }
@@ -134,17 +134,17 @@
 
 bool Quarantine::answered(const RequestFingerprint &fingerprint, Instant at)
 {
-    m_answers.note(fingerprint, at);
+    m_answers.addLocalAnswer(fingerprint, at);
     const bool spokeAgainst = acquit(fingerprint);
     if (spokeAgainst) {
-        (void)m_answers.takeUntold(fingerprint, at - Duration(1));
+        (void)m_answers.takeUnannounced(fingerprint, at - Duration(1));
     }
     return spokeAgainst;
 }
 
 bool Quarantine::answeredElsewhere(const RequestFingerprint &fingerprint, Instant at)
 {
-    m_answers.noteElsewhere(fingerprint, at);
+    m_answers.addPeerAnswer(fingerprint, at);
     return acquit(fingerprint);
 }
 
@@ -178,7 +178,8 @@
 
 bool Quarantine::learn(const RequestFingerprint &fingerprint, const Standing &standing, Instant now)
 {
-    const auto [known, isNew] = m_entries.try_emplace(fingerprint, Entry{.since = now, .answers = m_answers.answers(fingerprint, now)});
+    const auto [known, isNew] =
+        m_entries.try_emplace(fingerprint, Entry{.since = now, .answers = m_answers.recentAnswerCount(fingerprint, now)});
     Entry &entry = known->second;
     const bool longer = standing.terms > entry.terms;
     if (longer) {
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -105,7 +105,7 @@
     /// Returns a response that must be announced to the peers because they count that crash against the request; see AnswerMemory.
     std::optional<Instant> takeUntoldAnswer(const RequestFingerprint &fingerprint, Instant crash)
     {
-        return m_answers.takeUntold(fingerprint, crash);
+        return m_answers.takeUnannounced(fingerprint, crash);
     }
 
     /// Clears the request of all suspicion. Returns true if it was suspected or quarantined.
--- a/src/tests/answermemorytest.cpp
+++ b/src/tests/answermemorytest.cpp
@@ -23,15 +23,15 @@
 {
     AnswerMemory memory;
     BOOST_TEST(!memory.lastAnswer(request(0)).has_value());
-    BOOST_TEST(memory.answers(request(0), s_now) == 0U);
-    memory.note(request(0), s_now);
+    BOOST_TEST(memory.recentAnswerCount(request(0), s_now) == 0U);
+    memory.addLocalAnswer(request(0), s_now);
     // An older response that a peer announced.
-    memory.note(request(0), s_now - std::chrono::seconds(1));
+    memory.addLocalAnswer(request(0), s_now - std::chrono::seconds(1));
     BOOST_TEST((memory.lastAnswer(request(0)) == s_now));
-    BOOST_TEST(memory.answers(request(0), s_now) == 2U);
-    BOOST_TEST(memory.answers(request(0), s_now + std::chrono::minutes(2)) == 0U);
-    memory.note(request(0), s_now + std::chrono::minutes(2));
-    BOOST_TEST(memory.answers(request(0), s_now + std::chrono::minutes(2)) == 1U);
+    BOOST_TEST(memory.recentAnswerCount(request(0), s_now) == 2U);
+    BOOST_TEST(memory.recentAnswerCount(request(0), s_now + std::chrono::minutes(2)) == 0U);
+    memory.addLocalAnswer(request(0), s_now + std::chrono::minutes(2));
+    BOOST_TEST(memory.recentAnswerCount(request(0), s_now + std::chrono::minutes(2)) == 1U);
     memory.expire(s_now + std::chrono::minutes(4));
     BOOST_TEST(!memory.lastAnswer(request(0)).has_value());
 }
@@ -41,26 +41,26 @@
 {
     const Instant crash = s_now - std::chrono::seconds(2);
     AnswerMemory memory;
-    BOOST_TEST(!memory.takeUntold(request(0), crash).has_value());
-    memory.note(request(0), s_now - std::chrono::seconds(1));
-    BOOST_TEST((memory.takeUntold(request(0), crash) == s_now - std::chrono::seconds(1)));
-    BOOST_TEST(!memory.takeUntold(request(0), crash).has_value());
-    memory.note(request(0), s_now);
-    BOOST_TEST(!memory.takeUntold(request(0), crash).has_value());
+    BOOST_TEST(!memory.takeUnannounced(request(0), crash).has_value());
+    memory.addLocalAnswer(request(0), s_now - std::chrono::seconds(1));
+    BOOST_TEST((memory.takeUnannounced(request(0), crash) == s_now - std::chrono::seconds(1)));
+    BOOST_TEST(!memory.takeUnannounced(request(0), crash).has_value());
+    memory.addLocalAnswer(request(0), s_now);
+    BOOST_TEST(!memory.takeUnannounced(request(0), crash).has_value());
     // A later crash.
-    BOOST_TEST((memory.takeUntold(request(0), s_now - std::chrono::milliseconds(1)) == s_now));
-    memory.noteElsewhere(request(1), s_now);
-    BOOST_TEST(!memory.takeUntold(request(1), crash).has_value());
-    BOOST_TEST(memory.answers(request(1), s_now) == 1U);
+    BOOST_TEST((memory.takeUnannounced(request(0), s_now - std::chrono::milliseconds(1)) == s_now));
+    memory.addPeerAnswer(request(1), s_now);
+    BOOST_TEST(!memory.takeUnannounced(request(1), crash).has_value());
+    BOOST_TEST(memory.recentAnswerCount(request(1), s_now) == 1U);
 }
 
 // A router serves new requests all the time. The memory must not grow with them.
 BOOST_AUTO_TEST_CASE(memoryIsBounded)
 {
-    AnswerMemory memory({.memory = std::chrono::minutes(1), .most = 100});
+    AnswerMemory memory({.retention = std::chrono::minutes(1), .maxRequests = 100});
     int known = 0;
     for (int number = 0; number < 1000; ++number) {
-        memory.note(request(number), s_now + std::chrono::milliseconds(number));
+        memory.addLocalAnswer(request(number), s_now + std::chrono::milliseconds(number));
         BOOST_TEST(memory.lastAnswer(request(number)).has_value());
     }
     for (int number = 0; number < 1000; ++number) {
