--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -126,7 +126,7 @@
 {
     std::vector<RequestFingerprint> untold = m_watch.takeUnannounced(incarnation);
     const Instant since = m_watch.interruptedSince(incarnation, steadyNow());
-    untold = m_quarantine.unanswered(untold, since);
+    untold = m_quarantine.unansweredSince(untold, since);
     if (!untold.empty()) {
         m_tellCrash({.target = stableHash(incarnation), .inFlight = std::move(untold), .crashed = false, .ago = sinceBroken(incarnation)});
     }
@@ -142,7 +142,7 @@
 {
     logLine(Severity::Warning, "target.crashed", {{"target", target}, {"under_way", static_cast<std::int64_t>(crash.inFlight.size())}});
     m_metrics.count("crash_reports_total", {.name = "from", .value = "here"});
-    crash.inFlight = m_quarantine.unanswered(crash.inFlight, steadyNow() - crash.ago);
+    crash.inFlight = m_quarantine.unansweredSince(crash.inFlight, steadyNow() - crash.ago);
     m_tellCrash(crash);
     const std::vector<RequestFingerprint> peers = m_watch.confirmCrash(crash.target, steadyNow());
     crash.inFlight.insert(crash.inFlight.end(), peers.begin(), peers.end());
@@ -153,7 +153,7 @@
 {
     const Instant now = steadyNow();
     for (const RequestFingerprint &fingerprint : crash.inFlight) {
-        if (const std::optional<Instant> answered = m_quarantine.takeUntoldAnswer(fingerprint, now - crash.ago)) {
+        if (const std::optional<Instant> answered = m_quarantine.takeUnannouncedAnswer(fingerprint, now - crash.ago)) {
             m_tellChange({.fingerprint = fingerprint, .remaining = *answered - now});
         }
     }
@@ -163,7 +163,7 @@
 {
     tellAnswered(crash);
     const Instant now = steadyNow();
-    for (const RequestFingerprint &fingerprint : m_quarantine.crashed(crash.target, crash.inFlight, now, crash.ago)) {
+    for (const RequestFingerprint &fingerprint : m_quarantine.recordCrash(crash.target, crash.inFlight, now, crash.ago)) {
         const Quarantine::Entry &entry = m_quarantine.entries().at(fingerprint);
         logLine(Severity::Warning,
                 "request.quarantined",
@@ -193,7 +193,7 @@
 void PoisonGuard::acquit(const RequestFingerprint &fingerprint, Instant answered)
 {
     const bool held = m_quarantine.entries().contains(fingerprint);
-    if (!m_quarantine.answered(fingerprint, answered)) {
+    if (!m_quarantine.recordAnswer(fingerprint, answered)) {
         return;
     }
     m_metrics.count("acquittals_total", {.name = "state", .value = held ? "held" : "suspected"});
@@ -288,7 +288,7 @@
     blame({.target = report.target, .inFlight = m_watch.confirmCrash(report.target, now), .ago = report.ago}, seenBy);
     tellAnswered(report);
     // The router whose crash detection completes the evidence tells the peers and the store. Here the request is only quarantined sooner.
-    for (const RequestFingerprint &fingerprint : m_quarantine.crashed(report.target, report.inFlight, now, report.ago)) {
+    for (const RequestFingerprint &fingerprint : m_quarantine.recordCrash(report.target, report.inFlight, now, report.ago)) {
         logLine(Severity::Warning, "request.quarantined", {{"fingerprint", fingerprint.text()}, {"by", "crash reports of peers"}});
     }
     count();
@@ -301,7 +301,7 @@
     const bool held = m_quarantine.entries().contains(change.fingerprint);
     const Quarantine::Standing standing{
         .nextTrial = now + change.remaining, .terms = change.terms, .trials = change.trials, .answers = change.answers};
-    const bool isNew = lifts ? m_quarantine.answeredElsewhere(change.fingerprint, now + std::min(change.remaining, Duration::zero()))
+    const bool isNew = lifts ? m_quarantine.recordPeerAnswer(change.fingerprint, now + std::min(change.remaining, Duration::zero()))
                              : m_quarantine.learn(change.fingerprint, standing, now);
     if (isNew) {
         count();
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -69,7 +69,7 @@
 }
 
 std::vector<RequestFingerprint>
-Quarantine::crashed(std::uint64_t target, std::span<const RequestFingerprint> inFlight, Instant now, Duration ago)
+Quarantine::recordCrash(std::uint64_t target, std::span<const RequestFingerprint> inFlight, Instant now, Duration ago)
 {
     std::vector<RequestFingerprint> held;
     for (const RequestFingerprint &fingerprint : inFlight) {
@@ -132,7 +132,7 @@
     return static_cast<std::size_t>(unexplained) >= m_options.crashes;
 }
 
-bool Quarantine::answered(const RequestFingerprint &fingerprint, Instant at)
+bool Quarantine::recordAnswer(const RequestFingerprint &fingerprint, Instant at)
 {
     m_answers.addLocalAnswer(fingerprint, at);
     const bool spokeAgainst = acquit(fingerprint);
@@ -142,13 +142,13 @@
     return spokeAgainst;
 }
 
-bool Quarantine::answeredElsewhere(const RequestFingerprint &fingerprint, Instant at)
+bool Quarantine::recordPeerAnswer(const RequestFingerprint &fingerprint, Instant at)
 {
     m_answers.addPeerAnswer(fingerprint, at);
     return acquit(fingerprint);
 }
 
-std::vector<RequestFingerprint> Quarantine::unanswered(std::span<const RequestFingerprint> inFlight, Instant crash) const
+std::vector<RequestFingerprint> Quarantine::unansweredSince(std::span<const RequestFingerprint> inFlight, Instant crash) const
 {
     std::vector<RequestFingerprint> left(inFlight.begin(), inFlight.end());
     std::erase_if(left, [&](const RequestFingerprint &fingerprint) {
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -86,24 +86,24 @@
     /// Records that a target crashed `ago` before `now` with these requests in flight; `target` is the hash of the target's incarnation.
     /// Returns the requests that are quarantined, or quarantined for longer, because of this crash.
     std::vector<RequestFingerprint>
-    crashed(std::uint64_t target, std::span<const RequestFingerprint> inFlight, Instant now, Duration ago = Duration::zero());
+    recordCrash(std::uint64_t target, std::span<const RequestFingerprint> inFlight, Instant now, Duration ago = Duration::zero());
 
     /// Records that this router delivered a complete response to the request, even if the request is not suspected: reports of crashes
     /// before the response may still arrive. Returns true if the request was suspected or quarantined; the peers must then be told.
-    bool answered(const RequestFingerprint &fingerprint, Instant at);
+    bool recordAnswer(const RequestFingerprint &fingerprint, Instant at);
 
     /// Records a peer's announcement that it delivered a complete response to the request. Returns true if the request was suspected or
     /// quarantined.
-    bool answeredElsewhere(const RequestFingerprint &fingerprint, Instant at);
+    bool recordPeerAnswer(const RequestFingerprint &fingerprint, Instant at);
 
     /// Returns the time of the last complete response to the request if that was after `crash`, else nullopt.
     std::optional<Instant> answeredSince(const RequestFingerprint &fingerprint, Instant crash) const;
 
     /// Returns the requests that received no response since `crash`, as far as this router knows. The crash counts against these.
-    std::vector<RequestFingerprint> unanswered(std::span<const RequestFingerprint> inFlight, Instant crash) const;
+    std::vector<RequestFingerprint> unansweredSince(std::span<const RequestFingerprint> inFlight, Instant crash) const;
 
     /// Returns a response that must be announced to the peers because they count that crash against the request; see AnswerMemory.
-    std::optional<Instant> takeUntoldAnswer(const RequestFingerprint &fingerprint, Instant crash)
+    std::optional<Instant> takeUnannouncedAnswer(const RequestFingerprint &fingerprint, Instant crash)
     {
         return m_answers.takeUnannounced(fingerprint, crash);
     }
--- a/src/tests/poisonfleet.cpp
+++ b/src/tests/poisonfleet.cpp
@@ -248,7 +248,7 @@
         return;
     }
     for (const RequestFingerprint &fingerprint : request) {
-        if (router.quarantine.answered(fingerprint, at(m_now))) {
+        if (router.quarantine.recordAnswer(fingerprint, at(m_now))) {
             if (m_rows.erase(fingerprint) > 0) {
                 m_acquittedAt[fingerprint] = m_now;
             }
@@ -260,7 +260,7 @@
 void PoisonFleet::tellAnswered(std::size_t number, const RequestFingerprint &fingerprint, Instant answered)
 {
     tellOthers(number, [fingerprint, answered](Router &other) {
-        other.quarantine.answeredElsewhere(fingerprint, answered);
+        other.quarantine.recordPeerAnswer(fingerprint, answered);
     });
 }
 
@@ -326,7 +326,7 @@
 {
     Router &teller = m_routers[router];
     const Instant crash = teller.watch.interruptedSince(life, at(m_now));
-    const std::vector<RequestFingerprint> untold = teller.quarantine.unanswered(teller.watch.takeUnannounced(life), crash);
+    const std::vector<RequestFingerprint> untold = teller.quarantine.unansweredSince(teller.watch.takeUnannounced(life), crash);
     tellOthers(router, [this, target = stableHash(life), untold, crash](Router &other) {
         takeBrokenOff(other, target, untold, crash);
     });
@@ -357,7 +357,7 @@
     decide(number, target, router.watch.takeCancelled(target, at(m_now)), crash);
     decide(number, target, router.watch.confirmCrash(target, at(m_now)), crash);
     tellAnsweredSince(number, inFlight, crash);
-    router.quarantine.crashed(target, inFlight, at(m_now), at(m_now) - crash);
+    router.quarantine.recordCrash(target, inFlight, at(m_now), at(m_now) - crash);
 }
 
 void PoisonFleet::takeBrokenOff(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant since)
@@ -369,7 +369,7 @@
 {
     const std::uint64_t target = stableHash(life);
     const Instant crash = m_routers[router].watch.interruptedSince(life, at(m_now));
-    inFlight = m_routers[router].quarantine.unanswered(inFlight, crash);
+    inFlight = m_routers[router].quarantine.unansweredSince(inFlight, crash);
     tellOthers(router, [this, target, inFlight, crash](Router &other) {
         takeReport(other, target, inFlight, crash);
     });
@@ -381,7 +381,7 @@
 void PoisonFleet::tellAnsweredSince(std::size_t number, const std::vector<RequestFingerprint> &inFlight, Instant crash)
 {
     for (const RequestFingerprint &fingerprint : inFlight) {
-        if (const std::optional<Instant> answered = m_routers[number].quarantine.takeUntoldAnswer(fingerprint, crash)) {
+        if (const std::optional<Instant> answered = m_routers[number].quarantine.takeUnannouncedAnswer(fingerprint, crash)) {
             tellAnswered(number, fingerprint, *answered);
         }
     }
@@ -390,7 +390,7 @@
 void PoisonFleet::decide(std::size_t router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash)
 {
     tellAnsweredSince(router, inFlight, crash);
-    for (const RequestFingerprint &fingerprint : m_routers[router].quarantine.crashed(target, inFlight, at(m_now), at(m_now) - crash)) {
+    for (const RequestFingerprint &fingerprint : m_routers[router].quarantine.recordCrash(target, inFlight, at(m_now), at(m_now) - crash)) {
         m_rows[fingerprint] = m_routers[router].quarantine.entries().at(fingerprint);
         tell(router, fingerprint);
     }
--- a/src/tests/quarantinetest.cpp
+++ b/src/tests/quarantinetest.cpp
@@ -31,7 +31,7 @@
 void holdBack(Quarantine &quarantine)
 {
     for (std::uint64_t target = 1; target <= 3; ++target) {
-        quarantine.crashed(target, std::vector{request(0)}, at({}));
+        quarantine.recordCrash(target, std::vector{request(0)}, at({}));
     }
 }
 
@@ -47,7 +47,7 @@
     Instant now = at({});
     for (const Report &report : reports) {
         now += std::chrono::milliseconds(1);
-        quarantine.crashed(report.target, report.inFlight, now);
+        quarantine.recordCrash(report.target, report.inFlight, now);
     }
     std::set<RequestFingerprint> held;
     for (const auto &[fingerprint, entry] : quarantine.entries()) {
@@ -68,8 +68,8 @@
     for (std::uint64_t target = 1; target <= 3; ++target) {
         BOOST_TEST(!quarantine.heldFor(request(0), at({})).has_value());
         const std::vector<RequestFingerprint> inFlight{request(0), request(static_cast<int>(target))};
-        quarantine.crashed(target, inFlight, at({}));
-        quarantine.crashed(target, inFlight, at({}));
+        quarantine.recordCrash(target, inFlight, at({}));
+        quarantine.recordCrash(target, inFlight, at({}));
     }
     BOOST_TEST((quarantine.heldFor(request(0), at({})) >= s_second));
     BOOST_TEST(quarantine.entries().size() == 1U);
@@ -83,10 +83,10 @@
 {
     for (int number = 0; number < 200; ++number) {
         Quarantine quarantine;
-        quarantine.crashed(1, std::vector{request(number)}, at({}));
+        quarantine.recordCrash(1, std::vector{request(number)}, at({}));
         BOOST_TEST(quarantine.mayKnow(request(number).addressHash()), number);
-        quarantine.crashed(2, std::vector{request(number)}, at({}));
-        quarantine.crashed(3, std::vector{request(number)}, at({}));
+        quarantine.recordCrash(2, std::vector{request(number)}, at({}));
+        quarantine.recordCrash(3, std::vector{request(number)}, at({}));
         BOOST_TEST(quarantine.heldFor(request(number), at({})).has_value());
         BOOST_TEST(quarantine.mayKnow(request(number).addressHash()), number);
     }
@@ -98,7 +98,7 @@
 {
     Quarantine quarantine;
     for (std::uint64_t target = 1; target <= 12; ++target) {
-        quarantine.crashed(target, std::vector{request(0)}, at({}));
+        quarantine.recordCrash(target, std::vector{request(0)}, at({}));
         if (target % 2 == 0) {
             BOOST_TEST(quarantine.acquit(request(0)));
         }
@@ -113,16 +113,16 @@
 {
     Quarantine quarantine;
     const std::vector inFlight{request(0)};
-    quarantine.answered(request(0), at(s_second));
+    quarantine.recordAnswer(request(0), at(s_second));
     for (std::uint64_t target = 1; target <= 3; ++target) {
-        BOOST_TEST(quarantine.crashed(target, inFlight, at(2 * s_second), s_second + s_second / 2).empty());
+        BOOST_TEST(quarantine.recordCrash(target, inFlight, at(2 * s_second), s_second + s_second / 2).empty());
     }
     BOOST_TEST(!quarantine.knows(request(0)));
     BOOST_TEST((quarantine.answeredSince(request(0), at(s_second / 2)) == at(s_second)));
     // Crashes after the response count.
     for (std::uint64_t target = 4; target <= 6; ++target) {
         BOOST_TEST(!quarantine.answeredSince(request(0), at(s_second + s_second / 2)).has_value());
-        quarantine.crashed(target, inFlight, at(2 * s_second), s_second / 2);
+        quarantine.recordCrash(target, inFlight, at(2 * s_second), s_second / 2);
     }
     BOOST_TEST(quarantine.heldFor(request(0), at(2 * s_second)).has_value());
 }
@@ -131,13 +131,13 @@
 BOOST_AUTO_TEST_CASE(eachLateAnswerGrantsAnotherTrial)
 {
     Quarantine quarantine;
-    quarantine.answered(request(0), at(-s_second));
-    quarantine.answered(request(0), at(-s_second / 2));
+    quarantine.recordAnswer(request(0), at(-s_second));
+    quarantine.recordAnswer(request(0), at(-s_second / 2));
     holdBack(quarantine);
     for (const unsigned terms : {1U, 1U, 2U}) {
         const Instant trial = quarantine.entries().at(request(0)).nextTrial;
         quarantine.beginTrial(request(0), trial);
-        quarantine.crashed(100 + trial.time_since_epoch().count(), std::vector{request(0)}, trial + s_second / 5);
+        quarantine.recordCrash(100 + trial.time_since_epoch().count(), std::vector{request(0)}, trial + s_second / 5);
         BOOST_TEST(quarantine.entries().at(request(0)).terms == terms);
         BOOST_TEST((quarantine.heldFor(request(0), trial + s_second / 5) >= (terms == 1 ? s_second : Duration(std::chrono::minutes(10)))));
     }
@@ -149,15 +149,15 @@
 BOOST_AUTO_TEST_CASE(whatThePoisonExplainsDoesNotCountAgainstOthers)
 {
     Quarantine quarantine;
-    quarantine.crashed(1, std::vector{request(0), request(1)}, at({}));
-    quarantine.crashed(2, std::vector{request(0), request(1)}, at({}));
-    quarantine.crashed(3, std::vector{request(0)}, at({}));
+    quarantine.recordCrash(1, std::vector{request(0), request(1)}, at({}));
+    quarantine.recordCrash(2, std::vector{request(0), request(1)}, at({}));
+    quarantine.recordCrash(3, std::vector{request(0)}, at({}));
     BOOST_TEST(quarantine.heldFor(request(0), at({})).has_value());
-    quarantine.crashed(4, std::vector{request(1)}, at(60 * s_second));
+    quarantine.recordCrash(4, std::vector{request(1)}, at(60 * s_second));
     BOOST_TEST(!quarantine.heldFor(request(1), at(60 * s_second)).has_value());
     // Three crashes that nothing else explains count.
-    quarantine.crashed(5, std::vector{request(1)}, at(61 * s_second));
-    quarantine.crashed(6, std::vector{request(1)}, at(62 * s_second));
+    quarantine.recordCrash(5, std::vector{request(1)}, at(61 * s_second));
+    quarantine.recordCrash(6, std::vector{request(1)}, at(62 * s_second));
     BOOST_TEST(quarantine.heldFor(request(1), at(62 * s_second)).has_value());
 }
 
@@ -186,7 +186,7 @@
         const Instant trial = quarantine.entries().at(request(0)).nextTrial;
         BOOST_TEST(quarantine.mayTry(request(0), trial));
         quarantine.beginTrial(request(0), trial);
-        BOOST_TEST(quarantine.crashed(100 + terms, std::vector{request(0)}, trial + s_second / 5).size() == 1U);
+        BOOST_TEST(quarantine.recordCrash(100 + terms, std::vector{request(0)}, trial + s_second / 5).size() == 1U);
         BOOST_TEST(quarantine.entries().at(request(0)).terms == terms);
         const Duration term = terms == 2 ? Duration(std::chrono::minutes(10)) : Duration(std::chrono::hours(24));
         BOOST_TEST((quarantine.heldFor(request(0), trial + s_second / 5) == term));
@@ -199,11 +199,11 @@
 {
     Quarantine quarantine;
     for (std::uint64_t target = 1; target <= 3; ++target) {
-        quarantine.crashed(target, std::vector{request(0), request(1)}, at({}));
+        quarantine.recordCrash(target, std::vector{request(0), request(1)}, at({}));
     }
     quarantine.beginTrial(request(0), at(3 * s_second));
     BOOST_TEST(!quarantine.mayTry(request(1), at(4 * s_second)));
-    quarantine.crashed(4, std::vector{request(0)}, at(4 * s_second));
+    quarantine.recordCrash(4, std::vector{request(0)}, at(4 * s_second));
     BOOST_TEST(quarantine.mayTry(request(1), at(4 * s_second)));
     // A peer starts a trial of the other request.
     quarantine.learn(request(1), {.nextTrial = at(4 * s_second), .terms = 1, .trials = 1}, at(4 * s_second));
@@ -248,13 +248,13 @@
     const Instant trial = at(4 * s_second);
     quarantine.learn(request(0), {.nextTrial = trial + Quarantine::s_trialTime, .terms = 1, .trials = 1}, trial);
     // A crash from before the trial began, reported late.
-    quarantine.crashed(100, std::vector{request(0)}, trial + s_second, s_second + s_second / 2);
+    quarantine.recordCrash(100, std::vector{request(0)}, trial + s_second, s_second + s_second / 2);
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 1U);
-    quarantine.crashed(101, std::vector{request(0)}, trial + s_second, s_second / 2);
+    quarantine.recordCrash(101, std::vector{request(0)}, trial + s_second, s_second / 2);
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 2U);
     // The peer is alive after all and reports the same.
     BOOST_TEST(!quarantine.learn(request(0), {.nextTrial = trial + std::chrono::minutes(10), .terms = 2, .trials = 1}, trial));
-    quarantine.crashed(101, std::vector{request(0)}, trial + s_second, s_second / 2);
+    quarantine.recordCrash(101, std::vector{request(0)}, trial + s_second, s_second / 2);
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 2U);
 }
 
@@ -262,14 +262,14 @@
 BOOST_AUTO_TEST_CASE(aRouterThatStartsLearnsOfCrashes)
 {
     Quarantine peer;
-    peer.crashed(1, std::vector{request(0), request(1)}, at({}));
-    peer.crashed(2, std::vector{request(0)}, at(s_second));
+    peer.recordCrash(1, std::vector{request(0), request(1)}, at({}));
+    peer.recordCrash(2, std::vector{request(0)}, at(s_second));
     Quarantine started;
     for (const Quarantine::KnownCrash &crash : peer.knownCrashes()) {
-        started.crashed(crash.target, crash.inFlight, at(2 * s_second), at(2 * s_second) - crash.at);
+        started.recordCrash(crash.target, crash.inFlight, at(2 * s_second), at(2 * s_second) - crash.at);
     }
     BOOST_TEST(started.suspects() == 2U);
-    BOOST_TEST(started.crashed(3, std::vector{request(0), request(1)}, at(2 * s_second)).size() == 1U);
+    BOOST_TEST(started.recordCrash(3, std::vector{request(0), request(1)}, at(2 * s_second)).size() == 1U);
 }
 
 // A copy that was in flight when its request was first quarantined crashes its target too. That does not lengthen the quarantine.
@@ -277,7 +277,7 @@
 {
     Quarantine quarantine;
     for (std::uint64_t target = 1; target <= 9; ++target) {
-        quarantine.crashed(target, std::vector{request(0)}, at({}));
+        quarantine.recordCrash(target, std::vector{request(0)}, at({}));
     }
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 1U);
 }
@@ -285,11 +285,11 @@
 BOOST_AUTO_TEST_CASE(forgetsWhatIsLongPast)
 {
     Quarantine quarantine;
-    quarantine.crashed(1, std::vector{request(0)}, at({}));
-    quarantine.crashed(2, std::vector{request(0)}, at({}));
+    quarantine.recordCrash(1, std::vector{request(0)}, at({}));
+    quarantine.recordCrash(2, std::vector{request(0)}, at({}));
     quarantine.expire(at(std::chrono::hours(2)));
     BOOST_TEST(!quarantine.mayKnow(request(0).addressHash()));
-    quarantine.crashed(3, std::vector{request(0)}, at(std::chrono::hours(2)));
+    quarantine.recordCrash(3, std::vector{request(0)}, at(std::chrono::hours(2)));
     BOOST_TEST(quarantine.entries().empty());
 }
 
@@ -302,7 +302,7 @@
         now += std::chrono::milliseconds(10);
         const std::size_t crashes = number % 4 == 0 ? 3 : 1;
         for (std::size_t crash = 0; crash < crashes; ++crash) {
-            quarantine.crashed(static_cast<std::uint64_t>(number) * 4 + crash, std::vector{request(number)}, now);
+            quarantine.recordCrash(static_cast<std::uint64_t>(number) * 4 + crash, std::vector{request(number)}, now);
         }
     }
     BOOST_TEST(quarantine.suspects() <= quarantine.options().mostSuspects);
