--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -530,8 +530,8 @@
 
 std::optional<Duration> RequestRun::heldBackFor()
 {
-    const bool known = m_gateway.m_guard.mayKnow(RequestFingerprint::addressHash(fingerprintSource()));
-    return known ? m_gateway.m_guard.heldFor(fingerprints()) : std::nullopt;
+    const bool known = m_gateway.m_guard.mayContainAddress(RequestFingerprint::addressHash(fingerprintSource()));
+    return known ? m_gateway.m_guard.timeToNextTrial(fingerprints()) : std::nullopt;
 }
 
 absl::Status RequestRun::heldBack()
--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -113,7 +113,7 @@
 
 void PoisonGuard::left(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
 {
-    if (m_quarantine.knows(fingerprints.front())) {
+    if (m_quarantine.isTracked(fingerprints.front())) {
         // The request was in flight at an earlier crash. The target is probed, because this router may have no other connection there whose
         // end would show a crash.
         brokeOff(incarnation, address, fingerprints);
@@ -187,7 +187,7 @@
 
 bool PoisonGuard::wantsAnswers(std::uint64_t addressHash) const
 {
-    return m_watch.recentlyInterrupted(steadyNow()) || m_quarantine.mayKnow(addressHash);
+    return m_watch.recentlyInterrupted(steadyNow()) || m_quarantine.mayContainAddress(addressHash);
 }
 
 void PoisonGuard::acquit(const RequestFingerprint &fingerprint, Instant answered)
@@ -207,12 +207,12 @@
     count();
 }
 
-std::optional<Duration> PoisonGuard::heldFor(const FingerprintPair &fingerprints) const
+std::optional<Duration> PoisonGuard::timeToNextTrial(const FingerprintPair &fingerprints) const
 {
     std::optional<Duration> longest;
     for (const RequestFingerprint &fingerprint : fingerprints) {
         // nullopt compares less than any duration.
-        longest = std::max(longest, m_quarantine.heldFor(fingerprint, steadyNow()));
+        longest = std::max(longest, m_quarantine.timeToNextTrial(fingerprint, steadyNow()));
     }
     return longest;
 }
@@ -234,7 +234,7 @@
 {
     const Instant now = steadyNow();
     const bool due = std::ranges::all_of(fingerprints, [&](const RequestFingerprint &fingerprint) {
-        return !m_quarantine.entries().contains(fingerprint) || m_quarantine.mayTry(fingerprint, now);
+        return !m_quarantine.entries().contains(fingerprint) || m_quarantine.mayBeginTrial(fingerprint, now);
     });
     if (!due) {
         return false;
@@ -299,10 +299,10 @@
     const Instant now = steadyNow();
     const bool lifts = change.terms == 0;
     const bool held = m_quarantine.entries().contains(change.fingerprint);
-    const Quarantine::Standing standing{
+    const Quarantine::EntryState state{
         .nextTrial = now + change.remaining, .terms = change.terms, .trials = change.trials, .answers = change.answers};
     const bool isNew = lifts ? m_quarantine.recordPeerAnswer(change.fingerprint, now + std::min(change.remaining, Duration::zero()))
-                             : m_quarantine.learn(change.fingerprint, standing, now);
+                             : m_quarantine.mergeEntry(change.fingerprint, state, now);
     if (isNew) {
         count();
     }
--- a/src/quarantine/poisonguard.h
+++ b/src/quarantine/poisonguard.h
@@ -66,16 +66,16 @@
     void answered(const FingerprintPair &fingerprints);
 
     /// Returns true if a request with this address hash may be suspected or quarantined; see Quarantine.
-    bool mayKnow(std::uint64_t addressHash) const
+    bool mayContainAddress(std::uint64_t addressHash) const
     {
-        return m_quarantine.mayKnow(addressHash);
+        return m_quarantine.mayContainAddress(addressHash);
     }
 
     /// Returns true if responses to requests with this address hash must be passed to `answered`.
     bool wantsAnswers(std::uint64_t addressHash) const;
 
     /// Returns the time until the next trial of the request, or nullopt if it is not quarantined.
-    std::optional<Duration> heldFor(const FingerprintPair &fingerprints) const;
+    std::optional<Duration> timeToNextTrial(const FingerprintPair &fingerprints) const;
 
     /// Lets a copy of a quarantined request through if a trial is due, and returns true in that case. Also tells the peers, so that they do
     /// not let other copies through at the same time.
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -52,7 +52,7 @@
 
 }
 
-Duration Quarantine::boundedTerm(std::int64_t milliseconds)
+Duration Quarantine::clampedDuration(std::int64_t milliseconds)
 {
     constexpr std::int64_t most = std::chrono::duration_cast<std::chrono::milliseconds>(s_longestTerm).count();
     return std::chrono::milliseconds(std::clamp(milliseconds, -most, most));
@@ -176,25 +176,25 @@
     return suspected || held;
 }
 
-bool Quarantine::learn(const RequestFingerprint &fingerprint, const Standing &standing, Instant now)
+bool Quarantine::mergeEntry(const RequestFingerprint &fingerprint, const EntryState &state, Instant now)
 {
     const auto [known, isNew] =
         m_entries.try_emplace(fingerprint, Entry{.since = now, .answers = m_answers.recentAnswerCount(fingerprint, now)});
     Entry &entry = known->second;
-    const bool longer = standing.terms > entry.terms;
+    const bool longer = state.terms > entry.terms;
     if (longer) {
         trialDecided(fingerprint);
         entry.trialAt.reset();
-    } else if (standing.terms == entry.terms && standing.trials > entry.trials) {
+    } else if (state.terms == entry.terms && state.trials > entry.trials) {
         m_onTrial = fingerprint;
         m_trialEnds = now + s_trialTime;
         entry.trialAt = now;
     }
-    entry.answers = std::max(entry.answers, standing.answers);
-    if (standing.terms >= entry.terms) {
-        entry.nextTrial = std::max(entry.nextTrial, standing.nextTrial);
-        entry.trials = std::max(entry.trials, standing.trials);
-        entry.terms = standing.terms;
+    entry.answers = std::max(entry.answers, state.answers);
+    if (state.terms >= entry.terms) {
+        entry.nextTrial = std::max(entry.nextTrial, state.nextTrial);
+        entry.trials = std::max(entry.trials, state.trials);
+        entry.terms = state.terms;
     }
     if (isNew) {
         if (const auto suspect = m_suspects.find(fingerprint); suspect != m_suspects.end()) {
@@ -206,12 +206,12 @@
     return isNew || longer;
 }
 
-bool Quarantine::mayKnow(std::uint64_t addressHash) const
+bool Quarantine::mayContainAddress(std::uint64_t addressHash) const
 {
     return holdsAddress(m_entries, addressHash) || holdsAddress(m_suspects, addressHash);
 }
 
-std::optional<Duration> Quarantine::heldFor(const RequestFingerprint &fingerprint, Instant now) const
+std::optional<Duration> Quarantine::timeToNextTrial(const RequestFingerprint &fingerprint, Instant now) const
 {
     const auto found = m_entries.find(fingerprint);
     if (found == m_entries.end()) {
@@ -220,7 +220,7 @@
     return std::max(found->second.nextTrial - now, s_shortestWait);
 }
 
-bool Quarantine::mayTry(const RequestFingerprint &fingerprint, Instant now) const
+bool Quarantine::mayBeginTrial(const RequestFingerprint &fingerprint, Instant now) const
 {
     const auto found = m_entries.find(fingerprint);
     const bool due = found != m_entries.end() && now >= found->second.nextTrial;
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -78,7 +78,7 @@
 
     /// Converts milliseconds received from a peer or the store to a duration of at most a day in either direction, so that a corrupt number
     /// cannot quarantine a request for years.
-    static Duration boundedTerm(std::int64_t milliseconds);
+    static Duration clampedDuration(std::int64_t milliseconds);
 
     Quarantine();
     explicit Quarantine(Options options);
@@ -112,7 +112,7 @@
     bool acquit(const RequestFingerprint &fingerprint);
 
     /// The state of a quarantined request that routers exchange and store; see Entry.
-    struct Standing {
+    struct EntryState {
         Instant nextTrial{};
         unsigned terms = 1;
         unsigned trials = 0;
@@ -121,11 +121,11 @@
 
     /// Merges what a peer or the store knows of a quarantined request. Returns true if the request was not quarantined here yet, or is now
     /// quarantined for longer.
-    bool learn(const RequestFingerprint &fingerprint, const Standing &standing, Instant now);
+    bool mergeEntry(const RequestFingerprint &fingerprint, const EntryState &state, Instant now);
 
     /// Returns true if a trial of the request may begin. Returns false for a request that is not quarantined, and while another request is
     /// on trial: on the same target, the cause would take the other request down with it.
-    bool mayTry(const RequestFingerprint &fingerprint, Instant now) const;
+    bool mayBeginTrial(const RequestFingerprint &fingerprint, Instant now) const;
 
     /// Records that a copy of the request is let through as a trial.
     void beginTrial(const RequestFingerprint &fingerprint, Instant now);
@@ -135,16 +135,16 @@
 
     /// Returns true if a request with this address hash may be suspected or quarantined. Only then does the caller need to compute the
     /// fingerprint, which takes longer.
-    bool mayKnow(std::uint64_t addressHash) const;
+    bool mayContainAddress(std::uint64_t addressHash) const;
 
     /// Returns true if the request was in flight at a crash and has received no response since.
-    bool knows(const RequestFingerprint &fingerprint) const
+    bool isTracked(const RequestFingerprint &fingerprint) const
     {
         return m_entries.contains(fingerprint) || m_suspects.contains(fingerprint);
     }
 
     /// Returns the time until the next trial of a quarantined request, at least one second, or nullopt if the request is not quarantined.
-    std::optional<Duration> heldFor(const RequestFingerprint &fingerprint, Instant now) const;
+    std::optional<Duration> timeToNextTrial(const RequestFingerprint &fingerprint, Instant now) const;
 
     /// A crash and the requests that it counts against.
     struct KnownCrash {
--- a/src/quarantine/quarantinekeeper.h
+++ b/src/quarantine/quarantinekeeper.h
@@ -128,10 +128,10 @@
             return;
         }
         if (content->terms == 0) {
-            takeAcquittal(*fingerprint, Quarantine::boundedTerm(storeTime - content->nextTrial));
+            takeAcquittal(*fingerprint, Quarantine::clampedDuration(storeTime - content->nextTrial));
             return;
         }
-        const Duration remaining = Quarantine::boundedTerm(content->nextTrial - storeTime);
+        const Duration remaining = Quarantine::clampedDuration(content->nextTrial - storeTime);
         m_guard.take({.fingerprint = *fingerprint, .remaining = remaining, .terms = content->terms}, "the store");
         m_guard.quarantine().setStored(*fingerprint);
     }
@@ -156,9 +156,9 @@
     static bool past(const QuarantineRow &row, StoreTimeMs storeTime)
     {
         if (row.terms == 0) {
-            return Quarantine::boundedTerm(storeTime - row.nextTrial) > s_acquittalMemory;
+            return Quarantine::clampedDuration(storeTime - row.nextTrial) > s_acquittalMemory;
         }
-        return Quarantine::boundedTerm(row.nextTrial - storeTime) <= -Quarantine::s_longestTerm;
+        return Quarantine::clampedDuration(row.nextTrial - storeTime) <= -Quarantine::s_longestTerm;
     }
 
     RowTransaction missing(const RowsRead &read) const
--- a/src/quarantine/quarantinenotice.cpp
+++ b/src/quarantine/quarantinenotice.cpp
@@ -34,7 +34,7 @@
     CrashReport report{.target = notice.target(),
                        .inFlight = {},
                        .crashed = !notice.broke_off(),
-                       .ago = std::max(Quarantine::boundedTerm(notice.ago_ms()), Duration::zero())};
+                       .ago = std::max(Quarantine::clampedDuration(notice.ago_ms()), Duration::zero())};
     for (const std::string &bytes : notice.under_way()) {
         if (const std::optional<RequestFingerprint> fingerprint = RequestFingerprint::fromBytes(bytes)) {
             report.inFlight.push_back(*fingerprint);
@@ -53,7 +53,7 @@
         return std::nullopt;
     }
     return QuarantineChange{.fingerprint = *fingerprint,
-                            .remaining = Quarantine::boundedTerm(notice.remaining_ms()),
+                            .remaining = Quarantine::clampedDuration(notice.remaining_ms()),
                             .terms = notice.terms(),
                             .trials = notice.trials(),
                             .answers = notice.answers()};
--- a/src/tests/poisonfleet.cpp
+++ b/src/tests/poisonfleet.cpp
@@ -31,7 +31,7 @@
     return Instant{} + std::chrono::hours(1) + std::chrono::milliseconds(time);
 }
 
-Quarantine::Standing standingOf(const Quarantine::Entry &entry)
+Quarantine::EntryState entryStateOf(const Quarantine::Entry &entry)
 {
     return {.nextTrial = entry.nextTrial, .terms = entry.terms, .trials = entry.trials, .answers = entry.answers};
 }
@@ -121,7 +121,7 @@
 
 bool PoisonFleet::held(const Router &router, const FingerprintPair &request, Millis now)
 {
-    return router.quarantine.heldFor(request.front(), at(now)) || router.quarantine.heldFor(request.back(), at(now));
+    return router.quarantine.timeToNextTrial(request.front(), at(now)) || router.quarantine.timeToNextTrial(request.back(), at(now));
 }
 
 void PoisonFleet::arrive(const FingerprintPair &request, Stream stream)
@@ -169,7 +169,7 @@
 {
     Quarantine &quarantine = m_routers[number].quarantine;
     for (const RequestFingerprint &fingerprint : request) {
-        if (quarantine.entries().contains(fingerprint) && !quarantine.mayTry(fingerprint, at(m_now))) {
+        if (quarantine.entries().contains(fingerprint) && !quarantine.mayBeginTrial(fingerprint, at(m_now))) {
             return false;
         }
     }
@@ -196,9 +196,9 @@
     if (found == m_routers[number].quarantine.entries().end()) {
         return;
     }
-    const Quarantine::Standing standing = standingOf(found->second);
-    tellOthers(number, [this, fingerprint, standing](Router &other) {
-        other.quarantine.learn(fingerprint, standing, at(m_now));
+    const Quarantine::EntryState state = entryStateOf(found->second);
+    tellOthers(number, [this, fingerprint, state](Router &other) {
+        other.quarantine.mergeEntry(fingerprint, state, at(m_now));
     });
 }
 
@@ -243,8 +243,8 @@
 void PoisonFleet::acquit(std::size_t number, const FingerprintPair &request)
 {
     Router &router = m_routers[number];
-    if (!router.watch.recentlyInterrupted(at(m_now)) && !router.quarantine.knows(request.front())
-        && !router.quarantine.knows(request.back())) {
+    if (!router.watch.recentlyInterrupted(at(m_now)) && !router.quarantine.isTracked(request.front())
+        && !router.quarantine.isTracked(request.back())) {
         return;
     }
     for (const RequestFingerprint &fingerprint : request) {
@@ -446,10 +446,10 @@
         quarantine.acquit(fingerprint);
     }
     for (const auto &[fingerprint, entry] : m_rows) {
-        Quarantine::Standing standing = standingOf(entry);
+        Quarantine::EntryState state = entryStateOf(entry);
         // Rows do not contain the number of trials.
-        standing.trials = 0;
-        quarantine.learn(fingerprint, standing, at(m_now));
+        state.trials = 0;
+        quarantine.mergeEntry(fingerprint, state, at(m_now));
         quarantine.setStored(fingerprint);
     }
     for (const auto &[fingerprint, entry] : quarantine.entries()) {
--- a/src/tests/quarantinekeepertest.cpp
+++ b/src/tests/quarantinekeepertest.cpp
@@ -85,9 +85,9 @@
     rows.now += 60'000;
     Router after(rows);
     after.synchronise();
-    const std::optional<Duration> left = after.guard.heldFor(pair("poison"));
+    const std::optional<Duration> left = after.guard.timeToNextTrial(pair("poison"));
     BOOST_REQUIRE(left.has_value());
-    BOOST_TEST(!after.guard.heldFor(pair("other")).has_value());
+    BOOST_TEST(!after.guard.timeToNextTrial(pair("other")).has_value());
 }
 
 // Every router quarantines the request based on its peers' reports. One of them writes the row, and it is not written again.
@@ -118,24 +118,24 @@
     one.synchronise();
     one.synchronise();
     other.synchronise();
-    BOOST_TEST(other.guard.heldFor(pair("unlucky")).has_value());
+    BOOST_TEST(other.guard.timeToNextTrial(pair("unlucky")).has_value());
     one.guard.answered(pair("unlucky"));
     Router late(rows);
     late.crashThree(request("unlucky"));
     one.synchronise();
     other.synchronise();
-    BOOST_TEST(!other.guard.heldFor(pair("unlucky")).has_value());
+    BOOST_TEST(!other.guard.timeToNextTrial(pair("unlucky")).has_value());
     late.synchronise();
-    BOOST_TEST(!late.guard.heldFor(pair("unlucky")).has_value());
+    BOOST_TEST(!late.guard.timeToNextTrial(pair("unlucky")).has_value());
     one.synchronise();
-    BOOST_TEST(!one.guard.heldFor(pair("unlucky")).has_value());
+    BOOST_TEST(!one.guard.timeToNextTrial(pair("unlucky")).has_value());
     BOOST_TEST(one.guard.acquitted().empty());
     // It may be quarantined again.
     other.crashThree(request("unlucky"));
     rows.now += 2000;
     other.synchronise();
     one.synchronise();
-    BOOST_TEST(one.guard.heldFor(pair("unlucky")).has_value());
+    BOOST_TEST(one.guard.timeToNextTrial(pair("unlucky")).has_value());
     other.guard.answered(pair("unlucky"));
     other.synchronise();
     other.synchronise();
@@ -154,7 +154,7 @@
     router.synchronise();
     rows.put(addressOf(request("poison").text()), std::nullopt);
     router.synchronise();
-    BOOST_TEST(!router.guard.heldFor(pair("poison")).has_value());
+    BOOST_TEST(!router.guard.timeToNextTrial(pair("poison")).has_value());
 }
 
 // The store returns a read from before the row was written, as may happen while it rebuilds its history. A row missing from that read does
@@ -169,7 +169,7 @@
     router.synchronise();
     rows.older = before;
     router.synchronise();
-    BOOST_TEST(router.guard.heldFor(pair("poison")).has_value());
+    BOOST_TEST(router.guard.timeToNextTrial(pair("poison")).has_value());
 }
 
 // Rows of another writer: whatever they contain, no request is quarantined for more than a day, and the other rows count.
@@ -189,7 +189,7 @@
     Router router(rows);
     router.synchronise();
     BOOST_REQUIRE(router.guard.quarantine().entries().size() == 1U);
-    BOOST_TEST((router.guard.heldFor(pair("far")) <= std::chrono::hours(24)));
+    BOOST_TEST((router.guard.timeToNextTrial(pair("far")) <= std::chrono::hours(24)));
 }
 
 // Guards against a second trial shortly after the first, by a router that starts when the router that began the first has terminated.
@@ -208,7 +208,7 @@
     BOOST_TEST(quarantineRowFrom(rows.rows.read("quarantine", "", rows.now).rows.front().value)->nextTrial > before + 2000);
     Router second(rows);
     second.synchronise();
-    BOOST_TEST((second.guard.heldFor(pair("poison")) > std::chrono::seconds(5)));
+    BOOST_TEST((second.guard.timeToNextTrial(pair("poison")) > std::chrono::seconds(5)));
     BOOST_TEST(first.guard.trialsBegun().empty());
 }
 
--- a/src/tests/quarantinetest.cpp
+++ b/src/tests/quarantinetest.cpp
@@ -66,14 +66,14 @@
 {
     Quarantine quarantine;
     for (std::uint64_t target = 1; target <= 3; ++target) {
-        BOOST_TEST(!quarantine.heldFor(request(0), at({})).has_value());
+        BOOST_TEST(!quarantine.timeToNextTrial(request(0), at({})).has_value());
         const std::vector<RequestFingerprint> inFlight{request(0), request(static_cast<int>(target))};
         quarantine.recordCrash(target, inFlight, at({}));
         quarantine.recordCrash(target, inFlight, at({}));
     }
-    BOOST_TEST((quarantine.heldFor(request(0), at({})) >= s_second));
+    BOOST_TEST((quarantine.timeToNextTrial(request(0), at({})) >= s_second));
     BOOST_TEST(quarantine.entries().size() == 1U);
-    BOOST_TEST(quarantine.mayKnow(request(0).addressHash()));
+    BOOST_TEST(quarantine.mayContainAddress(request(0).addressHash()));
 }
 
 // Guards against a request that is quarantined and not found: on the recorded day, a request that had crashed three targets was sent on
@@ -84,11 +84,11 @@
     for (int number = 0; number < 200; ++number) {
         Quarantine quarantine;
         quarantine.recordCrash(1, std::vector{request(number)}, at({}));
-        BOOST_TEST(quarantine.mayKnow(request(number).addressHash()), number);
+        BOOST_TEST(quarantine.mayContainAddress(request(number).addressHash()), number);
         quarantine.recordCrash(2, std::vector{request(number)}, at({}));
         quarantine.recordCrash(3, std::vector{request(number)}, at({}));
-        BOOST_TEST(quarantine.heldFor(request(number), at({})).has_value());
-        BOOST_TEST(quarantine.mayKnow(request(number).addressHash()), number);
+        BOOST_TEST(quarantine.timeToNextTrial(request(number), at({})).has_value());
+        BOOST_TEST(quarantine.mayContainAddress(request(number).addressHash()), number);
     }
 }
 
@@ -117,14 +117,14 @@
     for (std::uint64_t target = 1; target <= 3; ++target) {
         BOOST_TEST(quarantine.recordCrash(target, inFlight, at(2 * s_second), s_second + s_second / 2).empty());
     }
-    BOOST_TEST(!quarantine.knows(request(0)));
+    BOOST_TEST(!quarantine.isTracked(request(0)));
     BOOST_TEST((quarantine.answeredSince(request(0), at(s_second / 2)) == at(s_second)));
     // Crashes after the response count.
     for (std::uint64_t target = 4; target <= 6; ++target) {
         BOOST_TEST(!quarantine.answeredSince(request(0), at(s_second + s_second / 2)).has_value());
         quarantine.recordCrash(target, inFlight, at(2 * s_second), s_second / 2);
     }
-    BOOST_TEST(quarantine.heldFor(request(0), at(2 * s_second)).has_value());
+    BOOST_TEST(quarantine.timeToNextTrial(request(0), at(2 * s_second)).has_value());
 }
 
 // Guards against quarantining a request with recent responses for a long time because one trial coincided with another crash.
@@ -139,7 +139,8 @@
         quarantine.beginTrial(request(0), trial);
         quarantine.recordCrash(100 + trial.time_since_epoch().count(), std::vector{request(0)}, trial + s_second / 5);
         BOOST_TEST(quarantine.entries().at(request(0)).terms == terms);
-        BOOST_TEST((quarantine.heldFor(request(0), trial + s_second / 5) >= (terms == 1 ? s_second : Duration(std::chrono::minutes(10)))));
+        BOOST_TEST(
+            (quarantine.timeToNextTrial(request(0), trial + s_second / 5) >= (terms == 1 ? s_second : Duration(std::chrono::minutes(10)))));
     }
 }
 
@@ -152,13 +153,13 @@
     quarantine.recordCrash(1, std::vector{request(0), request(1)}, at({}));
     quarantine.recordCrash(2, std::vector{request(0), request(1)}, at({}));
     quarantine.recordCrash(3, std::vector{request(0)}, at({}));
-    BOOST_TEST(quarantine.heldFor(request(0), at({})).has_value());
+    BOOST_TEST(quarantine.timeToNextTrial(request(0), at({})).has_value());
     quarantine.recordCrash(4, std::vector{request(1)}, at(60 * s_second));
-    BOOST_TEST(!quarantine.heldFor(request(1), at(60 * s_second)).has_value());
+    BOOST_TEST(!quarantine.timeToNextTrial(request(1), at(60 * s_second)).has_value());
     // Three crashes that nothing else explains count.
     quarantine.recordCrash(5, std::vector{request(1)}, at(61 * s_second));
     quarantine.recordCrash(6, std::vector{request(1)}, at(62 * s_second));
-    BOOST_TEST(quarantine.heldFor(request(1), at(62 * s_second)).has_value());
+    BOOST_TEST(quarantine.timeToNextTrial(request(1), at(62 * s_second)).has_value());
 }
 
 // A harmless request is quarantined because every target crashed within a second with a copy of it in flight. As no copy passes any more,
@@ -167,13 +168,13 @@
 {
     Quarantine quarantine;
     holdBack(quarantine);
-    BOOST_TEST(!quarantine.mayTry(request(0), at({})));
-    BOOST_TEST(quarantine.mayTry(request(0), at(3 * s_second)));
+    BOOST_TEST(!quarantine.mayBeginTrial(request(0), at({})));
+    BOOST_TEST(quarantine.mayBeginTrial(request(0), at(3 * s_second)));
     quarantine.beginTrial(request(0), at(3 * s_second));
     // Only one trial at a time.
-    BOOST_TEST(!quarantine.mayTry(request(0), at(4 * s_second)));
+    BOOST_TEST(!quarantine.mayBeginTrial(request(0), at(4 * s_second)));
     BOOST_TEST(quarantine.acquit(request(0)));
-    BOOST_TEST(!quarantine.heldFor(request(0), at(4 * s_second)).has_value());
+    BOOST_TEST(!quarantine.timeToNextTrial(request(0), at(4 * s_second)).has_value());
 }
 
 // The cause itself is let through as a trial and crashes one more target. It is quarantined for ten minutes, and after the next trial for a
@@ -184,12 +185,12 @@
     holdBack(quarantine);
     for (const unsigned terms : {2U, 3U}) {
         const Instant trial = quarantine.entries().at(request(0)).nextTrial;
-        BOOST_TEST(quarantine.mayTry(request(0), trial));
+        BOOST_TEST(quarantine.mayBeginTrial(request(0), trial));
         quarantine.beginTrial(request(0), trial);
         BOOST_TEST(quarantine.recordCrash(100 + terms, std::vector{request(0)}, trial + s_second / 5).size() == 1U);
         BOOST_TEST(quarantine.entries().at(request(0)).terms == terms);
         const Duration term = terms == 2 ? Duration(std::chrono::minutes(10)) : Duration(std::chrono::hours(24));
-        BOOST_TEST((quarantine.heldFor(request(0), trial + s_second / 5) == term));
+        BOOST_TEST((quarantine.timeToNextTrial(request(0), trial + s_second / 5) == term));
     }
 }
 
@@ -202,12 +203,12 @@
         quarantine.recordCrash(target, std::vector{request(0), request(1)}, at({}));
     }
     quarantine.beginTrial(request(0), at(3 * s_second));
-    BOOST_TEST(!quarantine.mayTry(request(1), at(4 * s_second)));
+    BOOST_TEST(!quarantine.mayBeginTrial(request(1), at(4 * s_second)));
     quarantine.recordCrash(4, std::vector{request(0)}, at(4 * s_second));
-    BOOST_TEST(quarantine.mayTry(request(1), at(4 * s_second)));
+    BOOST_TEST(quarantine.mayBeginTrial(request(1), at(4 * s_second)));
     // A peer starts a trial of the other request.
-    quarantine.learn(request(1), {.nextTrial = at(4 * s_second), .terms = 1, .trials = 1}, at(4 * s_second));
-    BOOST_TEST(!quarantine.mayTry(request(1), at(5 * s_second)));
+    quarantine.mergeEntry(request(1), {.nextTrial = at(4 * s_second), .terms = 1, .trials = 1}, at(4 * s_second));
+    BOOST_TEST(!quarantine.mayBeginTrial(request(1), at(5 * s_second)));
     BOOST_TEST(quarantine.acquit(request(1)));
 }
 
@@ -219,13 +220,13 @@
     holdBack(quarantine);
     int trials = 0;
     for (Instant now = at({}); now < at(60 * s_second); now += s_second / 10) {
-        if (quarantine.mayTry(request(0), now)) {
+        if (quarantine.mayBeginTrial(request(0), now)) {
             quarantine.beginTrial(request(0), now);
             ++trials;
         }
     }
     BOOST_TEST(trials == 2);
-    BOOST_TEST(quarantine.mayTry(request(0), at(std::chrono::minutes(20))));
+    BOOST_TEST(quarantine.mayBeginTrial(request(0), at(std::chrono::minutes(20))));
 }
 
 // All targets are down, so that the trial copy reached none. It does not count as a trial.
@@ -234,7 +235,7 @@
     Quarantine quarantine;
     holdBack(quarantine);
     for (int second = 3; second < 20; second += 2) {
-        BOOST_TEST(quarantine.mayTry(request(0), at(second * s_second)));
+        BOOST_TEST(quarantine.mayBeginTrial(request(0), at(second * s_second)));
         quarantine.beginTrial(request(0), at(second * s_second));
         quarantine.trialNotRun(request(0), at(second * s_second));
     }
@@ -246,14 +247,14 @@
     Quarantine quarantine;
     holdBack(quarantine);
     const Instant trial = at(4 * s_second);
-    quarantine.learn(request(0), {.nextTrial = trial + Quarantine::s_trialTime, .terms = 1, .trials = 1}, trial);
+    quarantine.mergeEntry(request(0), {.nextTrial = trial + Quarantine::s_trialTime, .terms = 1, .trials = 1}, trial);
     // A crash from before the trial began, reported late.
     quarantine.recordCrash(100, std::vector{request(0)}, trial + s_second, s_second + s_second / 2);
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 1U);
     quarantine.recordCrash(101, std::vector{request(0)}, trial + s_second, s_second / 2);
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 2U);
     // The peer is alive after all and reports the same.
-    BOOST_TEST(!quarantine.learn(request(0), {.nextTrial = trial + std::chrono::minutes(10), .terms = 2, .trials = 1}, trial));
+    BOOST_TEST(!quarantine.mergeEntry(request(0), {.nextTrial = trial + std::chrono::minutes(10), .terms = 2, .trials = 1}, trial));
     quarantine.recordCrash(101, std::vector{request(0)}, trial + s_second, s_second / 2);
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 2U);
 }
@@ -288,7 +289,7 @@
     quarantine.recordCrash(1, std::vector{request(0)}, at({}));
     quarantine.recordCrash(2, std::vector{request(0)}, at({}));
     quarantine.expire(at(std::chrono::hours(2)));
-    BOOST_TEST(!quarantine.mayKnow(request(0).addressHash()));
+    BOOST_TEST(!quarantine.mayContainAddress(request(0).addressHash()));
     quarantine.recordCrash(3, std::vector{request(0)}, at(std::chrono::hours(2)));
     BOOST_TEST(quarantine.entries().empty());
 }
@@ -309,7 +310,7 @@
     BOOST_TEST(quarantine.suspects() >= quarantine.options().mostSuspects / 2);
     BOOST_TEST(quarantine.entries().size() == quarantine.options().mostEntries);
     // The newest entries are kept.
-    BOOST_TEST(quarantine.heldFor(request(19'996), now).has_value());
+    BOOST_TEST(quarantine.timeToNextTrial(request(19'996), now).has_value());
 }
 
 // State from a peer or the store: more terms override fewer, and of equal terms the later trial counts, in whichever order they arrive.
@@ -317,26 +318,26 @@
 {
     Quarantine quarantine;
     const auto learn = [&](Duration nextTrial, unsigned terms, unsigned trials) {
-        return quarantine.learn(request(0), {.nextTrial = at(nextTrial), .terms = terms, .trials = trials}, at({}));
+        return quarantine.mergeEntry(request(0), {.nextTrial = at(nextTrial), .terms = terms, .trials = trials}, at({}));
     };
     BOOST_TEST(learn(10 * s_second, 2, 1));
     BOOST_TEST(!learn(50 * s_second, 1, 9));
     BOOST_TEST(!learn(5 * s_second, 2, 1));
-    BOOST_TEST((quarantine.heldFor(request(0), at({})) == 10 * s_second));
+    BOOST_TEST((quarantine.timeToNextTrial(request(0), at({})) == 10 * s_second));
     BOOST_TEST(!learn(20 * s_second, 2, 2));
-    BOOST_TEST((quarantine.heldFor(request(0), at({})) == 20 * s_second));
+    BOOST_TEST((quarantine.timeToNextTrial(request(0), at({})) == 20 * s_second));
     BOOST_TEST(quarantine.entries().at(request(0)).trials == 2U);
     BOOST_TEST(learn(99 * s_second, 3, 0));
-    BOOST_TEST((quarantine.heldFor(request(0), at({})) == 99 * s_second));
+    BOOST_TEST((quarantine.timeToNextTrial(request(0), at({})) == 99 * s_second));
 }
 
 BOOST_AUTO_TEST_CASE(spoiltTermsAreBounded)
 {
     for (const std::int64_t spoilt : {std::numeric_limits<std::int64_t>::max(), std::numeric_limits<std::int64_t>::min()}) {
-        const Duration term = Quarantine::boundedTerm(spoilt);
+        const Duration term = Quarantine::clampedDuration(spoilt);
         BOOST_TEST((term <= Quarantine::s_longestTerm && term >= -Quarantine::s_longestTerm));
     }
-    BOOST_TEST((Quarantine::boundedTerm(1500) == std::chrono::milliseconds(1500)));
+    BOOST_TEST((Quarantine::clampedDuration(1500) == std::chrono::milliseconds(1500)));
 }
 
 // Reports of the same crashes reach each router in a different order, some of them twice. All routers quarantine the same requests: those
