--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -13,22 +13,22 @@
 namespace {
 
 /// Maximum number of crashes kept for each request. More of them change no decision.
-constexpr std::size_t s_mostTargets = 8;
+constexpr std::size_t s_maxCrashesPerRequest = 8;
 /// Every router that had requests on a crashed target reports the crash within this time.
-constexpr Duration s_reportTime = std::chrono::seconds(1);
+constexpr Duration s_reportDelay = std::chrono::seconds(1);
 /// Shortest wait returned to a caller whose copy could be the next trial but was not, and the pause after a trial that reached no target.
-constexpr Duration s_shortestWait = std::chrono::seconds(1);
+constexpr Duration s_minWait = std::chrono::seconds(1);
 
 void addTarget(std::vector<std::uint64_t> &targets, std::uint64_t target)
 {
-    if (targets.size() < s_mostTargets && std::ranges::find(targets, target) == targets.end()) {
+    if (targets.size() < s_maxCrashesPerRequest && std::ranges::find(targets, target) == targets.end()) {
         targets.push_back(target);
     }
 }
 
 /// Returns a delay that depends on the fingerprint. Without it, all requests quarantined by the same crashes would be tried at the same
 /// moment on several routers, before these learn of each other's trials.
-Duration slotOf(const RequestFingerprint &fingerprint)
+Duration firstTrialOffset(const RequestFingerprint &fingerprint)
 {
     constexpr std::uint64_t slots = 8;
     constexpr Duration slot = std::chrono::milliseconds(250);
@@ -36,7 +36,7 @@
 }
 
 /// Returns the lowest fingerprint with this address hash in the sort order.
-RequestFingerprint lowestOf(std::uint64_t addressHash)
+RequestFingerprint lowestFingerprint(std::uint64_t addressHash)
 {
     std::array<char, RequestFingerprint::s_size> bytes{};
     boost::endian::store_big_u64(reinterpret_cast<unsigned char *>(bytes.data()), addressHash);
@@ -44,9 +44,9 @@
 }
 
 template<typename Map>
-bool holdsAddress(const Map &map, std::uint64_t addressHash)
+bool containsAddress(const Map &map, std::uint64_t addressHash)
 {
-    const auto found = map.lower_bound(lowestOf(addressHash));
+    const auto found = map.lower_bound(lowestFingerprint(addressHash));
     return found != map.end() && found->first.addressHash() == addressHash;
 }
 
@@ -54,7 +54,7 @@
 
 Duration Quarantine::clampedDuration(std::int64_t milliseconds)
 {
-    constexpr std::int64_t most = std::chrono::duration_cast<std::chrono::milliseconds>(s_longestTerm).count();
+    constexpr std::int64_t most = std::chrono::duration_cast<std::chrono::milliseconds>(s_maxTrialInterval).count();
     return std::chrono::milliseconds(std::clamp(milliseconds, -most, most));
 }
 
@@ -81,15 +81,15 @@
             addTarget(entry.targets, target);
             // Copies that were already in flight when the request was first quarantined change nothing. A copy on trial does, whichever
             // router started the trial, because that router may have terminated.
-            if (entry.trialAt && now - *entry.trialAt <= s_trialTime && now - ago >= *entry.trialAt) {
+            if (entry.trialAt && now - *entry.trialAt <= s_trialTimeout && now - ago >= *entry.trialAt) {
                 entry.trialAt.reset();
                 if (entry.trials <= extraTrials(entry)) {
-                    entry.nextTrial = now + m_options.extraTrialPause;
+                    entry.nextTrial = now + m_options.extraTrialDelay;
                 } else {
                     ++entry.terms;
-                    entry.nextTrial = now + termOf(entry);
+                    entry.nextTrial = now + trialInterval(entry);
                 }
-                trialDecided(fingerprint);
+                endTrial(fingerprint);
                 held.push_back(fingerprint);
             }
             continue;
@@ -97,8 +97,8 @@
         Suspect &suspect = m_suspects[fingerprint];
         addTarget(suspect.targets, target);
         suspect.last = now;
-        if (suspected(suspect, now)) {
-            m_entries[fingerprint] = {.nextTrial = now + m_options.firstTrial + slotOf(fingerprint),
+        if (isLikelyCause(suspect, now)) {
+            m_entries[fingerprint] = {.nextTrial = now + m_options.firstTrialDelay + firstTrialOffset(fingerprint),
                                       .terms = 1,
                                       .targets = std::move(suspect.targets),
                                       .since = now,
@@ -107,29 +107,29 @@
             held.push_back(fingerprint);
         }
     }
-    boundSuspects();
-    boundEntries();
+    limitSuspects();
+    limitEntries();
     return held;
 }
 
-bool Quarantine::explained(std::uint64_t target, Instant now) const
+bool Quarantine::isExplained(std::uint64_t target, Instant now) const
 {
     // Reports of one crash arrive in any order. A request quarantined just now therefore does not explain the crash for the others yet;
     // else a harmless request that was reported first could clear the actual cause.
     return std::ranges::any_of(m_entries, [&](const auto &entry) {
-        return now - entry.second.since > s_reportTime && std::ranges::find(entry.second.targets, target) != entry.second.targets.end();
+        return now - entry.second.since > s_reportDelay && std::ranges::find(entry.second.targets, target) != entry.second.targets.end();
     });
 }
 
-bool Quarantine::suspected(const Suspect &suspect, Instant now) const
+bool Quarantine::isLikelyCause(const Suspect &suspect, Instant now) const
 {
-    if (suspect.targets.size() < m_options.crashes) {
+    if (suspect.targets.size() < m_options.crashThreshold) {
         return false;
     }
     const auto unexplained = std::ranges::count_if(suspect.targets, [&](std::uint64_t target) {
-        return !explained(target, now);
+        return !isExplained(target, now);
     });
-    return static_cast<std::size_t>(unexplained) >= m_options.crashes;
+    return static_cast<std::size_t>(unexplained) >= m_options.crashThreshold;
 }
 
 bool Quarantine::recordAnswer(const RequestFingerprint &fingerprint, Instant at)
@@ -165,15 +165,15 @@
 
 unsigned Quarantine::extraTrials(const Entry &entry) const
 {
-    return std::min(entry.answers, m_options.mostExtraTrials);
+    return std::min(entry.answers, m_options.maxExtraTrials);
 }
 
 bool Quarantine::acquit(const RequestFingerprint &fingerprint)
 {
-    trialDecided(fingerprint);
-    const bool suspected = m_suspects.erase(fingerprint) > 0;
+    endTrial(fingerprint);
+    const bool isLikelyCause = m_suspects.erase(fingerprint) > 0;
     const bool held = m_entries.erase(fingerprint) > 0;
-    return suspected || held;
+    return isLikelyCause || held;
 }
 
 bool Quarantine::mergeEntry(const RequestFingerprint &fingerprint, const EntryState &state, Instant now)
@@ -183,11 +183,11 @@
     Entry &entry = known->second;
     const bool longer = state.terms > entry.terms;
     if (longer) {
-        trialDecided(fingerprint);
+        endTrial(fingerprint);
         entry.trialAt.reset();
     } else if (state.terms == entry.terms && state.trials > entry.trials) {
         m_onTrial = fingerprint;
-        m_trialEnds = now + s_trialTime;
+        m_trialEnds = now + s_trialTimeout;
         entry.trialAt = now;
     }
     entry.answers = std::max(entry.answers, state.answers);
@@ -201,14 +201,14 @@
             entry.targets = std::move(suspect->second.targets);
             m_suspects.erase(suspect);
         }
-        boundEntries();
+        limitEntries();
     }
     return isNew || longer;
 }
 
 bool Quarantine::mayContainAddress(std::uint64_t addressHash) const
 {
-    return holdsAddress(m_entries, addressHash) || holdsAddress(m_suspects, addressHash);
+    return containsAddress(m_entries, addressHash) || containsAddress(m_suspects, addressHash);
 }
 
 std::optional<Duration> Quarantine::timeToNextTrial(const RequestFingerprint &fingerprint, Instant now) const
@@ -217,7 +217,7 @@
     if (found == m_entries.end()) {
         return std::nullopt;
     }
-    return std::max(found->second.nextTrial - now, s_shortestWait);
+    return std::max(found->second.nextTrial - now, s_minWait);
 }
 
 bool Quarantine::mayBeginTrial(const RequestFingerprint &fingerprint, Instant now) const
@@ -227,12 +227,12 @@
     return due && (!m_onTrial || now >= m_trialEnds);
 }
 
-Duration Quarantine::termOf(const Entry &entry) const
+Duration Quarantine::trialInterval(const Entry &entry) const
 {
-    return entry.terms > 2 ? m_options.laterTerm : m_options.firstTerm;
+    return entry.terms > 2 ? m_options.longTrialInterval : m_options.shortTrialInterval;
 }
 
-void Quarantine::trialDecided(const RequestFingerprint &fingerprint)
+void Quarantine::endTrial(const RequestFingerprint &fingerprint)
 {
     if (m_onTrial == fingerprint) {
         m_onTrial.reset();
@@ -248,9 +248,9 @@
     Entry &entry = found->second;
     ++entry.trials;
     entry.trialAt = now;
-    entry.nextTrial = now + (entry.trials < m_options.earlyTrials + extraTrials(entry) ? s_trialTime : termOf(entry));
+    entry.nextTrial = now + (entry.trials < m_options.maxEarlyTrials + extraTrials(entry) ? s_trialTimeout : trialInterval(entry));
     m_onTrial = fingerprint;
-    m_trialEnds = now + s_trialTime;
+    m_trialEnds = now + s_trialTimeout;
 }
 
 void Quarantine::trialNotRun(const RequestFingerprint &fingerprint, Instant now)
@@ -259,11 +259,11 @@
     if (found == m_entries.end() || !found->second.trialAt) {
         return;
     }
-    trialDecided(fingerprint);
+    endTrial(fingerprint);
     Entry &entry = found->second;
     entry.trials -= std::min(entry.trials, 1U);
     entry.trialAt.reset();
-    entry.nextTrial = now + s_shortestWait;
+    entry.nextTrial = now + s_minWait;
 }
 
 std::vector<Quarantine::KnownCrash> Quarantine::knownCrashes() const
@@ -289,10 +289,10 @@
 {
     m_answers.expire(now);
     std::erase_if(m_suspects, [&](const auto &suspect) {
-        return now - suspect.second.last > m_options.memory;
+        return now - suspect.second.last > m_options.crashRetention;
     });
     std::erase_if(m_entries, [&](const auto &entry) {
-        return now - entry.second.nextTrial >= s_longestTerm;
+        return now - entry.second.nextTrial >= s_maxTrialInterval;
     });
 }
 
@@ -303,9 +303,9 @@
     }
 }
 
-void Quarantine::boundSuspects()
+void Quarantine::limitSuspects()
 {
-    if (m_suspects.size() <= m_options.mostSuspects) {
+    if (m_suspects.size() <= m_options.maxSuspects) {
         return;
     }
     dropOldestQuarter(m_suspects, [](const Suspect &suspect) {
@@ -313,9 +313,9 @@
     });
 }
 
-void Quarantine::boundEntries()
+void Quarantine::limitEntries()
 {
-    while (m_entries.size() > m_options.mostEntries) {
+    while (m_entries.size() > m_options.maxEntries) {
         m_entries.erase(std::ranges::min_element(m_entries, {}, [](const auto &entry) {
             return entry.second.nextTrial;
         }));
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -26,34 +26,34 @@
 {
 public:
     /// Longest time until the next trial. A quarantined request is forgotten if no copy of it arrives for this long after that.
-    static constexpr Duration s_longestTerm = std::chrono::hours(24);
+    static constexpr Duration s_maxTrialInterval = std::chrono::hours(24);
     /// A trial that has no result after this time will not get one: its caller disconnected or its response was lost.
-    static constexpr Duration s_trialTime = std::chrono::seconds(3);
+    static constexpr Duration s_trialTimeout = std::chrono::seconds(3);
 
     struct Options {
         /// Number of crashes without a response in between after which a request is quarantined.
-        std::size_t crashes = 3;
+        std::size_t crashThreshold = 3;
         /// Time until the first trial, by which all reports of the crashes have arrived. Each request waits up to two seconds longer,
         /// depending on its fingerprint.
-        Duration firstTrial = std::chrono::seconds(1);
+        Duration firstTrialDelay = std::chrono::seconds(1);
         /// Maximum number of trials in quick succession while none has a result. It is small because each trial may crash a target.
-        unsigned earlyTrials = 2;
+        unsigned maxEarlyTrials = 2;
         /// Maximum number of additional trials for a request that received responses recently, one for each response. Such a request was
         /// most likely in flight by coincidence, even if the target of its trial crashes.
-        unsigned mostExtraTrials = 3;
+        unsigned maxExtraTrials = 3;
         /// Time from a trial that crashed a target until one of these additional trials.
-        Duration extraTrialPause = std::chrono::seconds(1);
+        Duration extraTrialDelay = std::chrono::seconds(1);
         /// Time between later trials, and after the first trial that crashed a target: that crash may have had another cause.
-        Duration firstTerm = std::chrono::minutes(10);
+        Duration shortTrialInterval = std::chrono::minutes(10);
         /// Time until the next trial after two or more trials crashed a target.
-        Duration laterTerm = s_longestTerm;
+        Duration longTrialInterval = s_maxTrialInterval;
         /// A crash is remembered for this long.
-        Duration memory = std::chrono::hours(1);
+        Duration crashRetention = std::chrono::hours(1);
         /// Maximum number of fingerprints that were in flight at crashes. When it is exceeded, the oldest ones are forgotten. It is reached
         /// with 96 requests per target and 40 crashes within the retention time, and then takes about 1 MB.
-        std::size_t mostSuspects = 8192;
+        std::size_t maxSuspects = 8192;
         /// Maximum number of quarantined fingerprints, which is also the number of rows in the store. One read returns all of them.
-        std::size_t mostEntries = 256;
+        std::size_t maxEntries = 256;
     };
 
     /// A quarantined request.
@@ -187,13 +187,13 @@
         Instant last{};
     };
 
-    bool explained(std::uint64_t target, Instant now) const;
-    bool suspected(const Suspect &suspect, Instant now) const;
+    bool isExplained(std::uint64_t target, Instant now) const;
+    bool isLikelyCause(const Suspect &suspect, Instant now) const;
     unsigned extraTrials(const Entry &entry) const;
-    Duration termOf(const Entry &entry) const;
-    void trialDecided(const RequestFingerprint &fingerprint);
-    void boundSuspects();
-    void boundEntries();
+    Duration trialInterval(const Entry &entry) const;
+    void endTrial(const RequestFingerprint &fingerprint);
+    void limitSuspects();
+    void limitEntries();
 
     Options m_options;
     std::map<RequestFingerprint, Suspect> m_suspects;
--- a/src/quarantine/quarantinekeeper.h
+++ b/src/quarantine/quarantinekeeper.h
@@ -158,7 +158,7 @@
         if (row.terms == 0) {
             return Quarantine::clampedDuration(storeTime - row.nextTrial) > s_acquittalMemory;
         }
-        return Quarantine::clampedDuration(row.nextTrial - storeTime) <= -Quarantine::s_longestTerm;
+        return Quarantine::clampedDuration(row.nextTrial - storeTime) <= -Quarantine::s_maxTrialInterval;
     }
 
     RowTransaction missing(const RowsRead &read) const
@@ -198,7 +198,7 @@
     /// Returns the time of the next trial before which rows exceed the maximum number, or 0 if there are no more rows than that.
     StoreTimeMs oldestKeptTrial() const
     {
-        const std::size_t most = m_guard.quarantine().options().mostEntries;
+        const std::size_t most = m_guard.quarantine().options().maxEntries;
         if (m_rows.size() <= most) {
             return 0;
         }
--- a/src/tests/quarantinekeepertest.cpp
+++ b/src/tests/quarantinekeepertest.cpp
@@ -223,7 +223,7 @@
     for (int round = 0; round < 10; ++round) {
         router.synchronise();
     }
-    BOOST_TEST(kept(rows) == router.guard.quarantine().options().mostEntries);
+    BOOST_TEST(kept(rows) == router.guard.quarantine().options().maxEntries);
     rows.now += std::chrono::milliseconds(std::chrono::hours(25)).count();
     for (int round = 0; round < 10; ++round) {
         router.synchronise();
--- a/src/tests/quarantinetest.cpp
+++ b/src/tests/quarantinetest.cpp
@@ -247,7 +247,7 @@
     Quarantine quarantine;
     holdBack(quarantine);
     const Instant trial = at(4 * s_second);
-    quarantine.mergeEntry(request(0), {.nextTrial = trial + Quarantine::s_trialTime, .terms = 1, .trials = 1}, trial);
+    quarantine.mergeEntry(request(0), {.nextTrial = trial + Quarantine::s_trialTimeout, .terms = 1, .trials = 1}, trial);
     // A crash from before the trial began, reported late.
     quarantine.recordCrash(100, std::vector{request(0)}, trial + s_second, s_second + s_second / 2);
     BOOST_TEST(quarantine.entries().at(request(0)).terms == 1U);
@@ -306,9 +306,9 @@
             quarantine.recordCrash(static_cast<std::uint64_t>(number) * 4 + crash, std::vector{request(number)}, now);
         }
     }
-    BOOST_TEST(quarantine.suspects() <= quarantine.options().mostSuspects);
-    BOOST_TEST(quarantine.suspects() >= quarantine.options().mostSuspects / 2);
-    BOOST_TEST(quarantine.entries().size() == quarantine.options().mostEntries);
+    BOOST_TEST(quarantine.suspects() <= quarantine.options().maxSuspects);
+    BOOST_TEST(quarantine.suspects() >= quarantine.options().maxSuspects / 2);
+    BOOST_TEST(quarantine.entries().size() == quarantine.options().maxEntries);
     // The newest entries are kept.
     BOOST_TEST(quarantine.timeToNextTrial(request(19'996), now).has_value());
 }
@@ -335,7 +335,7 @@
 {
     for (const std::int64_t spoilt : {std::numeric_limits<std::int64_t>::max(), std::numeric_limits<std::int64_t>::min()}) {
         const Duration term = Quarantine::clampedDuration(spoilt);
-        BOOST_TEST((term <= Quarantine::s_longestTerm && term >= -Quarantine::s_longestTerm));
+        BOOST_TEST((term <= Quarantine::s_maxTrialInterval && term >= -Quarantine::s_maxTrialInterval));
     }
     BOOST_TEST((Quarantine::clampedDuration(1500) == std::chrono::milliseconds(1500)));
 }
