--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -171,9 +171,9 @@
 bool Quarantine::acquit(const RequestFingerprint &fingerprint)
 {
     endTrial(fingerprint);
-    const bool isLikelyCause = m_suspects.erase(fingerprint) > 0;
-    const bool held = m_entries.erase(fingerprint) > 0;
-    return isLikelyCause || held;
+    const bool wasSuspected = m_suspects.erase(fingerprint) > 0;
+    const bool wasQuarantined = m_entries.erase(fingerprint) > 0;
+    return wasSuspected || wasQuarantined;
 }
 
 bool Quarantine::mergeEntry(const RequestFingerprint &fingerprint, const EntryState &state, Instant now)
