--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -224,7 +224,7 @@
         const Quarantine::Entry &entry = found->second;
         m_tellChange({.fingerprint = fingerprint,
                       .remaining = entry.nextTrial - steadyNow(),
-                      .terms = entry.terms,
+                      .quarantineLevel = entry.quarantineLevel,
                       .trials = entry.trials,
                       .answers = entry.answers});
     }
@@ -297,10 +297,10 @@
 void PoisonGuard::take(const QuarantineChange &change, std::string_view from)
 {
     const Instant now = steadyNow();
-    const bool lifts = change.terms == 0;
+    const bool lifts = change.quarantineLevel == 0;
     const bool held = m_quarantine.entries().contains(change.fingerprint);
     const Quarantine::EntryState state{
-        .nextTrial = now + change.remaining, .terms = change.terms, .trials = change.trials, .answers = change.answers};
+        .nextTrial = now + change.remaining, .quarantineLevel = change.quarantineLevel, .trials = change.trials, .answers = change.answers};
     const bool isNew = lifts ? m_quarantine.recordPeerAnswer(change.fingerprint, now + std::min(change.remaining, Duration::zero()))
                              : m_quarantine.mergeEntry(change.fingerprint, state, now);
     if (isNew) {
--- a/src/quarantine/poisonguard.h
+++ b/src/quarantine/poisonguard.h
@@ -36,7 +36,7 @@
     /// acquitted it.
     Duration remaining{};
     /// See Quarantine::Entry; 0 if the request is acquitted.
-    unsigned terms = 0;
+    unsigned quarantineLevel = 0;
     unsigned trials = 0;
     unsigned answers = 0;
 };
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -81,12 +81,12 @@
             addTarget(entry.targets, target);
             // Copies that were already in flight when the request was first quarantined change nothing. A copy on trial does, whichever
             // router started the trial, because that router may have terminated.
-            if (entry.trialAt && now - *entry.trialAt <= s_trialTimeout && now - ago >= *entry.trialAt) {
-                entry.trialAt.reset();
+            if (entry.trialBegan && now - *entry.trialBegan <= s_trialTimeout && now - ago >= *entry.trialBegan) {
+                entry.trialBegan.reset();
                 if (entry.trials <= extraTrials(entry)) {
                     entry.nextTrial = now + m_options.extraTrialDelay;
                 } else {
-                    ++entry.terms;
+                    ++entry.quarantineLevel;
                     entry.nextTrial = now + trialInterval(entry);
                 }
                 endTrial(fingerprint);
@@ -99,9 +99,9 @@
         suspect.last = now;
         if (isLikelyCause(suspect, now)) {
             m_entries[fingerprint] = {.nextTrial = now + m_options.firstTrialDelay + firstTrialOffset(fingerprint),
-                                      .terms = 1,
+                                      .quarantineLevel = 1,
                                       .targets = std::move(suspect.targets),
-                                      .since = now,
+                                      .quarantinedSince = now,
                                       .answers = m_answers.recentAnswerCount(fingerprint, now)};
             m_suspects.erase(fingerprint);
             held.push_back(fingerprint);
@@ -117,7 +117,8 @@
     // Reports of one crash arrive in any order. A request quarantined just now therefore does not explain the crash for the others yet;
     // else a harmless request that was reported first could clear the actual cause.
     return std::ranges::any_of(m_entries, [&](const auto &entry) {
-        return now - entry.second.since > s_reportDelay && std::ranges::find(entry.second.targets, target) != entry.second.targets.end();
+        return now - entry.second.quarantinedSince > s_reportDelay
+            && std::ranges::find(entry.second.targets, target) != entry.second.targets.end();
     });
 }
 
@@ -135,11 +136,11 @@
 bool Quarantine::recordAnswer(const RequestFingerprint &fingerprint, Instant at)
 {
     m_answers.addLocalAnswer(fingerprint, at);
-    const bool spokeAgainst = acquit(fingerprint);
-    if (spokeAgainst) {
+    const bool wasAccused = acquit(fingerprint);
+    if (wasAccused) {
         (void)m_answers.takeUnannounced(fingerprint, at - Duration(1));
     }
-    return spokeAgainst;
+    return wasAccused;
 }
 
 bool Quarantine::recordPeerAnswer(const RequestFingerprint &fingerprint, Instant at)
@@ -179,22 +180,22 @@
 bool Quarantine::mergeEntry(const RequestFingerprint &fingerprint, const EntryState &state, Instant now)
 {
     const auto [known, isNew] =
-        m_entries.try_emplace(fingerprint, Entry{.since = now, .answers = m_answers.recentAnswerCount(fingerprint, now)});
+        m_entries.try_emplace(fingerprint, Entry{.quarantinedSince = now, .answers = m_answers.recentAnswerCount(fingerprint, now)});
     Entry &entry = known->second;
-    const bool longer = state.terms > entry.terms;
+    const bool longer = state.quarantineLevel > entry.quarantineLevel;
     if (longer) {
         endTrial(fingerprint);
-        entry.trialAt.reset();
-    } else if (state.terms == entry.terms && state.trials > entry.trials) {
-        m_onTrial = fingerprint;
+        entry.trialBegan.reset();
+    } else if (state.quarantineLevel == entry.quarantineLevel && state.trials > entry.trials) {
+        m_requestOnTrial = fingerprint;
         m_trialEnds = now + s_trialTimeout;
-        entry.trialAt = now;
+        entry.trialBegan = now;
     }
     entry.answers = std::max(entry.answers, state.answers);
-    if (state.terms >= entry.terms) {
+    if (state.quarantineLevel >= entry.quarantineLevel) {
         entry.nextTrial = std::max(entry.nextTrial, state.nextTrial);
         entry.trials = std::max(entry.trials, state.trials);
-        entry.terms = state.terms;
+        entry.quarantineLevel = state.quarantineLevel;
     }
     if (isNew) {
         if (const auto suspect = m_suspects.find(fingerprint); suspect != m_suspects.end()) {
@@ -224,18 +225,18 @@
 {
     const auto found = m_entries.find(fingerprint);
     const bool due = found != m_entries.end() && now >= found->second.nextTrial;
-    return due && (!m_onTrial || now >= m_trialEnds);
+    return due && (!m_requestOnTrial || now >= m_trialEnds);
 }
 
 Duration Quarantine::trialInterval(const Entry &entry) const
 {
-    return entry.terms > 2 ? m_options.longTrialInterval : m_options.shortTrialInterval;
+    return entry.quarantineLevel > 2 ? m_options.longTrialInterval : m_options.shortTrialInterval;
 }
 
 void Quarantine::endTrial(const RequestFingerprint &fingerprint)
 {
-    if (m_onTrial == fingerprint) {
-        m_onTrial.reset();
+    if (m_requestOnTrial == fingerprint) {
+        m_requestOnTrial.reset();
     }
 }
 
@@ -247,22 +248,22 @@
     }
     Entry &entry = found->second;
     ++entry.trials;
-    entry.trialAt = now;
+    entry.trialBegan = now;
     entry.nextTrial = now + (entry.trials < m_options.maxEarlyTrials + extraTrials(entry) ? s_trialTimeout : trialInterval(entry));
-    m_onTrial = fingerprint;
+    m_requestOnTrial = fingerprint;
     m_trialEnds = now + s_trialTimeout;
 }
 
 void Quarantine::trialNotRun(const RequestFingerprint &fingerprint, Instant now)
 {
     const auto found = m_entries.find(fingerprint);
-    if (found == m_entries.end() || !found->second.trialAt) {
+    if (found == m_entries.end() || !found->second.trialBegan) {
         return;
     }
     endTrial(fingerprint);
     Entry &entry = found->second;
     entry.trials -= std::min(entry.trials, 1U);
-    entry.trialAt.reset();
+    entry.trialBegan.reset();
     entry.nextTrial = now + s_minWait;
 }
 
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -61,17 +61,17 @@
         /// Time from which on a trial copy may be let through.
         Instant nextTrial{};
         /// 1 when the request is first quarantined, and one more for each trial that crashed a target.
-        unsigned terms = 0;
+        unsigned quarantineLevel = 0;
         /// Hashes of the incarnations of the targets that crashed while the request was in flight.
         std::vector<std::uint64_t> targets;
-        Instant since{};
+        Instant quarantinedSince{};
         /// True if the store has a row for this entry.
         bool stored = false;
         /// Number of recent responses to the request when it was first quarantined.
         unsigned answers = 0;
         /// Number of trials on all routers so far, and the start of the last one while it has no result, as far as this router knows.
         unsigned trials = 0;
-        std::optional<Instant> trialAt;
+        std::optional<Instant> trialBegan;
     };
 
     using Entries = std::map<RequestFingerprint, Entry>;
@@ -114,7 +114,7 @@
     /// The state of a quarantined request that routers exchange and store; see Entry.
     struct EntryState {
         Instant nextTrial{};
-        unsigned terms = 1;
+        unsigned quarantineLevel = 1;
         unsigned trials = 0;
         unsigned answers = 0;
     };
@@ -200,7 +200,7 @@
     Entries m_entries;
     AnswerMemory m_answers;
     /// The request that is on trial on any router, and the time from which on that trial is taken to have no result.
-    std::optional<RequestFingerprint> m_onTrial;
+    std::optional<RequestFingerprint> m_requestOnTrial;
     Instant m_trialEnds{};
 };
 
--- a/src/quarantine/quarantinekeeper.h
+++ b/src/quarantine/quarantinekeeper.h
@@ -98,7 +98,7 @@
         }
         std::erase_if(m_guard.acquitted(), [this](const RequestFingerprint &fingerprint) {
             const auto row = m_rows.find(fingerprint);
-            const bool told = row != m_rows.end() && row->second.content.terms == 0;
+            const bool told = row != m_rows.end() && row->second.content.quarantineLevel == 0;
             return told || m_guard.quarantine().entries().contains(fingerprint);
         });
         std::vector<RequestFingerprint> lifted;
@@ -127,12 +127,12 @@
         if (m_guard.acquitted().contains(*fingerprint) || past(*content, storeTime)) {
             return;
         }
-        if (content->terms == 0) {
+        if (content->quarantineLevel == 0) {
             takeAcquittal(*fingerprint, Quarantine::clampedDuration(storeTime - content->nextTrial));
             return;
         }
         const Duration remaining = Quarantine::clampedDuration(content->nextTrial - storeTime);
-        m_guard.take({.fingerprint = *fingerprint, .remaining = remaining, .terms = content->terms}, "the store");
+        m_guard.take({.fingerprint = *fingerprint, .remaining = remaining, .quarantineLevel = content->quarantineLevel}, "the store");
         m_guard.quarantine().setStored(*fingerprint);
     }
 
@@ -140,7 +140,7 @@
     void takeAcquittal(const RequestFingerprint &fingerprint, Duration ago)
     {
         const auto entry = m_guard.quarantine().entries().find(fingerprint);
-        if (entry != m_guard.quarantine().entries().end() && entry->second.since < steadyNow() - ago) {
+        if (entry != m_guard.quarantine().entries().end() && entry->second.quarantinedSince < steadyNow() - ago) {
             m_guard.lift(fingerprint);
         }
     }
@@ -149,13 +149,14 @@
     /// not make a row newer: a router whose clock had stopped for a while would extend every row.
     static bool isNewer(const QuarantineRow &content, const QuarantineRow &row, bool trialBegun)
     {
-        return content.terms > row.terms || (trialBegun && content.terms == row.terms && content.nextTrial > row.nextTrial);
+        return content.quarantineLevel > row.quarantineLevel
+            || (trialBegun && content.quarantineLevel == row.quarantineLevel && content.nextTrial > row.nextTrial);
     }
 
     /// Returns true if no router needs the row any more.
     static bool past(const QuarantineRow &row, StoreTimeMs storeTime)
     {
-        if (row.terms == 0) {
+        if (row.quarantineLevel == 0) {
             return Quarantine::clampedDuration(storeTime - row.nextTrial) > s_acquittalMemory;
         }
         return Quarantine::clampedDuration(row.nextTrial - storeTime) <= -Quarantine::s_maxTrialInterval;
@@ -174,7 +175,7 @@
         for (const auto &[fingerprint, entry] : m_guard.quarantine().entries()) {
             const auto row = m_rows.find(fingerprint);
             const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(entry.nextTrial - now).count();
-            const QuarantineRow content{.nextTrial = read.storeTime + left, .terms = entry.terms};
+            const QuarantineRow content{.nextTrial = read.storeTime + left, .quarantineLevel = entry.quarantineLevel};
             const bool begun = m_guard.trialsBegun().contains(fingerprint);
             if (row == m_rows.end() || isNewer(content, row->second.content, begun)) {
                 change(fingerprint, row == m_rows.end() ? 0 : row->second.version, toText(content));
@@ -182,7 +183,7 @@
         }
         for (const RequestFingerprint &fingerprint : m_guard.acquitted()) {
             const auto row = m_rows.find(fingerprint);
-            const QuarantineRow content{.nextTrial = read.storeTime, .terms = 0};
+            const QuarantineRow content{.nextTrial = read.storeTime, .quarantineLevel = 0};
             change(fingerprint, row == m_rows.end() ? 0 : row->second.version, toText(content));
         }
         const StoreTimeMs oldestKept = oldestKeptTrial();
--- a/src/quarantine/quarantinenotice.cpp
+++ b/src/quarantine/quarantinenotice.cpp
@@ -23,7 +23,7 @@
     wire::QuarantineNotice notice;
     notice.set_fingerprint(std::string(change.fingerprint.bytes()));
     notice.set_remaining_ms(std::chrono::duration_cast<std::chrono::milliseconds>(change.remaining).count());
-    notice.set_terms(change.terms);
+    notice.set_terms(change.quarantineLevel);
     notice.set_trials(change.trials);
     notice.set_answers(change.answers);
     return notice;
@@ -54,7 +54,7 @@
     }
     return QuarantineChange{.fingerprint = *fingerprint,
                             .remaining = Quarantine::clampedDuration(notice.remaining_ms()),
-                            .terms = notice.terms(),
+                            .quarantineLevel = notice.terms(),
                             .trials = notice.trials(),
                             .answers = notice.answers()};
 }
--- a/src/quarantine/quarantinerow.cpp
+++ b/src/quarantine/quarantinerow.cpp
@@ -23,7 +23,7 @@
 
 std::string toText(const QuarantineRow &row)
 {
-    return boost::json::serialize(boost::json::object{{"next_trial_ms", row.nextTrial}, {"terms", row.terms}});
+    return boost::json::serialize(boost::json::object{{"next_trial_ms", row.nextTrial}, {"terms", row.quarantineLevel}});
 }
 
 absl::StatusOr<QuarantineRow> quarantineRowFrom(std::string_view text)
@@ -34,11 +34,11 @@
         return failed(FailureKind::InvalidDocument, "quarantine row is not a JSON object");
     }
     const std::int64_t nextTrial = numberOf(value.get_object(), "next_trial_ms");
-    const std::int64_t terms = numberOf(value.get_object(), "terms");
-    if (nextTrial < 0 || terms < 0 || terms > std::numeric_limits<std::int32_t>::max()) {
+    const std::int64_t quarantineLevel = numberOf(value.get_object(), "terms");
+    if (nextTrial < 0 || quarantineLevel < 0 || quarantineLevel > std::numeric_limits<std::int32_t>::max()) {
         return failed(FailureKind::InvalidDocument, "quarantine row lacks a valid \"next_trial_ms\" or \"terms\"");
     }
-    return QuarantineRow{.nextTrial = nextTrial, .terms = static_cast<unsigned>(terms)};
+    return QuarantineRow{.nextTrial = nextTrial, .quarantineLevel = static_cast<unsigned>(quarantineLevel)};
 }
 
 }
--- a/src/quarantine/quarantinerow.h
+++ b/src/quarantine/quarantinerow.h
@@ -19,7 +19,7 @@
     StoreTimeMs nextTrial = 0;
     /// See Quarantine::Entry; 0 if the request is acquitted. Such a row is kept for a while: a router that missed the announcement would
     /// otherwise find no row and write its own.
-    unsigned terms = 1;
+    unsigned quarantineLevel = 1;
 
     bool operator==(const QuarantineRow &) const = default;
 };
--- a/src/tests/poisonfleet.cpp
+++ b/src/tests/poisonfleet.cpp
@@ -33,7 +33,7 @@
 
 Quarantine::EntryState entryStateOf(const Quarantine::Entry &entry)
 {
-    return {.nextTrial = entry.nextTrial, .terms = entry.terms, .trials = entry.trials, .answers = entry.answers};
+    return {.nextTrial = entry.nextTrial, .quarantineLevel = entry.quarantineLevel, .trials = entry.trials, .answers = entry.answers};
 }
 
 }
@@ -437,7 +437,7 @@
     std::vector<RequestFingerprint> lifted;
     for (const auto &[fingerprint, entry] : quarantine.entries()) {
         const auto acquitted = m_acquittedAt.find(fingerprint);
-        const bool sinceThen = acquitted != m_acquittedAt.end() && entry.since < at(acquitted->second);
+        const bool sinceThen = acquitted != m_acquittedAt.end() && entry.quarantinedSince < at(acquitted->second);
         if (sinceThen || (entry.stored && !m_rows.contains(fingerprint))) {
             lifted.push_back(fingerprint);
         }
@@ -454,7 +454,7 @@
     }
     for (const auto &[fingerprint, entry] : quarantine.entries()) {
         const auto [row, isNew] = m_rows.try_emplace(fingerprint, entry);
-        if (row->second.terms < entry.terms) {
+        if (row->second.quarantineLevel < entry.quarantineLevel) {
             row->second = entry;
         }
     }
--- a/src/tests/quarantinekeepertest.cpp
+++ b/src/tests/quarantinekeepertest.cpp
@@ -217,7 +217,7 @@
 {
     SharedRows rows;
     for (int number = 0; number < 300; ++number) {
-        rows.put(addressOf(request(std::to_string(number)).text()), toText({.nextTrial = rows.now + number, .terms = 1}));
+        rows.put(addressOf(request(std::to_string(number)).text()), toText({.nextTrial = rows.now + number, .quarantineLevel = 1}));
     }
     Router router(rows);
     for (int round = 0; round < 10; ++round) {
@@ -234,8 +234,8 @@
 BOOST_AUTO_TEST_CASE(anyBytesAreReadOrRefused)
 {
     std::mt19937 random(20261203);
-    const std::string sound = toText({.nextTrial = 12345, .terms = 2});
-    BOOST_TEST((quarantineRowFrom(sound).value() == QuarantineRow{.nextTrial = 12345, .terms = 2}));
+    const std::string sound = toText({.nextTrial = 12345, .quarantineLevel = 2});
+    BOOST_TEST((quarantineRowFrom(sound).value() == QuarantineRow{.nextTrial = 12345, .quarantineLevel = 2}));
     for (int round = 0; round < 5000; ++round) {
         std::string text = sound;
         for (unsigned change = random() % 4 + 1; change > 0; --change) {
--- a/src/tests/quarantinetest.cpp
+++ b/src/tests/quarantinetest.cpp
@@ -134,13 +134,13 @@
     quarantine.recordAnswer(request(0), at(-s_second));
     quarantine.recordAnswer(request(0), at(-s_second / 2));
     holdBack(quarantine);
-    for (const unsigned terms : {1U, 1U, 2U}) {
+    for (const unsigned quarantineLevel : {1U, 1U, 2U}) {
         const Instant trial = quarantine.entries().at(request(0)).nextTrial;
         quarantine.beginTrial(request(0), trial);
         quarantine.recordCrash(100 + trial.time_since_epoch().count(), std::vector{request(0)}, trial + s_second / 5);
-        BOOST_TEST(quarantine.entries().at(request(0)).terms == terms);
-        BOOST_TEST(
-            (quarantine.timeToNextTrial(request(0), trial + s_second / 5) >= (terms == 1 ? s_second : Duration(std::chrono::minutes(10)))));
+        BOOST_TEST(quarantine.entries().at(request(0)).quarantineLevel == quarantineLevel);
+        BOOST_TEST((quarantine.timeToNextTrial(request(0), trial + s_second / 5)
+                    >= (quarantineLevel == 1 ? s_second : Duration(std::chrono::minutes(10)))));
     }
 }
 
@@ -183,13 +183,13 @@
 {
     Quarantine quarantine;
     holdBack(quarantine);
-    for (const unsigned terms : {2U, 3U}) {
+    for (const unsigned quarantineLevel : {2U, 3U}) {
         const Instant trial = quarantine.entries().at(request(0)).nextTrial;
         BOOST_TEST(quarantine.mayBeginTrial(request(0), trial));
         quarantine.beginTrial(request(0), trial);
-        BOOST_TEST(quarantine.recordCrash(100 + terms, std::vector{request(0)}, trial + s_second / 5).size() == 1U);
-        BOOST_TEST(quarantine.entries().at(request(0)).terms == terms);
-        const Duration term = terms == 2 ? Duration(std::chrono::minutes(10)) : Duration(std::chrono::hours(24));
+        BOOST_TEST(quarantine.recordCrash(100 + quarantineLevel, std::vector{request(0)}, trial + s_second / 5).size() == 1U);
+        BOOST_TEST(quarantine.entries().at(request(0)).quarantineLevel == quarantineLevel);
+        const Duration term = quarantineLevel == 2 ? Duration(std::chrono::minutes(10)) : Duration(std::chrono::hours(24));
         BOOST_TEST((quarantine.timeToNextTrial(request(0), trial + s_second / 5) == term));
     }
 }
@@ -207,7 +207,7 @@
     quarantine.recordCrash(4, std::vector{request(0)}, at(4 * s_second));
     BOOST_TEST(quarantine.mayBeginTrial(request(1), at(4 * s_second)));
     // A peer starts a trial of the other request.
-    quarantine.mergeEntry(request(1), {.nextTrial = at(4 * s_second), .terms = 1, .trials = 1}, at(4 * s_second));
+    quarantine.mergeEntry(request(1), {.nextTrial = at(4 * s_second), .quarantineLevel = 1, .trials = 1}, at(4 * s_second));
     BOOST_TEST(!quarantine.mayBeginTrial(request(1), at(5 * s_second)));
     BOOST_TEST(quarantine.acquit(request(1)));
 }
@@ -247,16 +247,17 @@
     Quarantine quarantine;
     holdBack(quarantine);
     const Instant trial = at(4 * s_second);
-    quarantine.mergeEntry(request(0), {.nextTrial = trial + Quarantine::s_trialTimeout, .terms = 1, .trials = 1}, trial);
+    quarantine.mergeEntry(request(0), {.nextTrial = trial + Quarantine::s_trialTimeout, .quarantineLevel = 1, .trials = 1}, trial);
     // A crash from before the trial began, reported late.
     quarantine.recordCrash(100, std::vector{request(0)}, trial + s_second, s_second + s_second / 2);
-    BOOST_TEST(quarantine.entries().at(request(0)).terms == 1U);
+    BOOST_TEST(quarantine.entries().at(request(0)).quarantineLevel == 1U);
     quarantine.recordCrash(101, std::vector{request(0)}, trial + s_second, s_second / 2);
-    BOOST_TEST(quarantine.entries().at(request(0)).terms == 2U);
+    BOOST_TEST(quarantine.entries().at(request(0)).quarantineLevel == 2U);
     // The peer is alive after all and reports the same.
-    BOOST_TEST(!quarantine.mergeEntry(request(0), {.nextTrial = trial + std::chrono::minutes(10), .terms = 2, .trials = 1}, trial));
+    BOOST_TEST(
+        !quarantine.mergeEntry(request(0), {.nextTrial = trial + std::chrono::minutes(10), .quarantineLevel = 2, .trials = 1}, trial));
     quarantine.recordCrash(101, std::vector{request(0)}, trial + s_second, s_second / 2);
-    BOOST_TEST(quarantine.entries().at(request(0)).terms == 2U);
+    BOOST_TEST(quarantine.entries().at(request(0)).quarantineLevel == 2U);
 }
 
 // Guards against a router that forgets, by a restart, the crashes that it saw before.
@@ -280,7 +281,7 @@
     for (std::uint64_t target = 1; target <= 9; ++target) {
         quarantine.recordCrash(target, std::vector{request(0)}, at({}));
     }
-    BOOST_TEST(quarantine.entries().at(request(0)).terms == 1U);
+    BOOST_TEST(quarantine.entries().at(request(0)).quarantineLevel == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(forgetsWhatIsLongPast)
@@ -313,12 +314,14 @@
     BOOST_TEST(quarantine.timeToNextTrial(request(19'996), now).has_value());
 }
 
-// State from a peer or the store: more terms override fewer, and of equal terms the later trial counts, in whichever order they arrive.
+// State from a peer or the store: a higher level overrides a lower one, and at equal levels the later trial counts, in whichever order they
+// arrive.
 BOOST_AUTO_TEST_CASE(learnsFromOthers)
 {
     Quarantine quarantine;
-    const auto learn = [&](Duration nextTrial, unsigned terms, unsigned trials) {
-        return quarantine.mergeEntry(request(0), {.nextTrial = at(nextTrial), .terms = terms, .trials = trials}, at({}));
+    const auto learn = [&](Duration nextTrial, unsigned quarantineLevel, unsigned trials) {
+        return quarantine.mergeEntry(
+            request(0), {.nextTrial = at(nextTrial), .quarantineLevel = quarantineLevel, .trials = trials}, at({}));
     };
     BOOST_TEST(learn(10 * s_second, 2, 1));
     BOOST_TEST(!learn(50 * s_second, 1, 9));
