--- a/src/gateway/peerhelp.h
+++ b/src/gateway/peerhelp.h
@@ -173,11 +173,11 @@
             });
         m_link.onCrashes(
             [&guard](const wire::CrashNotice &notice) {
-                guard.peerSawCrash(fromWire(notice));
+                guard.handleCrashReport(fromWire(notice));
             },
             [&guard](const std::string &peer, const wire::QuarantineNotice &notice) {
                 if (const std::optional<QuarantineChange> change = fromWire(notice)) {
-                    guard.take(*change, peer);
+                    guard.applyChange(*change, peer);
                 }
             });
     }
@@ -223,7 +223,7 @@
             co_return false;
         }
         for (const wire::CrashNotice &notice : answer->crashes().crashes()) {
-            m_gateway.guard().peerSawCrash(fromWire(notice));
+            m_gateway.guard().handleCrashReport(fromWire(notice));
         }
         co_return true;
     }
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -559,16 +559,16 @@
     const bool inTime = m_gateway.m_shedder.share() == 0;
     const bool leftEarly = inTime && end == AttemptEnd::CallerLeft && !m_firstByte;
     if (leftEarly || (m_brokeOff && end != AttemptEnd::NotRun && end != AttemptEnd::TimedOut)) {
-        m_gateway.m_guard.brokeOff(m_placement->incarnation, m_placement->address, fingerprints());
+        m_gateway.m_guard.attemptInterrupted(m_placement->incarnation, m_placement->address, fingerprints());
     } else if (end == AttemptEnd::CallerLeft) {
-        m_gateway.m_guard.left(m_placement->incarnation, m_placement->address, fingerprints());
+        m_gateway.m_guard.callerDisconnected(m_placement->incarnation, m_placement->address, fingerprints());
     }
 }
 
 void RequestRun::noteAnswered()
 {
     if (m_gateway.m_guard.wantsAnswers(RequestFingerprint::addressHash(fingerprintSource()))) {
-        m_gateway.m_guard.answered(fingerprints());
+        m_gateway.m_guard.requestAnswered(fingerprints());
     }
 }
 
--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -41,7 +41,7 @@
 PoisonGuard::PoisonGuard(boost::asio::any_io_executor executor, Metrics &metrics)
     : m_executor(std::move(executor))
     , m_metrics(metrics)
-    , m_decided(m_executor)
+    , m_storeUpdateNeeded(m_executor)
     , m_expectedToEnd([](const std::string &) {
         return false;
     })
@@ -61,7 +61,7 @@
     m_tellChange = std::move(change);
 }
 
-void PoisonGuard::brokeOff(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
+void PoisonGuard::attemptInterrupted(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
 {
     if (m_expectedToEnd(incarnation)) {
         return;
@@ -111,12 +111,12 @@
     co_return error == boost::asio::error::connection_refused;
 }
 
-void PoisonGuard::left(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
+void PoisonGuard::callerDisconnected(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
 {
     if (m_quarantine.isTracked(fingerprints.front())) {
         // The request was in flight at an earlier crash. The target is probed, because this router may have no other connection there whose
         // end would show a crash.
-        brokeOff(incarnation, address, fingerprints);
+        attemptInterrupted(incarnation, address, fingerprints);
         return;
     }
     m_watch.callerDisconnected(incarnation, fingerprints, steadyNow());
@@ -172,13 +172,13 @@
                  {"crashes", static_cast<std::int64_t>(entry.targets.size())},
                  {"for_s", inSeconds(entry.nextTrial - now)}});
         tell(fingerprint);
-        m_acquitted.erase(fingerprint);
-        m_decided.notify();
+        m_unsavedAcquittals.erase(fingerprint);
+        m_storeUpdateNeeded.notify();
     }
     count();
 }
 
-void PoisonGuard::answered(const FingerprintPair &fingerprints)
+void PoisonGuard::requestAnswered(const FingerprintPair &fingerprints)
 {
     for (const RequestFingerprint &fingerprint : fingerprints) {
         acquit(fingerprint, steadyNow());
@@ -201,8 +201,8 @@
     // Only quarantined requests are logged: after a crash there are many suspects, and most are acquitted when their caller retries.
     if (held) {
         logLine(Severity::Info, "request.acquitted", {{"fingerprint", fingerprint.text()}, {"by", "a complete response"}});
-        m_acquitted.insert(fingerprint);
-        m_decided.notify();
+        m_unsavedAcquittals.insert(fingerprint);
+        m_storeUpdateNeeded.notify();
     }
     count();
 }
@@ -241,10 +241,10 @@
     }
     for (const RequestFingerprint &fingerprint : fingerprints) {
         m_quarantine.beginTrial(fingerprint, now);
-        m_trialsBegun.insert(fingerprint);
+        m_unsavedTrials.insert(fingerprint);
         tell(fingerprint);
     }
-    m_decided.notify();
+    m_storeUpdateNeeded.notify();
     logLine(Severity::Info, "request.on_trial", {{"fingerprint", fingerprints.front().text()}});
     return true;
 }
@@ -269,7 +269,7 @@
     return reports;
 }
 
-void PoisonGuard::peerSawCrash(const CrashReport &report)
+void PoisonGuard::handleCrashReport(const CrashReport &report)
 {
     constexpr std::string_view seenBy = "reported by a peer";
     const Instant now = steadyNow();
@@ -294,7 +294,7 @@
     count();
 }
 
-void PoisonGuard::take(const QuarantineChange &change, std::string_view from)
+void PoisonGuard::applyChange(const QuarantineChange &change, std::string_view from)
 {
     const Instant now = steadyNow();
     const bool lifts = change.quarantineLevel == 0;
@@ -313,7 +313,7 @@
     }
 }
 
-void PoisonGuard::lift(const RequestFingerprint &fingerprint)
+void PoisonGuard::release(const RequestFingerprint &fingerprint)
 {
     if (m_quarantine.acquit(fingerprint)) {
         count();
--- a/src/quarantine/poisonguard.h
+++ b/src/quarantine/poisonguard.h
@@ -57,13 +57,13 @@
     void setAnnouncers(std::function<void(const CrashReport &)> crash, std::function<void(const QuarantineChange &)> change);
 
     /// Handles an attempt whose connection to the target closed before the response was complete.
-    void brokeOff(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints);
+    void attemptInterrupted(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints);
 
     /// Handles a caller that disconnected while its request was in flight on a target.
-    void left(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints);
+    void callerDisconnected(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints);
 
     /// Handles a complete response to a request.
-    void answered(const FingerprintPair &fingerprints);
+    void requestAnswered(const FingerprintPair &fingerprints);
 
     /// Returns true if a request with this address hash may be suspected or quarantined; see Quarantine.
     bool mayContainAddress(std::uint64_t addressHash) const
@@ -71,7 +71,7 @@
         return m_quarantine.mayContainAddress(addressHash);
     }
 
-    /// Returns true if responses to requests with this address hash must be passed to `answered`.
+    /// Returns true if responses to requests with this address hash must be passed to `requestAnswered`.
     bool wantsAnswers(std::uint64_t addressHash) const;
 
     /// Returns the time until the next trial of the request, or nullopt if it is not quarantined.
@@ -88,13 +88,13 @@
     std::vector<CrashReport> knownCrashes() const;
 
     /// Handles a peer's report of a crashed target, or of requests that were interrupted there.
-    void peerSawCrash(const CrashReport &report);
+    void handleCrashReport(const CrashReport &report);
 
     /// Applies a change of the quarantine that comes from a peer or the store; `from` names the source in the log.
-    void take(const QuarantineChange &change, std::string_view from);
+    void applyChange(const QuarantineChange &change, std::string_view from);
 
     /// Releases a request because the store no longer quarantines it.
-    void lift(const RequestFingerprint &fingerprint);
+    void release(const RequestFingerprint &fingerprint);
 
     /// Removes outdated entries. Call this periodically.
     void expire();
@@ -106,22 +106,22 @@
     }
 
     /// Requests that were acquitted by this router after they had been quarantined, and whose acquittal is not in the store yet.
-    std::set<RequestFingerprint> &acquitted()
+    std::set<RequestFingerprint> &unsavedAcquittals()
     {
-        return m_acquitted;
+        return m_unsavedAcquittals;
     }
 
     /// Requests whose trial this router started, and whose trial is not in the store yet. If this router terminates before it is, a router
     /// that starts later begins another trial at once.
-    std::set<RequestFingerprint> &trialsBegun()
+    std::set<RequestFingerprint> &unsavedTrials()
     {
-        return m_trialsBegun;
+        return m_unsavedTrials;
     }
 
     /// Notified when there is a decision to write to the store.
-    Signal &decided()
+    Signal &storeUpdateNeeded()
     {
-        return m_decided;
+        return m_storeUpdateNeeded;
     }
 
 private:
@@ -145,9 +145,9 @@
     Metrics &m_metrics;
     CrashWatch m_watch;
     Quarantine m_quarantine;
-    std::set<RequestFingerprint> m_acquitted;
-    std::set<RequestFingerprint> m_trialsBegun;
-    Signal m_decided;
+    std::set<RequestFingerprint> m_unsavedAcquittals;
+    std::set<RequestFingerprint> m_unsavedTrials;
+    Signal m_storeUpdateNeeded;
     std::function<bool(const std::string &)> m_expectedToEnd;
     std::function<void(const CrashReport &)> m_tellCrash;
     std::function<void(const QuarantineChange &)> m_tellChange;
--- a/src/quarantine/quarantinekeeper.h
+++ b/src/quarantine/quarantinekeeper.h
@@ -46,7 +46,7 @@
     {
         while (true) {
             const bool done = co_await synchronise();
-            co_await m_guard.decided().wait(done ? m_options.interval : m_options.retryPause);
+            co_await m_guard.storeUpdateNeeded().wait(done ? m_options.interval : m_options.retryPause);
         }
     }
 
@@ -72,7 +72,7 @@
         noteStore(verdict.ok());
         const bool applied = verdict.ok() && verdict->applied;
         if (applied) {
-            m_guard.trialsBegun().clear();
+            m_guard.unsavedTrials().clear();
         }
         co_return applied;
     }
@@ -96,7 +96,7 @@
         for (const StoredRow &row : read.rows) {
             takeRow(row, read.storeTime);
         }
-        std::erase_if(m_guard.acquitted(), [this](const RequestFingerprint &fingerprint) {
+        std::erase_if(m_guard.unsavedAcquittals(), [this](const RequestFingerprint &fingerprint) {
             const auto row = m_rows.find(fingerprint);
             const bool told = row != m_rows.end() && row->second.content.quarantineLevel == 0;
             return told || m_guard.quarantine().entries().contains(fingerprint);
@@ -108,7 +108,7 @@
             }
         }
         for (const RequestFingerprint &fingerprint : lifted) {
-            m_guard.lift(fingerprint);
+            m_guard.release(fingerprint);
         }
     }
 
@@ -124,7 +124,7 @@
             return;
         }
         m_rows[*fingerprint] = {.version = row.version, .content = *content};
-        if (m_guard.acquitted().contains(*fingerprint) || past(*content, storeTime)) {
+        if (m_guard.unsavedAcquittals().contains(*fingerprint) || past(*content, storeTime)) {
             return;
         }
         if (content->quarantineLevel == 0) {
@@ -132,7 +132,8 @@
             return;
         }
         const Duration remaining = Quarantine::clampedDuration(content->nextTrial - storeTime);
-        m_guard.take({.fingerprint = *fingerprint, .remaining = remaining, .quarantineLevel = content->quarantineLevel}, "the store");
+        m_guard.applyChange({.fingerprint = *fingerprint, .remaining = remaining, .quarantineLevel = content->quarantineLevel},
+                            "the store");
         m_guard.quarantine().setStored(*fingerprint);
     }
 
@@ -141,7 +142,7 @@
     {
         const auto entry = m_guard.quarantine().entries().find(fingerprint);
         if (entry != m_guard.quarantine().entries().end() && entry->second.quarantinedSince < steadyNow() - ago) {
-            m_guard.lift(fingerprint);
+            m_guard.release(fingerprint);
         }
     }
 
@@ -176,12 +177,12 @@
             const auto row = m_rows.find(fingerprint);
             const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(entry.nextTrial - now).count();
             const QuarantineRow content{.nextTrial = read.storeTime + left, .quarantineLevel = entry.quarantineLevel};
-            const bool begun = m_guard.trialsBegun().contains(fingerprint);
+            const bool begun = m_guard.unsavedTrials().contains(fingerprint);
             if (row == m_rows.end() || isNewer(content, row->second.content, begun)) {
                 change(fingerprint, row == m_rows.end() ? 0 : row->second.version, toText(content));
             }
         }
-        for (const RequestFingerprint &fingerprint : m_guard.acquitted()) {
+        for (const RequestFingerprint &fingerprint : m_guard.unsavedAcquittals()) {
             const auto row = m_rows.find(fingerprint);
             const QuarantineRow content{.nextTrial = read.storeTime, .quarantineLevel = 0};
             change(fingerprint, row == m_rows.end() ? 0 : row->second.version, toText(content));
@@ -189,7 +190,7 @@
         const StoreTimeMs oldestKept = oldestKeptTrial();
         for (const auto &[fingerprint, row] : m_rows) {
             const bool surplus = row.content.nextTrial < oldestKept || past(row.content, read.storeTime);
-            if (surplus && !m_guard.acquitted().contains(fingerprint)) {
+            if (surplus && !m_guard.unsavedAcquittals().contains(fingerprint)) {
                 change(fingerprint, row.version, std::nullopt);
             }
         }
--- a/src/tests/quarantinekeepertest.cpp
+++ b/src/tests/quarantinekeepertest.cpp
@@ -58,7 +58,7 @@
     void crashThree(const RequestFingerprint &fingerprint)
     {
         for (std::uint64_t target = 1; target <= 3; ++target) {
-            guard.peerSawCrash({.target = target, .inFlight = {fingerprint}});
+            guard.handleCrashReport({.target = target, .inFlight = {fingerprint}});
         }
     }
 
@@ -119,7 +119,7 @@
     one.synchronise();
     other.synchronise();
     BOOST_TEST(other.guard.timeToNextTrial(pair("unlucky")).has_value());
-    one.guard.answered(pair("unlucky"));
+    one.guard.requestAnswered(pair("unlucky"));
     Router late(rows);
     late.crashThree(request("unlucky"));
     one.synchronise();
@@ -129,14 +129,14 @@
     BOOST_TEST(!late.guard.timeToNextTrial(pair("unlucky")).has_value());
     one.synchronise();
     BOOST_TEST(!one.guard.timeToNextTrial(pair("unlucky")).has_value());
-    BOOST_TEST(one.guard.acquitted().empty());
+    BOOST_TEST(one.guard.unsavedAcquittals().empty());
     // It may be quarantined again.
     other.crashThree(request("unlucky"));
     rows.now += 2000;
     other.synchronise();
     one.synchronise();
     BOOST_TEST(one.guard.timeToNextTrial(pair("unlucky")).has_value());
-    other.guard.answered(pair("unlucky"));
+    other.guard.requestAnswered(pair("unlucky"));
     other.synchronise();
     other.synchronise();
     rows.now += 120'000;
@@ -203,13 +203,13 @@
     first.guard.quarantine().beginTrial(request("poison"), steadyNow() + std::chrono::seconds(4));
     first.synchronise();
     BOOST_TEST(quarantineRowFrom(rows.rows.read("quarantine", "", rows.now).rows.front().value)->nextTrial == before);
-    first.guard.trialsBegun().insert(request("poison"));
+    first.guard.unsavedTrials().insert(request("poison"));
     first.synchronise();
     BOOST_TEST(quarantineRowFrom(rows.rows.read("quarantine", "", rows.now).rows.front().value)->nextTrial > before + 2000);
     Router second(rows);
     second.synchronise();
     BOOST_TEST((second.guard.timeToNextTrial(pair("poison")) > std::chrono::seconds(5)));
-    BOOST_TEST(first.guard.trialsBegun().empty());
+    BOOST_TEST(first.guard.unsavedTrials().empty());
 }
 
 // With many different poisonous requests in a day, the store keeps no more of them than a router does.
