--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -22,14 +22,14 @@
 
 constexpr auto s_tuple = boost::asio::as_tuple(boost::asio::use_awaitable);
 /// A host without power does not respond to a connection attempt at all.
-constexpr Duration s_askTimeout = std::chrono::milliseconds(250);
+constexpr Duration s_probeTimeout = std::chrono::milliseconds(250);
 /// Pauses before each probe of a target. The connections of a crashing process may close some time before its port does, so that a single
 /// immediate probe would find the target alive. After the last probe there is still time to tell the peers well before every router must
 /// know of the crash.
-constexpr std::array<Duration, 4> s_askPauses{
+constexpr std::array<Duration, 4> s_probeDelays{
     Duration::zero(), std::chrono::milliseconds(100), std::chrono::milliseconds(400), std::chrono::milliseconds(1000)};
 /// Collects the interruptions of all attempts on a crashed target into one report to each peer.
-constexpr Duration s_gatherTime = std::chrono::milliseconds(20);
+constexpr Duration s_collectTime = std::chrono::milliseconds(20);
 
 std::int64_t inSeconds(Duration duration)
 {
@@ -45,8 +45,8 @@
     , m_expectedToEnd([](const std::string &) {
         return false;
     })
-    , m_tellCrash([](const CrashReport &) {})
-    , m_tellChange([](const QuarantineChange &) {})
+    , m_announceCrash([](const CrashReport &) {})
+    , m_announceChange([](const QuarantineChange &) {})
 {
 }
 
@@ -57,8 +57,8 @@
 
 void PoisonGuard::setAnnouncers(std::function<void(const CrashReport &)> crash, std::function<void(const QuarantineChange &)> change)
 {
-    m_tellCrash = std::move(crash);
-    m_tellChange = std::move(change);
+    m_announceCrash = std::move(crash);
+    m_announceChange = std::move(change);
 }
 
 void PoisonGuard::attemptInterrupted(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
@@ -70,42 +70,44 @@
     case CrashWatch::Action::Wait:
         break;
     case CrashWatch::Action::Probe:
-        boost::asio::co_spawn(m_executor, watch(incarnation, address), boost::asio::detached);
+        boost::asio::co_spawn(m_executor, probeTarget(incarnation, address), boost::asio::detached);
         break;
     case CrashWatch::Action::Report:
-        report({.target = stableHash(incarnation), .inFlight = {fingerprints.begin(), fingerprints.end()}, .ago = sinceBroken(incarnation)},
-               incarnation);
+        reportCrash({.target = stableHash(incarnation),
+                     .inFlight = {fingerprints.begin(), fingerprints.end()},
+                     .ago = timeSinceInterruption(incarnation)},
+                    incarnation);
         break;
     }
 }
 
-boost::asio::awaitable<void> PoisonGuard::watch(std::string incarnation, std::string address)
+boost::asio::awaitable<void> PoisonGuard::probeTarget(std::string incarnation, std::string address)
 {
-    for (const Duration wait : s_askPauses) {
+    for (const Duration wait : s_probeDelays) {
         if (wait > Duration::zero()) {
             co_await pause(wait);
         }
         if (m_expectedToEnd(incarnation)) {
             break;
         }
-        const bool refused = co_await refuses(address);
+        const bool refused = co_await refusesConnections(address);
         if (refused) {
-            co_await pause(s_gatherTime);
-            report({.target = stableHash(incarnation),
-                    .inFlight = m_watch.connectionRefused(incarnation, steadyNow()),
-                    .ago = sinceBroken(incarnation)},
-                   incarnation);
+            co_await pause(s_collectTime);
+            reportCrash({.target = stableHash(incarnation),
+                         .inFlight = m_watch.connectionRefused(incarnation, steadyNow()),
+                         .ago = timeSinceInterruption(incarnation)},
+                        incarnation);
             co_return;
         }
-        tellBrokenOff(incarnation);
+        announceInterrupted(incarnation);
     }
     m_watch.targetAlive(incarnation);
 }
 
-boost::asio::awaitable<bool> PoisonGuard::refuses(std::string address)
+boost::asio::awaitable<bool> PoisonGuard::refusesConnections(std::string address)
 {
     boost::beast::tcp_stream stream(m_executor);
-    stream.expires_after(s_askTimeout);
+    stream.expires_after(s_probeTimeout);
     const auto endpoint = endpointFrom(address).value_or(boost::asio::ip::tcp::endpoint());
     const auto [error] = co_await stream.async_connect(endpoint, s_tuple);
     co_return error == boost::asio::error::connection_refused;
@@ -122,46 +124,49 @@
     m_watch.callerDisconnected(incarnation, fingerprints, steadyNow());
 }
 
-void PoisonGuard::tellBrokenOff(const std::string &incarnation)
+void PoisonGuard::announceInterrupted(const std::string &incarnation)
 {
-    std::vector<RequestFingerprint> untold = m_watch.takeUnannounced(incarnation);
+    std::vector<RequestFingerprint> unannounced = m_watch.takeUnannounced(incarnation);
     const Instant since = m_watch.interruptedSince(incarnation, steadyNow());
-    untold = m_quarantine.unansweredSince(untold, since);
-    if (!untold.empty()) {
-        m_tellCrash({.target = stableHash(incarnation), .inFlight = std::move(untold), .crashed = false, .ago = sinceBroken(incarnation)});
+    unannounced = m_quarantine.unansweredSince(unannounced, since);
+    if (!unannounced.empty()) {
+        m_announceCrash({.target = stableHash(incarnation),
+                         .inFlight = std::move(unannounced),
+                         .confirmed = false,
+                         .ago = timeSinceInterruption(incarnation)});
     }
 }
 
-Duration PoisonGuard::sinceBroken(const std::string &incarnation) const
+Duration PoisonGuard::timeSinceInterruption(const std::string &incarnation) const
 {
     const Instant now = steadyNow();
     return now - m_watch.interruptedSince(incarnation, now);
 }
 
-void PoisonGuard::report(CrashReport crash, std::string_view target)
+void PoisonGuard::reportCrash(CrashReport crash, std::string_view target)
 {
     logLine(Severity::Warning, "target.crashed", {{"target", target}, {"under_way", static_cast<std::int64_t>(crash.inFlight.size())}});
     m_metrics.count("crash_reports_total", {.name = "from", .value = "here"});
     crash.inFlight = m_quarantine.unansweredSince(crash.inFlight, steadyNow() - crash.ago);
-    m_tellCrash(crash);
+    m_announceCrash(crash);
     const std::vector<RequestFingerprint> peers = m_watch.confirmCrash(crash.target, steadyNow());
     crash.inFlight.insert(crash.inFlight.end(), peers.begin(), peers.end());
-    blame(crash, target);
+    applyCrash(crash, target);
 }
 
-void PoisonGuard::tellAnswered(const CrashReport &crash)
+void PoisonGuard::announceAnswers(const CrashReport &crash)
 {
     const Instant now = steadyNow();
     for (const RequestFingerprint &fingerprint : crash.inFlight) {
         if (const std::optional<Instant> answered = m_quarantine.takeUnannouncedAnswer(fingerprint, now - crash.ago)) {
-            m_tellChange({.fingerprint = fingerprint, .remaining = *answered - now});
+            m_announceChange({.fingerprint = fingerprint, .remaining = *answered - now});
         }
     }
 }
 
-void PoisonGuard::blame(const CrashReport &crash, std::string_view name)
+void PoisonGuard::applyCrash(const CrashReport &crash, std::string_view name)
 {
-    tellAnswered(crash);
+    announceAnswers(crash);
     const Instant now = steadyNow();
     for (const RequestFingerprint &fingerprint : m_quarantine.recordCrash(crash.target, crash.inFlight, now, crash.ago)) {
         const Quarantine::Entry &entry = m_quarantine.entries().at(fingerprint);
@@ -171,11 +176,11 @@
                  {"target", name},
                  {"crashes", static_cast<std::int64_t>(entry.targets.size())},
                  {"for_s", inSeconds(entry.nextTrial - now)}});
-        tell(fingerprint);
+        announceEntry(fingerprint);
         m_unsavedAcquittals.erase(fingerprint);
         m_storeUpdateNeeded.notify();
     }
-    count();
+    updateGauges();
 }
 
 void PoisonGuard::requestAnswered(const FingerprintPair &fingerprints)
@@ -197,14 +202,14 @@
         return;
     }
     m_metrics.count("acquittals_total", {.name = "state", .value = held ? "held" : "suspected"});
-    m_tellChange({.fingerprint = fingerprint});
+    m_announceChange({.fingerprint = fingerprint});
     // Only quarantined requests are logged: after a crash there are many suspects, and most are acquitted when their caller retries.
     if (held) {
         logLine(Severity::Info, "request.acquitted", {{"fingerprint", fingerprint.text()}, {"by", "a complete response"}});
         m_unsavedAcquittals.insert(fingerprint);
         m_storeUpdateNeeded.notify();
     }
-    count();
+    updateGauges();
 }
 
 std::optional<Duration> PoisonGuard::timeToNextTrial(const FingerprintPair &fingerprints) const
@@ -217,16 +222,16 @@
     return longest;
 }
 
-void PoisonGuard::tell(const RequestFingerprint &fingerprint) const
+void PoisonGuard::announceEntry(const RequestFingerprint &fingerprint) const
 {
     const auto found = m_quarantine.entries().find(fingerprint);
     if (found != m_quarantine.entries().end()) {
         const Quarantine::Entry &entry = found->second;
-        m_tellChange({.fingerprint = fingerprint,
-                      .remaining = entry.nextTrial - steadyNow(),
-                      .quarantineLevel = entry.quarantineLevel,
-                      .trials = entry.trials,
-                      .answers = entry.answers});
+        m_announceChange({.fingerprint = fingerprint,
+                          .remaining = entry.nextTrial - steadyNow(),
+                          .quarantineLevel = entry.quarantineLevel,
+                          .trials = entry.trials,
+                          .answers = entry.answers});
     }
 }
 
@@ -242,7 +247,7 @@
     for (const RequestFingerprint &fingerprint : fingerprints) {
         m_quarantine.beginTrial(fingerprint, now);
         m_unsavedTrials.insert(fingerprint);
-        tell(fingerprint);
+        announceEntry(fingerprint);
     }
     m_storeUpdateNeeded.notify();
     logLine(Severity::Info, "request.on_trial", {{"fingerprint", fingerprints.front().text()}});
@@ -263,52 +268,55 @@
     for (Quarantine::KnownCrash &crash : m_quarantine.knownCrashes()) {
         reports.push_back({.target = crash.target, .inFlight = std::move(crash.inFlight), .ago = now - crash.at});
     }
-    for (CrashWatch::UnconfirmedCrash &broken : m_watch.unconfirmedCrashes(now)) {
-        reports.push_back({.target = broken.target, .inFlight = std::move(broken.inFlight), .crashed = false, .ago = now - broken.since});
+    for (CrashWatch::UnconfirmedCrash &unconfirmed : m_watch.unconfirmedCrashes(now)) {
+        reports.push_back({.target = unconfirmed.target,
+                           .inFlight = std::move(unconfirmed.inFlight),
+                           .confirmed = false,
+                           .ago = now - unconfirmed.since});
     }
     return reports;
 }
 
 void PoisonGuard::handleCrashReport(const CrashReport &report)
 {
-    constexpr std::string_view seenBy = "reported by a peer";
+    constexpr std::string_view reportedBy = "reported by a peer";
     const Instant now = steadyNow();
-    if (!report.crashed) {
+    if (!report.confirmed) {
         if (const std::vector<RequestFingerprint> known = m_watch.peerAttemptsInterrupted(report.target, report.inFlight, now);
             !known.empty()) {
-            blame({.target = report.target, .inFlight = known, .ago = report.ago}, seenBy);
+            applyCrash({.target = report.target, .inFlight = known, .ago = report.ago}, reportedBy);
         }
         return;
     }
     m_metrics.count("crash_reports_total", {.name = "from", .value = "peer"});
-    if (std::vector<RequestFingerprint> left = m_watch.takeCancelled(report.target, now); !left.empty()) {
-        this->report({.target = report.target, .inFlight = std::move(left), .ago = report.ago}, seenBy);
+    if (std::vector<RequestFingerprint> cancelled = m_watch.takeCancelled(report.target, now); !cancelled.empty()) {
+        this->reportCrash({.target = report.target, .inFlight = std::move(cancelled), .ago = report.ago}, reportedBy);
     }
     // The peer that had these requests in flight may have terminated since it announced them, so that no other router reports them.
-    blame({.target = report.target, .inFlight = m_watch.confirmCrash(report.target, now), .ago = report.ago}, seenBy);
-    tellAnswered(report);
+    applyCrash({.target = report.target, .inFlight = m_watch.confirmCrash(report.target, now), .ago = report.ago}, reportedBy);
+    announceAnswers(report);
     // The router whose crash detection completes the evidence tells the peers and the store. Here the request is only quarantined sooner.
     for (const RequestFingerprint &fingerprint : m_quarantine.recordCrash(report.target, report.inFlight, now, report.ago)) {
         logLine(Severity::Warning, "request.quarantined", {{"fingerprint", fingerprint.text()}, {"by", "crash reports of peers"}});
     }
-    count();
+    updateGauges();
 }
 
 void PoisonGuard::applyChange(const QuarantineChange &change, std::string_view from)
 {
     const Instant now = steadyNow();
-    const bool lifts = change.quarantineLevel == 0;
+    const bool acquits = change.quarantineLevel == 0;
     const bool held = m_quarantine.entries().contains(change.fingerprint);
     const Quarantine::EntryState state{
         .nextTrial = now + change.remaining, .quarantineLevel = change.quarantineLevel, .trials = change.trials, .answers = change.answers};
-    const bool isNew = lifts ? m_quarantine.recordPeerAnswer(change.fingerprint, now + std::min(change.remaining, Duration::zero()))
-                             : m_quarantine.mergeEntry(change.fingerprint, state, now);
+    const bool isNew = acquits ? m_quarantine.recordPeerAnswer(change.fingerprint, now + std::min(change.remaining, Duration::zero()))
+                               : m_quarantine.mergeEntry(change.fingerprint, state, now);
     if (isNew) {
-        count();
+        updateGauges();
     }
-    if (isNew && (held || !lifts)) {
+    if (isNew && (held || !acquits)) {
         logLine(Severity::Info,
-                lifts ? "request.acquitted" : "request.quarantined",
+                acquits ? "request.acquitted" : "request.quarantined",
                 {{"fingerprint", change.fingerprint.text()}, {"by", from}, {"for_s", inSeconds(change.remaining)}});
     }
 }
@@ -316,7 +324,7 @@
 void PoisonGuard::release(const RequestFingerprint &fingerprint)
 {
     if (m_quarantine.acquit(fingerprint)) {
-        count();
+        updateGauges();
         logLine(Severity::Info, "request.acquitted", {{"fingerprint", fingerprint.text()}, {"by", "the store"}});
     }
 }
@@ -327,7 +335,7 @@
     m_quarantine.expire(steadyNow());
 }
 
-void PoisonGuard::count() const
+void PoisonGuard::updateGauges() const
 {
     m_metrics.gauge("quarantine_requests", {.name = "state", .value = "held"}, static_cast<std::int64_t>(m_quarantine.entries().size()));
     m_metrics.gauge("quarantine_requests", {.name = "state", .value = "suspected"}, static_cast<std::int64_t>(m_quarantine.suspects()));
--- a/src/quarantine/poisonguard.h
+++ b/src/quarantine/poisonguard.h
@@ -24,7 +24,7 @@
     std::uint64_t target = 0;
     std::vector<RequestFingerprint> inFlight;
     /// False if it is only known that the requests were interrupted.
-    bool crashed = true;
+    bool confirmed = true;
     /// Time since the requests were interrupted.
     Duration ago{};
 };
@@ -125,21 +125,21 @@
     }
 
 private:
-    boost::asio::awaitable<void> watch(std::string incarnation, std::string address);
-    boost::asio::awaitable<bool> refuses(std::string address);
-    void report(CrashReport crash, std::string_view target);
+    boost::asio::awaitable<void> probeTarget(std::string incarnation, std::string address);
+    boost::asio::awaitable<bool> refusesConnections(std::string address);
+    void reportCrash(CrashReport crash, std::string_view target);
     /// Announces the interrupted requests of a target that has not refused a connection yet to the peers.
-    void tellBrokenOff(const std::string &incarnation);
+    void announceInterrupted(const std::string &incarnation);
     /// Records the crash. Announces requests that are quarantined because of it to the peers, and has them stored.
-    void blame(const CrashReport &crash, std::string_view name);
+    void applyCrash(const CrashReport &crash, std::string_view name);
     /// Announces to the peers which of the requests this router has completed since the crash, because the peers count the crash against
     /// them.
-    void tellAnswered(const CrashReport &crash);
+    void announceAnswers(const CrashReport &crash);
     void acquit(const RequestFingerprint &fingerprint, Instant answered);
-    void tell(const RequestFingerprint &fingerprint) const;
+    void announceEntry(const RequestFingerprint &fingerprint) const;
     /// Returns the time since the first attempt on the target was interrupted.
-    Duration sinceBroken(const std::string &incarnation) const;
-    void count() const;
+    Duration timeSinceInterruption(const std::string &incarnation) const;
+    void updateGauges() const;
 
     boost::asio::any_io_executor m_executor;
     Metrics &m_metrics;
@@ -149,8 +149,8 @@
     std::set<RequestFingerprint> m_unsavedTrials;
     Signal m_storeUpdateNeeded;
     std::function<bool(const std::string &)> m_expectedToEnd;
-    std::function<void(const CrashReport &)> m_tellCrash;
-    std::function<void(const QuarantineChange &)> m_tellChange;
+    std::function<void(const CrashReport &)> m_announceCrash;
+    std::function<void(const QuarantineChange &)> m_announceChange;
 };
 
 }
--- a/src/quarantine/quarantinenotice.cpp
+++ b/src/quarantine/quarantinenotice.cpp
@@ -10,7 +10,7 @@
 {
     wire::CrashNotice notice;
     notice.set_target(report.target);
-    notice.set_broke_off(!report.crashed);
+    notice.set_broke_off(!report.confirmed);
     notice.set_ago_ms(std::chrono::duration_cast<std::chrono::milliseconds>(report.ago).count());
     for (const RequestFingerprint &fingerprint : report.inFlight) {
         notice.add_under_way(std::string(fingerprint.bytes()));
@@ -33,7 +33,7 @@
 {
     CrashReport report{.target = notice.target(),
                        .inFlight = {},
-                       .crashed = !notice.broke_off(),
+                       .confirmed = !notice.broke_off(),
                        .ago = std::max(Quarantine::clampedDuration(notice.ago_ms()), Duration::zero())};
     for (const std::string &bytes : notice.under_way()) {
         if (const std::optional<RequestFingerprint> fingerprint = RequestFingerprint::fromBytes(bytes)) {
