--- a/src/quarantine/quarantinekeeper.h
+++ b/src/quarantine/quarantinekeeper.h
@@ -24,9 +24,9 @@
     struct Options {
         /// Time between two reads. It is shorter than the time within which every router in contact with the store must know of a change,
         /// so that a peer's announcement may get lost.
-        Duration interval = std::chrono::seconds(2);
+        Duration readInterval = std::chrono::seconds(2);
         /// Time until the next try after a call that failed or a transaction that was declined.
-        Duration retryPause = std::chrono::milliseconds(300);
+        Duration retryDelay = std::chrono::milliseconds(300);
     };
 
     QuarantineKeeper(Store &store, PoisonGuard &guard, Options options)
@@ -46,7 +46,7 @@
     {
         while (true) {
             const bool done = co_await synchronise();
-            co_await m_guard.storeUpdateNeeded().wait(done ? m_options.interval : m_options.retryPause);
+            co_await m_guard.storeUpdateNeeded().wait(done ? m_options.readInterval : m_options.retryDelay);
         }
     }
 
@@ -57,19 +57,19 @@
         const std::string table(s_quarantineTable);
         const std::string wholePart;
         const absl::StatusOr<RowsRead> read = co_await m_store.read(table, wholePart);
-        noteStore(read.ok());
+        logStoreState(read.ok());
         // A read older than a previous one may lack rows that exist. Requests missing from it would be released.
-        if (!read.ok() || read->version < m_version) {
+        if (!read.ok() || read->version < m_lastReadVersion) {
             co_return false;
         }
-        m_version = read->version;
-        takeRows(*read);
-        const RowTransaction transaction = missing(*read);
+        m_lastReadVersion = read->version;
+        applyRows(*read);
+        const RowTransaction transaction = pendingChanges(*read);
         if (transaction.changes.empty()) {
             co_return true;
         }
         const absl::StatusOr<RowVerdict> verdict = co_await m_store.transact(transaction);
-        noteStore(verdict.ok());
+        logStoreState(verdict.ok());
         const bool applied = verdict.ok() && verdict->applied;
         if (applied) {
             m_guard.unsavedTrials().clear();
@@ -79,9 +79,9 @@
 
 private:
     /// The store allows at most a hundred entries per transaction, counting conditions and changes.
-    static constexpr std::size_t s_mostChanges = 40;
+    static constexpr std::size_t s_maxChanges = 40;
     /// Every router in contact with the store reads it several times within this time.
-    static constexpr Duration s_acquittalMemory = std::chrono::minutes(1);
+    static constexpr Duration s_acquittalRetention = std::chrono::minutes(1);
 
     using Entries = Quarantine::Entries;
 
@@ -90,45 +90,45 @@
         return {.table = std::string(s_quarantineTable), .part = "", .key = fingerprint.text()};
     }
 
-    void takeRows(const RowsRead &read)
+    void applyRows(const RowsRead &read)
     {
         m_rows.clear();
         for (const StoredRow &row : read.rows) {
-            takeRow(row, read.storeTime);
+            applyRow(row, read.storeTime);
         }
         std::erase_if(m_guard.unsavedAcquittals(), [this](const RequestFingerprint &fingerprint) {
             const auto row = m_rows.find(fingerprint);
-            const bool told = row != m_rows.end() && row->second.content.quarantineLevel == 0;
-            return told || m_guard.quarantine().entries().contains(fingerprint);
+            const bool stored = row != m_rows.end() && row->second.content.quarantineLevel == 0;
+            return stored || m_guard.quarantine().entries().contains(fingerprint);
         });
-        std::vector<RequestFingerprint> lifted;
+        std::vector<RequestFingerprint> released;
         for (const auto &[fingerprint, entry] : m_guard.quarantine().entries()) {
             if (entry.stored && !m_rows.contains(fingerprint)) {
-                lifted.push_back(fingerprint);
+                released.push_back(fingerprint);
             }
         }
-        for (const RequestFingerprint &fingerprint : lifted) {
+        for (const RequestFingerprint &fingerprint : released) {
             m_guard.release(fingerprint);
         }
     }
 
-    void takeRow(const StoredRow &row, StoreTimeMs storeTime)
+    void applyRow(const StoredRow &row, StoreTimeMs storeTime)
     {
         const std::optional<RequestFingerprint> fingerprint = RequestFingerprint::fromText(row.address.key);
         const absl::StatusOr<QuarantineRow> content = quarantineRowFrom(row.value);
         if (!fingerprint || !content.ok()) {
-            if (row.version > m_newestSpoilt) {
-                m_newestSpoilt = row.version;
+            if (row.version > m_newestUnreadable) {
+                m_newestUnreadable = row.version;
                 logLine(Severity::Error, "quarantine.unreadable", {{"key", row.address.key}});
             }
             return;
         }
         m_rows[*fingerprint] = {.version = row.version, .content = *content};
-        if (m_guard.unsavedAcquittals().contains(*fingerprint) || past(*content, storeTime)) {
+        if (m_guard.unsavedAcquittals().contains(*fingerprint) || isExpired(*content, storeTime)) {
             return;
         }
         if (content->quarantineLevel == 0) {
-            takeAcquittal(*fingerprint, Quarantine::clampedDuration(storeTime - content->nextTrial));
+            applyAcquittal(*fingerprint, Quarantine::clampedDuration(storeTime - content->nextTrial));
             return;
         }
         const Duration remaining = Quarantine::clampedDuration(content->nextTrial - storeTime);
@@ -138,7 +138,7 @@
     }
 
     /// Releases a request that was acquitted `ago` before now, unless it has been quarantined again since.
-    void takeAcquittal(const RequestFingerprint &fingerprint, Duration ago)
+    void applyAcquittal(const RequestFingerprint &fingerprint, Duration ago)
     {
         const auto entry = m_guard.quarantine().entries().find(fingerprint);
         if (entry != m_guard.quarantine().entries().end() && entry->second.quarantinedSince < steadyNow() - ago) {
@@ -148,26 +148,26 @@
 
     /// Returns true if a trial has got a result since the row was written, or a trial has begun here. The time of the next trial alone does
     /// not make a row newer: a router whose clock had stopped for a while would extend every row.
-    static bool isNewer(const QuarantineRow &content, const QuarantineRow &row, bool trialBegun)
+    static bool isNewer(const QuarantineRow &content, const QuarantineRow &row, bool trialBegan)
     {
         return content.quarantineLevel > row.quarantineLevel
-            || (trialBegun && content.quarantineLevel == row.quarantineLevel && content.nextTrial > row.nextTrial);
+            || (trialBegan && content.quarantineLevel == row.quarantineLevel && content.nextTrial > row.nextTrial);
     }
 
     /// Returns true if no router needs the row any more.
-    static bool past(const QuarantineRow &row, StoreTimeMs storeTime)
+    static bool isExpired(const QuarantineRow &row, StoreTimeMs storeTime)
     {
         if (row.quarantineLevel == 0) {
-            return Quarantine::clampedDuration(storeTime - row.nextTrial) > s_acquittalMemory;
+            return Quarantine::clampedDuration(storeTime - row.nextTrial) > s_acquittalRetention;
         }
         return Quarantine::clampedDuration(row.nextTrial - storeTime) <= -Quarantine::s_maxTrialInterval;
     }
 
-    RowTransaction missing(const RowsRead &read) const
+    RowTransaction pendingChanges(const RowsRead &read) const
     {
         RowTransaction transaction;
         const auto change = [&transaction](const RequestFingerprint &fingerprint, std::uint64_t version, std::optional<std::string> value) {
-            if (transaction.changes.size() < s_mostChanges) {
+            if (transaction.changes.size() < s_maxChanges) {
                 transaction.conditions.push_back({.address = addressOf(fingerprint), .version = version});
                 transaction.changes.push_back({.address = addressOf(fingerprint), .value = std::move(value)});
             }
@@ -175,10 +175,10 @@
         const Instant now = steadyNow();
         for (const auto &[fingerprint, entry] : m_guard.quarantine().entries()) {
             const auto row = m_rows.find(fingerprint);
-            const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(entry.nextTrial - now).count();
-            const QuarantineRow content{.nextTrial = read.storeTime + left, .quarantineLevel = entry.quarantineLevel};
-            const bool begun = m_guard.unsavedTrials().contains(fingerprint);
-            if (row == m_rows.end() || isNewer(content, row->second.content, begun)) {
+            const auto remainingMs = std::chrono::duration_cast<std::chrono::milliseconds>(entry.nextTrial - now).count();
+            const QuarantineRow content{.nextTrial = read.storeTime + remainingMs, .quarantineLevel = entry.quarantineLevel};
+            const bool trialBegan = m_guard.unsavedTrials().contains(fingerprint);
+            if (row == m_rows.end() || isNewer(content, row->second.content, trialBegan)) {
                 change(fingerprint, row == m_rows.end() ? 0 : row->second.version, toText(content));
             }
         }
@@ -189,7 +189,7 @@
         }
         const StoreTimeMs oldestKept = oldestKeptTrial();
         for (const auto &[fingerprint, row] : m_rows) {
-            const bool surplus = row.content.nextTrial < oldestKept || past(row.content, read.storeTime);
+            const bool surplus = row.content.nextTrial < oldestKept || isExpired(row.content, read.storeTime);
             if (surplus && !m_guard.unsavedAcquittals().contains(fingerprint)) {
                 change(fingerprint, row.version, std::nullopt);
             }
@@ -213,12 +213,12 @@
         return *oldest;
     }
 
-    void noteStore(bool answers)
+    void logStoreState(bool reachable)
     {
-        if (answers != m_answers) {
-            logLine(answers ? Severity::Info : Severity::Warning, answers ? "quarantine.store_regained" : "quarantine.store_lost", {});
+        if (reachable != m_storeReachable) {
+            logLine(reachable ? Severity::Info : Severity::Warning, reachable ? "quarantine.store_regained" : "quarantine.store_lost", {});
         }
-        m_answers = answers;
+        m_storeReachable = reachable;
     }
 
     struct Row {
@@ -231,9 +231,9 @@
     Options m_options;
     /// The rows as of the last read.
     std::map<RequestFingerprint, Row> m_rows;
-    std::uint64_t m_version = 0;
-    std::uint64_t m_newestSpoilt = 0;
-    bool m_answers = true;
+    std::uint64_t m_lastReadVersion = 0;
+    std::uint64_t m_newestUnreadable = 0;
+    bool m_storeReachable = true;
 };
 
 }
