--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -136,11 +136,11 @@
 bool Quarantine::recordAnswer(const RequestFingerprint &fingerprint, Instant at)
 {
     m_answers.addLocalAnswer(fingerprint, at);
-    const bool wasAccused = acquit(fingerprint);
-    if (wasAccused) {
+    const bool wasTracked = acquit(fingerprint);
+    if (wasTracked) {
         (void)m_answers.takeUnannounced(fingerprint, at - Duration(1));
     }
-    return wasAccused;
+    return wasTracked;
 }
 
 bool Quarantine::recordPeerAnswer(const RequestFingerprint &fingerprint, Instant at)
--- a/src/quarantine/quarantinekeeper.h
+++ b/src/quarantine/quarantinekeeper.h
@@ -98,8 +98,8 @@
         }
         std::erase_if(m_guard.unsavedAcquittals(), [this](const RequestFingerprint &fingerprint) {
             const auto row = m_rows.find(fingerprint);
-            const bool stored = row != m_rows.end() && row->second.content.quarantineLevel == 0;
-            return stored || m_guard.quarantine().entries().contains(fingerprint);
+            const bool acquittalStored = row != m_rows.end() && row->second.content.quarantineLevel == 0;
+            return acquittalStored || m_guard.quarantine().entries().contains(fingerprint);
         });
         std::vector<RequestFingerprint> released;
         for (const auto &[fingerprint, entry] : m_guard.quarantine().entries()) {
@@ -177,8 +177,8 @@
             const auto row = m_rows.find(fingerprint);
             const auto remainingMs = std::chrono::duration_cast<std::chrono::milliseconds>(entry.nextTrial - now).count();
             const QuarantineRow content{.nextTrial = read.storeTime + remainingMs, .quarantineLevel = entry.quarantineLevel};
-            const bool trialBegan = m_guard.unsavedTrials().contains(fingerprint);
-            if (row == m_rows.end() || isNewer(content, row->second.content, trialBegan)) {
+            const bool trialUnsaved = m_guard.unsavedTrials().contains(fingerprint);
+            if (row == m_rows.end() || isNewer(content, row->second.content, trialUnsaved)) {
                 change(fingerprint, row == m_rows.end() ? 0 : row->second.version, toText(content));
             }
         }
