--- a/src/tests/poisonfleet.cpp
+++ b/src/tests/poisonfleet.cpp
@@ -15,11 +15,11 @@
 using Millis = PoisonDay::Millis;
 
 /// Time in milliseconds within which the whole fleet must know of a crash and act on it.
-constexpr Millis s_contact = 3000;
+constexpr Millis s_propagationTime = 3000;
 /// A router that has just started reads the store first.
-constexpr Millis s_firstRead = 50;
+constexpr Millis s_firstReadDelay = 50;
 constexpr Millis s_dayLength = 60'000;
-constexpr Millis s_askDelays[] = {0, 100, 500, 1500};
+constexpr Millis s_probeDelays[] = {0, 100, 500, 1500};
 /// Number of peers that a router asks after its start which crashes they know of.
 constexpr std::size_t s_peersAsked = 3;
 /// Differences between the seeds of a day's streams, and between the seeds of one stream's restarts.
@@ -47,32 +47,32 @@
         m_streams[stream].seed(day.seed + static_cast<unsigned>(stream) * s_streamStep);
     }
     for (std::size_t target = 0; target < m_targets.size(); ++target) {
-        start(target);
+        startTarget(target);
     }
 }
 
 void PoisonFleet::play()
 {
-    everySoOften(Stream::PoisonTimes, m_day.copyGap, [this] {
+    scheduleRepeatedly(Stream::PoisonTimes, m_day.copyGap, [this] {
         arrive(m_poison, Stream::Poison);
     });
-    everySoOften(Stream::PopularTimes, 60, [this] {
+    scheduleRepeatedly(Stream::PopularTimes, 60, [this] {
         arrive(m_popular, Stream::Popular);
     });
-    everySoOften(Stream::OnceTimes, 40, [this] {
-        arrive(fingerprintsOf({.team = "team", .body = absl::StrCat("once ", ++m_unique)}), Stream::Once);
+    scheduleRepeatedly(Stream::OnceTimes, 40, [this] {
+        arrive(fingerprintsOf({.team = "team", .body = absl::StrCat("once ", ++m_uniqueRequests)}), Stream::Once);
     });
     if (m_day.otherCrashGap > 0) {
-        everySoOften(Stream::Crashes, m_day.otherCrashGap, [this] {
-            crash(draw(Stream::Crashes, m_targets.size()));
+        scheduleRepeatedly(Stream::Crashes, m_day.otherCrashGap, [this] {
+            crashTarget(draw(Stream::Crashes, m_targets.size()));
         });
     }
     if (m_day.routerDeathGap > 0) {
-        everySoOften(Stream::Deaths, m_day.routerDeathGap, [this] {
+        scheduleRepeatedly(Stream::Deaths, m_day.routerDeathGap, [this] {
             const std::size_t number = draw(Stream::Deaths, m_routers.size());
             m_routers[number] = Router{};
             m_routers[number].upSince = m_now;
-            after(s_firstRead, [this, number] {
+            schedule(s_firstReadDelay, [this, number] {
                 readStore(number);
                 askPeers(number);
             });
@@ -101,25 +101,25 @@
     }
 }
 
-void PoisonFleet::after(Millis wait, std::function<void()> event)
+void PoisonFleet::schedule(Millis wait, std::function<void()> event)
 {
     m_events.emplace(m_now + wait, std::move(event));
 }
 
-void PoisonFleet::everySoOften(Stream stream, Millis most, const std::function<void()> &event)
+void PoisonFleet::scheduleRepeatedly(Stream stream, Millis most, const std::function<void()> &event)
 {
-    after(static_cast<Millis>(draw(stream, static_cast<std::size_t>(most))) + 1, [this, stream, most, event] {
+    schedule(static_cast<Millis>(draw(stream, static_cast<std::size_t>(most))) + 1, [this, stream, most, event] {
         event();
-        everySoOften(stream, most, event);
+        scheduleRepeatedly(stream, most, event);
     });
 }
 
-void PoisonFleet::start(std::size_t target)
+void PoisonFleet::startTarget(std::size_t target)
 {
-    m_targets[target] = {.name = absl::StrCat("target-", ++m_started), .up = true};
+    m_targets[target] = {.name = absl::StrCat("target-", ++m_startedTargets), .up = true};
 }
 
-bool PoisonFleet::held(const Router &router, const FingerprintPair &request, Millis now)
+bool PoisonFleet::isQuarantined(const Router &router, const FingerprintPair &request, Millis now)
 {
     return router.quarantine.timeToNextTrial(request.front(), at(now)) || router.quarantine.timeToNextTrial(request.back(), at(now));
 }
@@ -134,23 +134,23 @@
     if (!m_targets[target].up) {
         return;
     }
-    if (held(router, request, m_now) && !beginTrial(number, request)) {
-        noteRefusal(stream);
+    if (isQuarantined(router, request, m_now) && !beginTrial(number, request)) {
+        recordRefusal(stream);
         return;
     }
-    const bool mustKnow = m_thirdCrash && m_now > *m_thirdCrash + s_contact && m_now > router.upSince + s_contact;
+    const bool mustKnow = m_thirdCrash && m_now > *m_thirdCrash + s_propagationTime && m_now > router.upSince + s_propagationTime;
     m_lateCopies += poisonous && mustKnow ? 1 : 0;
-    const std::uint64_t id = ++m_ids;
+    const std::uint64_t id = ++m_lastRequestId;
     m_targets[target].running.push_back({.router = number, .request = request, .id = id});
-    const std::string life = m_targets[target].name;
+    const std::string incarnation = m_targets[target].name;
     const Millis work = static_cast<Millis>(draw(stream, 200)) + 50;
     if (poisonous && draw(stream, 100) < m_day.impatient) {
-        after(work / 2, [this, target, life, id] {
-            leave(target, life, id);
+        schedule(work / 2, [this, target, incarnation, id] {
+            disconnectCaller(target, incarnation, id);
         });
     }
-    after(work, [this, target, life, id, poisonous, request] {
-        if (m_targets[target].name != life || !m_targets[target].up) {
+    schedule(work, [this, target, incarnation, id, poisonous, request] {
+        if (m_targets[target].name != incarnation || !m_targets[target].up) {
             return;
         }
         if (poisonous) {
@@ -158,9 +158,9 @@
             if (m_crashedByPoison == 3) {
                 m_thirdCrash = m_now;
             }
-            crash(target);
+            crashTarget(target);
         } else {
-            finish(target, id, request);
+            completeRequest(target, id, request);
         }
     });
 }
@@ -175,13 +175,13 @@
     }
     for (const RequestFingerprint &fingerprint : request) {
         quarantine.beginTrial(fingerprint, at(m_now));
-        noteTrial(number, fingerprint);
-        tell(number, fingerprint);
+        storeTrial(number, fingerprint);
+        announceEntry(number, fingerprint);
     }
     return true;
 }
 
-void PoisonFleet::noteTrial(std::size_t number, const RequestFingerprint &fingerprint)
+void PoisonFleet::storeTrial(std::size_t number, const RequestFingerprint &fingerprint)
 {
     const Quarantine::Entries &entries = m_routers[number].quarantine.entries();
     const auto row = m_rows.find(fingerprint);
@@ -190,19 +190,19 @@
     }
 }
 
-void PoisonFleet::tell(std::size_t number, const RequestFingerprint &fingerprint)
+void PoisonFleet::announceEntry(std::size_t number, const RequestFingerprint &fingerprint)
 {
     const auto found = m_routers[number].quarantine.entries().find(fingerprint);
     if (found == m_routers[number].quarantine.entries().end()) {
         return;
     }
     const Quarantine::EntryState state = entryStateOf(found->second);
-    tellOthers(number, [this, fingerprint, state](Router &other) {
+    sendToOthers(number, [this, fingerprint, state](Router &other) {
         other.quarantine.mergeEntry(fingerprint, state, at(m_now));
     });
 }
 
-void PoisonFleet::noteRefusal(Stream stream)
+void PoisonFleet::recordRefusal(Stream stream)
 {
     if (stream == Stream::Poison) {
         return;
@@ -213,34 +213,34 @@
     m_longestRefused = std::max(m_longestRefused, m_now - *m_refusedSince);
 }
 
-void PoisonFleet::leave(std::size_t target, const std::string &life, std::uint64_t id)
+void PoisonFleet::disconnectCaller(std::size_t target, const std::string &incarnation, std::uint64_t id)
 {
-    if (m_targets[target].name != life) {
+    if (m_targets[target].name != incarnation) {
         return;
     }
-    std::erase_if(m_targets[target].running, [&](const Running &running) {
+    std::erase_if(m_targets[target].running, [&](const InFlightRequest &running) {
         if (running.id != id) {
             return false;
         }
-        brokeOff(running, life);
+        handleInterruption(running, incarnation);
         return true;
     });
 }
 
-void PoisonFleet::finish(std::size_t target, std::uint64_t id, const FingerprintPair &request)
+void PoisonFleet::completeRequest(std::size_t target, std::uint64_t id, const FingerprintPair &request)
 {
     if (request == m_popular) {
         m_refusedSince.reset();
     }
-    std::erase_if(m_targets[target].running, [&](const Running &running) {
+    std::erase_if(m_targets[target].running, [&](const InFlightRequest &running) {
         if (running.id == id) {
-            acquit(running.router, request);
+            recordAnswer(running.router, request);
         }
         return running.id == id;
     });
 }
 
-void PoisonFleet::acquit(std::size_t number, const FingerprintPair &request)
+void PoisonFleet::recordAnswer(std::size_t number, const FingerprintPair &request)
 {
     Router &router = m_routers[number];
     if (!router.watch.recentlyInterrupted(at(m_now)) && !router.quarantine.isTracked(request.front())
@@ -252,19 +252,19 @@
             if (m_rows.erase(fingerprint) > 0) {
                 m_acquittedAt[fingerprint] = m_now;
             }
-            tellAnswered(number, fingerprint, at(m_now));
+            announceAnswer(number, fingerprint, at(m_now));
         }
     }
 }
 
-void PoisonFleet::tellAnswered(std::size_t number, const RequestFingerprint &fingerprint, Instant answered)
+void PoisonFleet::announceAnswer(std::size_t number, const RequestFingerprint &fingerprint, Instant answered)
 {
-    tellOthers(number, [fingerprint, answered](Router &other) {
+    sendToOthers(number, [fingerprint, answered](Router &other) {
         other.quarantine.recordPeerAnswer(fingerprint, answered);
     });
 }
 
-void PoisonFleet::crash(std::size_t number)
+void PoisonFleet::crashTarget(std::size_t number)
 {
     Target &target = m_targets[number];
     if (!target.up) {
@@ -272,63 +272,64 @@
     }
     target.up = false;
     m_crashedAt[target.name] = m_now;
-    const std::string life = target.name;
-    for (const Running &running : std::exchange(target.running, {})) {
-        after(static_cast<Millis>(draw(Stream::Delays, 5)), [this, running, life] {
-            brokeOff(running, life);
+    const std::string incarnation = target.name;
+    for (const InFlightRequest &running : std::exchange(target.running, {})) {
+        schedule(static_cast<Millis>(draw(Stream::Delays, 5)), [this, running, incarnation] {
+            handleInterruption(running, incarnation);
         });
     }
-    after(static_cast<Millis>(2000 + draw(Stream::Delays, 4000)), [this, number] {
-        start(number);
+    schedule(static_cast<Millis>(2000 + draw(Stream::Delays, 4000)), [this, number] {
+        startTarget(number);
     });
 }
 
-void PoisonFleet::brokeOff(const Running &running, const std::string &life)
+void PoisonFleet::handleInterruption(const InFlightRequest &running, const std::string &incarnation)
 {
-    switch (m_routers[running.router].watch.attemptInterrupted(life, running.request, at(m_now))) {
+    switch (m_routers[running.router].watch.attemptInterrupted(incarnation, running.request, at(m_now))) {
     case CrashWatch::Action::Wait:
         break;
     case CrashWatch::Action::Probe:
-        ask(running.router, life, 0);
+        probe(running.router, incarnation, 0);
         break;
     case CrashWatch::Action::Report:
-        report(running.router, life, {running.request.begin(), running.request.end()});
+        reportCrash(running.router, incarnation, {running.request.begin(), running.request.end()});
         break;
     }
 }
 
-void PoisonFleet::ask(std::size_t router, const std::string &life, std::size_t step)
+void PoisonFleet::probe(std::size_t router, const std::string &incarnation, std::size_t step)
 {
-    const Millis wait = step == 0 ? s_askDelays[0] : s_askDelays[step] - s_askDelays[step - 1];
-    after(wait + 1, [this, router, life, step] {
-        const auto crashed = m_crashedAt.find(life);
+    const Millis wait = step == 0 ? s_probeDelays[0] : s_probeDelays[step] - s_probeDelays[step - 1];
+    schedule(wait + 1, [this, router, incarnation, step] {
+        const auto crashed = m_crashedAt.find(incarnation);
         if (crashed != m_crashedAt.end() && m_now - crashed->second >= m_day.lingering) {
-            after(20, [this, router, life] {
-                report(router, life, m_routers[router].watch.connectionRefused(life, at(m_now)));
+            schedule(20, [this, router, incarnation] {
+                reportCrash(router, incarnation, m_routers[router].watch.connectionRefused(incarnation, at(m_now)));
             });
             return;
         }
-        tellBrokenOff(router, life);
-        if (step + 1 < std::size(s_askDelays)) {
-            ask(router, life, step + 1);
+        announceInterrupted(router, incarnation);
+        if (step + 1 < std::size(s_probeDelays)) {
+            probe(router, incarnation, step + 1);
         } else {
-            m_routers[router].watch.targetAlive(life);
+            m_routers[router].watch.targetAlive(incarnation);
         }
     });
 }
 
-std::size_t PoisonFleet::numberOf(const Router &router) const
+std::size_t PoisonFleet::indexOf(const Router &router) const
 {
     return static_cast<std::size_t>(&router - m_routers.data());
 }
 
-void PoisonFleet::tellBrokenOff(std::size_t router, const std::string &life)
+void PoisonFleet::announceInterrupted(std::size_t router, const std::string &incarnation)
 {
-    Router &teller = m_routers[router];
-    const Instant crash = teller.watch.interruptedSince(life, at(m_now));
-    const std::vector<RequestFingerprint> untold = teller.quarantine.unansweredSince(teller.watch.takeUnannounced(life), crash);
-    tellOthers(router, [this, target = stableHash(life), untold, crash](Router &other) {
-        takeBrokenOff(other, target, untold, crash);
+    Router &announcer = m_routers[router];
+    const Instant crash = announcer.watch.interruptedSince(incarnation, at(m_now));
+    const std::vector<RequestFingerprint> unannounced =
+        announcer.quarantine.unansweredSince(announcer.watch.takeUnannounced(incarnation), crash);
+    sendToOthers(router, [this, target = stableHash(incarnation), unannounced, crash](Router &other) {
+        handleInterrupted(other, target, unannounced, crash);
     });
 }
 
@@ -339,64 +340,64 @@
         sendTo(peer, [this, number](Router &other) {
             for (const Quarantine::KnownCrash &crash : other.quarantine.knownCrashes()) {
                 sendTo(number, [this, crash](Router &asker) {
-                    takeReport(asker, crash.target, crash.inFlight, crash.at);
+                    handleCrashReport(asker, crash.target, crash.inFlight, crash.at);
                 });
             }
-            for (const CrashWatch::UnconfirmedCrash &broken : other.watch.unconfirmedCrashes(at(m_now))) {
-                sendTo(number, [this, broken](Router &asker) {
-                    takeBrokenOff(asker, broken.target, broken.inFlight, broken.since);
+            for (const CrashWatch::UnconfirmedCrash &unconfirmed : other.watch.unconfirmedCrashes(at(m_now))) {
+                sendTo(number, [this, unconfirmed](Router &asker) {
+                    handleInterrupted(asker, unconfirmed.target, unconfirmed.inFlight, unconfirmed.since);
                 });
             }
         });
     }
 }
 
-void PoisonFleet::takeReport(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash)
+void PoisonFleet::handleCrashReport(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash)
 {
-    const std::size_t number = numberOf(router);
-    decide(number, target, router.watch.takeCancelled(target, at(m_now)), crash);
-    decide(number, target, router.watch.confirmCrash(target, at(m_now)), crash);
-    tellAnsweredSince(number, inFlight, crash);
+    const std::size_t number = indexOf(router);
+    applyCrash(number, target, router.watch.takeCancelled(target, at(m_now)), crash);
+    applyCrash(number, target, router.watch.confirmCrash(target, at(m_now)), crash);
+    announceAnswersSince(number, inFlight, crash);
     router.quarantine.recordCrash(target, inFlight, at(m_now), at(m_now) - crash);
 }
 
-void PoisonFleet::takeBrokenOff(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant since)
+void PoisonFleet::handleInterrupted(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant since)
 {
-    decide(numberOf(router), target, router.watch.peerAttemptsInterrupted(target, inFlight, at(m_now)), since);
+    applyCrash(indexOf(router), target, router.watch.peerAttemptsInterrupted(target, inFlight, at(m_now)), since);
 }
 
-void PoisonFleet::report(std::size_t router, const std::string &life, std::vector<RequestFingerprint> inFlight)
+void PoisonFleet::reportCrash(std::size_t router, const std::string &incarnation, std::vector<RequestFingerprint> inFlight)
 {
-    const std::uint64_t target = stableHash(life);
-    const Instant crash = m_routers[router].watch.interruptedSince(life, at(m_now));
+    const std::uint64_t target = stableHash(incarnation);
+    const Instant crash = m_routers[router].watch.interruptedSince(incarnation, at(m_now));
     inFlight = m_routers[router].quarantine.unansweredSince(inFlight, crash);
-    tellOthers(router, [this, target, inFlight, crash](Router &other) {
-        takeReport(other, target, inFlight, crash);
+    sendToOthers(router, [this, target, inFlight, crash](Router &other) {
+        handleCrashReport(other, target, inFlight, crash);
     });
     const std::vector<RequestFingerprint> peers = m_routers[router].watch.confirmCrash(target, at(m_now));
     inFlight.insert(inFlight.end(), peers.begin(), peers.end());
-    decide(router, target, inFlight, crash);
+    applyCrash(router, target, inFlight, crash);
 }
 
-void PoisonFleet::tellAnsweredSince(std::size_t number, const std::vector<RequestFingerprint> &inFlight, Instant crash)
+void PoisonFleet::announceAnswersSince(std::size_t number, const std::vector<RequestFingerprint> &inFlight, Instant crash)
 {
     for (const RequestFingerprint &fingerprint : inFlight) {
         if (const std::optional<Instant> answered = m_routers[number].quarantine.takeUnannouncedAnswer(fingerprint, crash)) {
-            tellAnswered(number, fingerprint, *answered);
+            announceAnswer(number, fingerprint, *answered);
         }
     }
 }
 
-void PoisonFleet::decide(std::size_t router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash)
+void PoisonFleet::applyCrash(std::size_t router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash)
 {
-    tellAnsweredSince(router, inFlight, crash);
+    announceAnswersSince(router, inFlight, crash);
     for (const RequestFingerprint &fingerprint : m_routers[router].quarantine.recordCrash(target, inFlight, at(m_now), at(m_now) - crash)) {
         m_rows[fingerprint] = m_routers[router].quarantine.entries().at(fingerprint);
-        tell(router, fingerprint);
+        announceEntry(router, fingerprint);
     }
 }
 
-void PoisonFleet::tellOthers(std::size_t router, const std::function<void(Router &)> &notice)
+void PoisonFleet::sendToOthers(std::size_t router, const std::function<void(Router &)> &notice)
 {
     for (std::size_t other = 0; other < m_routers.size(); ++other) {
         if (other != router) {
@@ -408,7 +409,7 @@
 void PoisonFleet::sendTo(std::size_t router, const std::function<void(Router &)> &notice)
 {
     if (draw(Stream::Losses, 100) >= m_day.lostNotices) {
-        after(static_cast<Millis>(draw(Stream::Delays, 30)) + 1, [this, router, notice] {
+        schedule(static_cast<Millis>(draw(Stream::Delays, 30)) + 1, [this, router, notice] {
             notice(m_routers[router]);
         });
     }
@@ -417,7 +418,7 @@
 void PoisonFleet::synchroniseRouters()
 {
     for (std::size_t number = 0; number < m_routers.size(); ++number) {
-        after(static_cast<Millis>(draw(Stream::Delays, 2000)), [this, number] {
+        schedule(static_cast<Millis>(draw(Stream::Delays, 2000)), [this, number] {
             synchronise(number);
         });
     }
@@ -426,7 +427,7 @@
 void PoisonFleet::synchronise(std::size_t number)
 {
     readStore(number);
-    after(2000, [this, number] {
+    schedule(2000, [this, number] {
         synchronise(number);
     });
 }
@@ -434,15 +435,15 @@
 void PoisonFleet::readStore(std::size_t number)
 {
     Quarantine &quarantine = m_routers[number].quarantine;
-    std::vector<RequestFingerprint> lifted;
+    std::vector<RequestFingerprint> released;
     for (const auto &[fingerprint, entry] : quarantine.entries()) {
         const auto acquitted = m_acquittedAt.find(fingerprint);
         const bool sinceThen = acquitted != m_acquittedAt.end() && entry.quarantinedSince < at(acquitted->second);
         if (sinceThen || (entry.stored && !m_rows.contains(fingerprint))) {
-            lifted.push_back(fingerprint);
+            released.push_back(fingerprint);
         }
     }
-    for (const RequestFingerprint &fingerprint : lifted) {
+    for (const RequestFingerprint &fingerprint : released) {
         quarantine.acquit(fingerprint);
     }
     for (const auto &[fingerprint, entry] : m_rows) {
--- a/src/tests/poisonfleet.h
+++ b/src/tests/poisonfleet.h
@@ -91,7 +91,7 @@
         Millis upSince = -10'000;
     };
 
-    struct Running {
+    struct InFlightRequest {
         std::size_t router = 0;
         FingerprintPair request;
         std::uint64_t id = 0;
@@ -100,40 +100,40 @@
     struct Target {
         std::string name;
         bool up = false;
-        std::vector<Running> running;
+        std::vector<InFlightRequest> running;
     };
 
     std::size_t draw(Stream stream, std::size_t below);
     /// Reseeds the stream, so that the draws of one arrival do not depend on how many draws the arrivals before it took.
     void restartStream(Stream stream);
-    void after(Millis wait, std::function<void()> event);
-    void everySoOften(Stream stream, Millis most, const std::function<void()> &event);
-    void start(std::size_t target);
-    static bool held(const Router &router, const FingerprintPair &request, Millis now);
+    void schedule(Millis wait, std::function<void()> event);
+    void scheduleRepeatedly(Stream stream, Millis most, const std::function<void()> &event);
+    void startTarget(std::size_t target);
+    static bool isQuarantined(const Router &router, const FingerprintPair &request, Millis now);
     void arrive(const FingerprintPair &request, Stream stream);
     bool beginTrial(std::size_t number, const FingerprintPair &request);
     /// Writes the time of the next trial after this one to the store.
-    void noteTrial(std::size_t number, const RequestFingerprint &fingerprint);
-    void tell(std::size_t number, const RequestFingerprint &fingerprint);
-    void noteRefusal(Stream stream);
+    void storeTrial(std::size_t number, const RequestFingerprint &fingerprint);
+    void announceEntry(std::size_t number, const RequestFingerprint &fingerprint);
+    void recordRefusal(Stream stream);
     /// The caller has disconnected: the router cancels the request, which the target has not noticed yet.
-    void leave(std::size_t target, const std::string &life, std::uint64_t id);
-    void finish(std::size_t target, std::uint64_t id, const FingerprintPair &request);
-    void acquit(std::size_t number, const FingerprintPair &request);
-    void crash(std::size_t number);
-    void brokeOff(const Running &running, const std::string &life);
-    void ask(std::size_t router, const std::string &life, std::size_t step);
-    std::size_t numberOf(const Router &router) const;
-    void tellBrokenOff(std::size_t router, const std::string &life);
-    void report(std::size_t router, const std::string &life, std::vector<RequestFingerprint> inFlight);
-    void decide(std::size_t router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash);
-    void tellAnswered(std::size_t number, const RequestFingerprint &fingerprint, Instant answered);
-    void tellAnsweredSince(std::size_t number, const std::vector<RequestFingerprint> &inFlight, Instant crash);
+    void disconnectCaller(std::size_t target, const std::string &incarnation, std::uint64_t id);
+    void completeRequest(std::size_t target, std::uint64_t id, const FingerprintPair &request);
+    void recordAnswer(std::size_t number, const FingerprintPair &request);
+    void crashTarget(std::size_t number);
+    void handleInterruption(const InFlightRequest &running, const std::string &incarnation);
+    void probe(std::size_t router, const std::string &incarnation, std::size_t step);
+    std::size_t indexOf(const Router &router) const;
+    void announceInterrupted(std::size_t router, const std::string &incarnation);
+    void reportCrash(std::size_t router, const std::string &incarnation, std::vector<RequestFingerprint> inFlight);
+    void applyCrash(std::size_t router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash);
+    void announceAnswer(std::size_t number, const RequestFingerprint &fingerprint, Instant answered);
+    void announceAnswersSince(std::size_t number, const std::vector<RequestFingerprint> &inFlight, Instant crash);
     /// A router that has just started asks peers which crashes they know of.
     void askPeers(std::size_t number);
-    void takeReport(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash);
-    void takeBrokenOff(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant since);
-    void tellOthers(std::size_t router, const std::function<void(Router &)> &notice);
+    void handleCrashReport(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant crash);
+    void handleInterrupted(Router &router, std::uint64_t target, const std::vector<RequestFingerprint> &inFlight, Instant since);
+    void sendToOthers(std::size_t router, const std::function<void(Router &)> &notice);
     void sendTo(std::size_t router, const std::function<void(Router &)> &notice);
     /// Each router reads the store's rows every two seconds, at its own offset.
     void synchroniseRouters();
@@ -152,9 +152,9 @@
     const FingerprintPair m_poison = fingerprintsOf({.team = "team", .body = "poison"});
     const FingerprintPair m_popular = fingerprintsOf({.team = "team", .body = "popular"});
     Millis m_now = 0;
-    std::uint64_t m_ids = 0;
-    int m_unique = 0;
-    int m_started = 0;
+    std::uint64_t m_lastRequestId = 0;
+    int m_uniqueRequests = 0;
+    int m_startedTargets = 0;
     int m_lateCopies = 0;
     int m_crashedByPoison = 0;
     Millis m_longestRefused = 0;
