--- a/src/tests/answermemorytest.cpp
+++ b/src/tests/answermemorytest.cpp
@@ -37,7 +37,7 @@
 }
 
 // Guards against each router announcing its responses to all others again for every report of the same crash.
-BOOST_AUTO_TEST_CASE(anAnswerIsToldOnceForACrash)
+BOOST_AUTO_TEST_CASE(anAnswerIsAnnouncedOnceForACrash)
 {
     const Instant crash = s_now - std::chrono::seconds(2);
     AnswerMemory memory;
--- a/src/tests/crashwatchtest.cpp
+++ b/src/tests/crashwatchtest.cpp
@@ -35,7 +35,7 @@
 
 // All connections of a crashed target close at once. The target is probed once, and all requests in flight there are reported together. An
 // interruption that the event loop handles later is reported too.
-BOOST_AUTO_TEST_CASE(aTargetThatRefusesHasCrashed)
+BOOST_AUTO_TEST_CASE(aTargetThatRefusesConnectionsHasCrashed)
 {
     CrashWatch watch;
     BOOST_TEST((watch.attemptInterrupted("target", request("a"), s_now) == Action::Probe));
@@ -47,7 +47,7 @@
 
 // Guards against blaming requests for a lost response or a reset connection of a target that stays alive, also when that target crashes for
 // another reason a moment later.
-BOOST_AUTO_TEST_CASE(aTargetThatAcceptsLives)
+BOOST_AUTO_TEST_CASE(aTargetThatAcceptsConnectionsIsAlive)
 {
     CrashWatch watch;
     watch.attemptInterrupted("target", request("a"), s_now);
@@ -58,7 +58,7 @@
 
 // Guards against a caller with a short timeout never being seen at a crash: it disconnects, this router cancels its request, and the target
 // crashes a moment later because of that request.
-BOOST_AUTO_TEST_CASE(whatWasJustLeftCounts)
+BOOST_AUTO_TEST_CASE(recentlyCancelledRequestsCount)
 {
     CrashWatch watch;
     watch.callerDisconnected("target", request("long ago"), s_now - std::chrono::seconds(5));
@@ -71,7 +71,7 @@
 }
 
 // This router had no other request on the target, so that no interruption of its own shows the crash. A peer reports it.
-BOOST_AUTO_TEST_CASE(whatWasJustLeftCountsByAPeersWord)
+BOOST_AUTO_TEST_CASE(recentlyCancelledRequestsCountWhenAPeerReportsTheCrash)
 {
     CrashWatch watch;
     watch.callerDisconnected("target", request("a"), s_now);
@@ -81,7 +81,7 @@
 }
 
 // Guards against forgetting responses that arrive between a crash and its report.
-BOOST_AUTO_TEST_CASE(watchesAnswersAfterRequestsBrokeOff)
+BOOST_AUTO_TEST_CASE(answersAreRecordedAfterAnInterruption)
 {
     CrashWatch watch;
     BOOST_TEST(!watch.recentlyInterrupted(s_now));
@@ -97,7 +97,7 @@
 }
 
 // Guards against a router that starts without knowledge of requests interrupted a moment ago.
-BOOST_AUTO_TEST_CASE(tellsARouterThatStartsWhatIsUndecided)
+BOOST_AUTO_TEST_CASE(aStartingRouterLearnsOfUnconfirmedCrashes)
 {
     CrashWatch watch;
     watch.attemptInterrupted("here", request("a"), s_now);
@@ -122,7 +122,7 @@
 
 // Guards against losing the requests that a router had in flight on a crashed target, when the router terminates before the port of the
 // target closes.
-BOOST_AUTO_TEST_CASE(peersKnowWhatBrokeOffAtACrash)
+BOOST_AUTO_TEST_CASE(peersKnowTheRequestsInterruptedByACrash)
 {
     CrashWatch watch;
     watch.attemptInterrupted("target", request("a"), s_now);
@@ -138,7 +138,7 @@
 }
 
 // Guards against blaming requests for a crash that came long after the connection of a peer was reset.
-BOOST_AUTO_TEST_CASE(whatBrokeOffLongBeforeACrashIsNotBlamed)
+BOOST_AUTO_TEST_CASE(requestsInterruptedLongBeforeACrashAreNotBlamed)
 {
     CrashWatch peer;
     const std::uint64_t target = stableHash("target");
--- a/src/tests/failuretest.cpp
+++ b/src/tests/failuretest.cpp
@@ -19,7 +19,7 @@
     BOOST_TEST(!toFailure(failed(FailureKind::NotFound, "x")).retryAfterMs.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(everyKindHasANameOfItsOwn)
+BOOST_AUTO_TEST_CASE(everyKindHasAUniqueName)
 {
     std::set<std::string_view> names;
     for (int kind = 0; kind <= static_cast<int>(FailureKind::Cancelled); ++kind) {
@@ -28,7 +28,7 @@
     BOOST_TEST(names.size() == static_cast<std::size_t>(FailureKind::Cancelled) + 1);
 }
 
-BOOST_AUTO_TEST_CASE(aForeignStatusClaimsNothingAboutTheRun)
+BOOST_AUTO_TEST_CASE(aStatusWithoutPayloadLeavesTheExecutionUnknown)
 {
     BOOST_TEST((toFailure(absl::InternalError("x")).ran == Ran::Unknown));
 }
--- a/src/tests/poisonfleetpropertytest.cpp
+++ b/src/tests/poisonfleetpropertytest.cpp
@@ -34,7 +34,7 @@
 // crash for other reasons, notices between routers get lost, routers die, callers disconnect early and ports close late. From three seconds
 // after the third crash, at most a few copies may reach a target, and a harmless request must not be refused for longer than targets are
 // down and a trial takes.
-BOOST_AUTO_TEST_CASE(fewCopiesPassAndNobodyElseIsHeldBack)
+BOOST_AUTO_TEST_CASE(fewCopiesPassAndNoOtherRequestIsRefusedForLong)
 {
     const bool held = rc::check("poison is held back, others are not", [] {
         Day day{.seed = *rc::gen::inRange(0U, 1'000'000U),
@@ -73,7 +73,7 @@
 }
 
 // Guards against quarantining a request that receives responses all the time, because crashes were reported later than its responses.
-BOOST_AUTO_TEST_CASE(whatWasAnsweredBeforeACrashWasReported)
+BOOST_AUTO_TEST_CASE(requestsAnsweredBeforeACrashWasReported)
 {
     for (const Day &day : {Day{.seed = 570720,
                           .routers = 6,
@@ -118,7 +118,7 @@
 }
 
 // Guards against losing all knowledge of crashes when the few routers that have it terminate one after the other.
-BOOST_AUTO_TEST_CASE(routersThatStartLearnWhatOthersKnow)
+BOOST_AUTO_TEST_CASE(startingRoutersLearnOfCrashesFromPeers)
 {
     for (const Day &day : {Day{.seed = 929601,
                           .routers = 2,
@@ -199,7 +199,7 @@
 BOOST_AUTO_TEST_SUITE(PoisonFleetExtremesTest)
 
 // Guards against losing the requests in flight on a crashed target whose port closes late, when the routers that sent them die.
-BOOST_AUTO_TEST_CASE(littleIsRememberedWhereEverythingDies)
+BOOST_AUTO_TEST_CASE(targetsAndTheirRoutersDieTogether)
 {
     for (const Day &day : {Day{.seed = 13943,
                           .routers = 3,
@@ -251,7 +251,7 @@
 BOOST_AUTO_TEST_SUITE(PoisonFleetRareDaysTest)
 
 // Guards against the last trial of a harmless request coinciding with another crash, and against what is lost when few routers die in turn.
-BOOST_AUTO_TEST_CASE(fewDaysOfManyStillFail)
+BOOST_AUTO_TEST_CASE(rareDaysThatFailed)
 {
     for (const Day &day : {Day{.seed = 716635,
                           .routers = 2,
@@ -289,7 +289,7 @@
 
 // Guards against all routers terminating one after the other before any has detected a crash, and against the first trial of a request
 // without any known response coinciding with another crash.
-BOOST_AUTO_TEST_CASE(whatNobodyKnows)
+BOOST_AUTO_TEST_CASE(crashesAndAnswersThatNoRouterKnows)
 {
     for (const Day &day : {Day{.seed = 786123,
                           .routers = 3,
--- a/src/tests/poisonrequesttest.cpp
+++ b/src/tests/poisonrequesttest.cpp
@@ -163,7 +163,7 @@
     }
 
     /// Makes all targets respond with these bytes from now on.
-    void answerAllWith(const std::string &bytes)
+    void respondFromAllTargets(const std::string &bytes)
     {
         for (const auto &target : m_targets) {
             target->answerWith({{.bytes = bytes}});
@@ -195,7 +195,7 @@
     }
 
     /// Sends three copies through one router each. Each copy crashes a target.
-    asio::awaitable<void> crashThree(Duration between)
+    asio::awaitable<void> crashThreeTargets(Duration between)
     {
         for (std::size_t copy = 0; copy < s_mostCrashed; ++copy) {
             co_await send(copy % s_routers, draftRequest(absl::StrCat("early-", copy), s_poison));
@@ -235,13 +235,13 @@
 // another request id. Nothing connected one arrival with the next, so every copy was sent on: fourteen crashes of nine engines in ten
 // seconds, each with all its streams, and again after the engines had restarted. At all fourteen crashes a request of the same team, route
 // and worst-case cost was in flight, sent by four routers, and no other request was in flight at more than two.
-BOOST_AUTO_TEST_CASE(theFleetHoldsBackARequestThatHasCrashedThreeTargets)
+BOOST_AUTO_TEST_CASE(theFleetQuarantinesARequestThatHasCrashedThreeTargets)
 {
     Scene scene;
     scene.play([&]() -> asio::awaitable<void> {
         // Links between routers are established in the background.
         co_await pause(s_spreadTime);
-        co_await scene.crashThree(Duration::zero());
+        co_await scene.crashThreeTargets(Duration::zero());
         BOOST_TEST(scene.crashed() == s_mostCrashed);
         co_await pause(s_spreadTime);
         for (std::size_t router = 0; router < s_routers; ++router) {
@@ -302,7 +302,7 @@
     scene.lingerAfterCrashes(s_spreadTime / 10);
     scene.play([&]() -> asio::awaitable<void> {
         co_await pause(s_spreadTime);
-        co_await scene.crashThree(s_spreadTime);
+        co_await scene.crashThreeTargets(s_spreadTime);
         for (std::size_t router = 0; router < s_routers; ++router) {
             const std::string answer = co_await scene.send(router, draftRequest(absl::StrCat("late-", router), s_poison));
             BOOST_TEST(answer.starts_with("HTTP/1.1 503 "), answer);
@@ -320,7 +320,7 @@
         co_await pause(s_spreadTime);
         for (std::size_t copy = 0; copy < s_mostCrashed; ++copy) {
             co_await scene.send(copy, draftRequest(absl::StrCat("early-", copy), s_poison));
-            scene.answerAllWith(wholeAnswer(409, "X-Seal: s\r\n", "not now"));
+            scene.respondFromAllTargets(wholeAnswer(409, "X-Seal: s\r\n", "not now"));
             scene.crashNextOn("nothing");
             co_await pause(s_spreadTime / 5);
             const std::string answer = co_await scene.send(copy, draftRequest(absl::StrCat("declined-", copy), s_poison));
@@ -337,7 +337,7 @@
     Scene scene;
     scene.play([&]() -> asio::awaitable<void> {
         co_await pause(s_spreadTime);
-        co_await scene.crashThree(Duration::zero());
+        co_await scene.crashThreeTargets(Duration::zero());
         co_await pause(s_spreadTime);
         for (std::size_t router = 0; router < s_routers; ++router) {
             const std::string answer = co_await scene.send(router, draftRequest(absl::StrCat("sound-", router), "draft block 9"));
@@ -349,7 +349,7 @@
 
 // Targets crash for another reason while one request is in flight on each of them, and its caller retries. The request receives responses
 // between the crashes and must not be refused.
-BOOST_AUTO_TEST_CASE(aRequestThatIsAnsweredBetweenCrashesIsServed)
+BOOST_AUTO_TEST_CASE(aRequestAnsweredBetweenCrashesIsServed)
 {
     Scene scene;
     scene.play([&]() -> asio::awaitable<void> {
--- a/src/tests/quarantinekeepertest.cpp
+++ b/src/tests/quarantinekeepertest.cpp
@@ -29,7 +29,7 @@
 }
 
 /// Number of rows of the quarantine in the store.
-std::size_t kept(const SharedRows &rows)
+std::size_t rowCount(const SharedRows &rows)
 {
     return rows.rows.read("quarantine", "", rows.now).rows.size();
 }
@@ -55,7 +55,7 @@
     }
 
     /// Three targets crash while the request is in flight.
-    void crashThree(const RequestFingerprint &fingerprint)
+    void crashThreeTargets(const RequestFingerprint &fingerprint)
     {
         for (std::uint64_t target = 1; target <= 3; ++target) {
             guard.handleCrashReport({.target = target, .inFlight = {fingerprint}});
@@ -74,12 +74,12 @@
 
 // Guards against a power failure of all routers after a request has crashed three targets. They start without any state of their own;
 // without the store the request would crash three more.
-BOOST_AUTO_TEST_CASE(aQuarantineOutlivesTheRouters)
+BOOST_AUTO_TEST_CASE(theQuarantineSurvivesARestartOfAllRouters)
 {
     SharedRows rows;
     {
         Router before(rows);
-        before.crashThree(request("poison"));
+        before.crashThreeTargets(request("poison"));
         before.synchronise();
     }
     rows.now += 60'000;
@@ -97,7 +97,7 @@
     std::vector<std::unique_ptr<Router>> routers;
     for (int number = 0; number < 5; ++number) {
         routers.push_back(std::make_unique<Router>(rows));
-        routers.back()->crashThree(request("poison"));
+        routers.back()->crashThreeTargets(request("poison"));
     }
     for (int round = 0; round < 3; ++round) {
         for (const auto &router : routers) {
@@ -114,14 +114,14 @@
     SharedRows rows;
     Router one(rows);
     Router other(rows);
-    one.crashThree(request("unlucky"));
+    one.crashThreeTargets(request("unlucky"));
     one.synchronise();
     one.synchronise();
     other.synchronise();
     BOOST_TEST(other.guard.timeToNextTrial(pair("unlucky")).has_value());
     one.guard.requestAnswered(pair("unlucky"));
     Router late(rows);
-    late.crashThree(request("unlucky"));
+    late.crashThreeTargets(request("unlucky"));
     one.synchronise();
     other.synchronise();
     BOOST_TEST(!other.guard.timeToNextTrial(pair("unlucky")).has_value());
@@ -131,7 +131,7 @@
     BOOST_TEST(!one.guard.timeToNextTrial(pair("unlucky")).has_value());
     BOOST_TEST(one.guard.unsavedAcquittals().empty());
     // It may be quarantined again.
-    other.crashThree(request("unlucky"));
+    other.crashThreeTargets(request("unlucky"));
     rows.now += 2000;
     other.synchronise();
     one.synchronise();
@@ -141,15 +141,15 @@
     other.synchronise();
     rows.now += 120'000;
     other.synchronise();
-    BOOST_TEST(kept(rows) == 0U);
+    BOOST_TEST(rowCount(rows) == 0U);
 }
 
 // The operators have repaired the engines and delete the row.
-BOOST_AUTO_TEST_CASE(operatorsLiftIt)
+BOOST_AUTO_TEST_CASE(deletingTheRowReleasesTheRequest)
 {
     SharedRows rows;
     Router router(rows);
-    router.crashThree(request("poison"));
+    router.crashThreeTargets(request("poison"));
     router.synchronise();
     router.synchronise();
     rows.put(addressOf(request("poison").text()), std::nullopt);
@@ -159,12 +159,12 @@
 
 // The store returns a read from before the row was written, as may happen while it rebuilds its history. A row missing from that read does
 // not release the request.
-BOOST_AUTO_TEST_CASE(anOlderAnswerLiftsNothing)
+BOOST_AUTO_TEST_CASE(anOutdatedReadReleasesNothing)
 {
     SharedRows rows;
     Router router(rows);
     const RowsRead before = rows.rows.read("quarantine", "", rows.now);
-    router.crashThree(request("poison"));
+    router.crashThreeTargets(request("poison"));
     router.synchronise();
     router.synchronise();
     rows.older = before;
@@ -173,16 +173,16 @@
 }
 
 // Rows of another writer: whatever they contain, no request is quarantined for more than a day, and the other rows count.
-BOOST_AUTO_TEST_CASE(spoiltRowsHoldNothingBack)
+BOOST_AUTO_TEST_CASE(corruptRowsQuarantineNothing)
 {
     SharedRows rows;
-    for (const char *spoilt : {"",
-                               "[]",
-                               "{}",
-                               "{\"next_trial_ms\":\"x\",\"terms\":1}",
-                               "{\"next_trial_ms\":9e99,\"terms\":1}",
-                               "{\"next_trial_ms\":5,\"terms\":-1}"}) {
-        rows.put(addressOf(request(spoilt).text()), spoilt);
+    for (const char *corrupt : {"",
+                                "[]",
+                                "{}",
+                                "{\"next_trial_ms\":\"x\",\"terms\":1}",
+                                "{\"next_trial_ms\":9e99,\"terms\":1}",
+                                "{\"next_trial_ms\":5,\"terms\":-1}"}) {
+        rows.put(addressOf(request(corrupt).text()), corrupt);
     }
     rows.put(addressOf("no fingerprint"), "{\"next_trial_ms\":99000000,\"terms\":1}");
     rows.put(addressOf(request("far").text()), "{\"next_trial_ms\":9223372036854775807,\"terms\":1}");
@@ -193,11 +193,11 @@
 }
 
 // Guards against a second trial shortly after the first, by a router that starts when the router that began the first has terminated.
-BOOST_AUTO_TEST_CASE(theStoreKnowsOfATrialThatBegan)
+BOOST_AUTO_TEST_CASE(theStoreRecordsATrialThatBegan)
 {
     SharedRows rows;
     Router first(rows);
-    first.crashThree(request("poison"));
+    first.crashThreeTargets(request("poison"));
     first.synchronise();
     const StoreTimeMs before = quarantineRowFrom(rows.rows.read("quarantine", "", rows.now).rows.front().value)->nextTrial;
     first.guard.quarantine().beginTrial(request("poison"), steadyNow() + std::chrono::seconds(4));
@@ -223,12 +223,12 @@
     for (int round = 0; round < 10; ++round) {
         router.synchronise();
     }
-    BOOST_TEST(kept(rows) == router.guard.quarantine().options().maxEntries);
+    BOOST_TEST(rowCount(rows) == router.guard.quarantine().options().maxEntries);
     rows.now += std::chrono::milliseconds(std::chrono::hours(25)).count();
     for (int round = 0; round < 10; ++round) {
         router.synchronise();
     }
-    BOOST_TEST(kept(rows) == 0U);
+    BOOST_TEST(rowCount(rows) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(anyBytesAreReadOrRefused)
--- a/src/tests/quarantinetest.cpp
+++ b/src/tests/quarantinetest.cpp
@@ -28,7 +28,7 @@
 constexpr Duration s_second = std::chrono::seconds(1);
 
 /// Three targets crash while the request is in flight.
-void holdBack(Quarantine &quarantine)
+void quarantineRequest(Quarantine &quarantine)
 {
     for (std::uint64_t target = 1; target <= 3; ++target) {
         quarantine.recordCrash(target, std::vector{request(0)}, at({}));
@@ -41,7 +41,7 @@
     std::vector<RequestFingerprint> inFlight;
 };
 
-std::set<RequestFingerprint> heldAfter(const std::vector<Report> &reports)
+std::set<RequestFingerprint> quarantinedAfter(const std::vector<Report> &reports)
 {
     Quarantine quarantine;
     Instant now = at({});
@@ -62,7 +62,7 @@
 
 // Engines crash one after the other because of one caller's request, each with other requests in flight. The copies arrive at several
 // routers, and each router that had requests on the target reports the crash.
-BOOST_AUTO_TEST_CASE(holdsBackWhatWasThereAtEachCrash)
+BOOST_AUTO_TEST_CASE(aRequestInFlightAtEachCrashIsQuarantined)
 {
     Quarantine quarantine;
     for (std::uint64_t target = 1; target <= 3; ++target) {
@@ -128,12 +128,12 @@
 }
 
 // Guards against quarantining a request with recent responses for a long time because one trial coincided with another crash.
-BOOST_AUTO_TEST_CASE(eachLateAnswerGrantsAnotherTrial)
+BOOST_AUTO_TEST_CASE(eachRecentAnswerAllowsAnotherTrial)
 {
     Quarantine quarantine;
     quarantine.recordAnswer(request(0), at(-s_second));
     quarantine.recordAnswer(request(0), at(-s_second / 2));
-    holdBack(quarantine);
+    quarantineRequest(quarantine);
     for (const unsigned quarantineLevel : {1U, 1U, 2U}) {
         const Instant trial = quarantine.entries().at(request(0)).nextTrial;
         quarantine.beginTrial(request(0), trial);
@@ -147,7 +147,7 @@
 // A caller retries twice while a poisonous request circulates, and its request is interrupted twice by coincidence. The poisonous request
 // is identified. Much later an engine crashes for another reason with the harmless request in flight. The first two crashes are explained,
 // so that request is not quarantined.
-BOOST_AUTO_TEST_CASE(whatThePoisonExplainsDoesNotCountAgainstOthers)
+BOOST_AUTO_TEST_CASE(explainedCrashesDoNotCountAgainstOtherRequests)
 {
     Quarantine quarantine;
     quarantine.recordCrash(1, std::vector{request(0), request(1)}, at({}));
@@ -164,10 +164,10 @@
 
 // A harmless request is quarantined because every target crashed within a second with a copy of it in flight. As no copy passes any more,
 // it could never be acquitted by a response. One copy is let through as a trial.
-BOOST_AUTO_TEST_CASE(aTrialAcquitsWhatDidNothing)
+BOOST_AUTO_TEST_CASE(aTrialAcquitsAHarmlessRequest)
 {
     Quarantine quarantine;
-    holdBack(quarantine);
+    quarantineRequest(quarantine);
     BOOST_TEST(!quarantine.mayBeginTrial(request(0), at({})));
     BOOST_TEST(quarantine.mayBeginTrial(request(0), at(3 * s_second)));
     quarantine.beginTrial(request(0), at(3 * s_second));
@@ -179,10 +179,10 @@
 
 // The cause itself is let through as a trial and crashes one more target. It is quarantined for ten minutes, and after the next trial for a
 // day.
-BOOST_AUTO_TEST_CASE(aTrialKeepsTheCause)
+BOOST_AUTO_TEST_CASE(aTrialKeepsTheCauseQuarantined)
 {
     Quarantine quarantine;
-    holdBack(quarantine);
+    quarantineRequest(quarantine);
     for (const unsigned quarantineLevel : {2U, 3U}) {
         const Instant trial = quarantine.entries().at(request(0)).nextTrial;
         BOOST_TEST(quarantine.mayBeginTrial(request(0), trial));
@@ -214,10 +214,10 @@
 
 // Trials whose callers disconnect or whose responses get lost have no result. Their number is limited, because each may have crashed a
 // target.
-BOOST_AUTO_TEST_CASE(trialsThatDecideNothingAreFew)
+BOOST_AUTO_TEST_CASE(trialsWithoutAResultAreLimited)
 {
     Quarantine quarantine;
-    holdBack(quarantine);
+    quarantineRequest(quarantine);
     int trials = 0;
     for (Instant now = at({}); now < at(60 * s_second); now += s_second / 10) {
         if (quarantine.mayBeginTrial(request(0), now)) {
@@ -233,7 +233,7 @@
 BOOST_AUTO_TEST_CASE(aTrialThatReachedNoTargetIsRepeated)
 {
     Quarantine quarantine;
-    holdBack(quarantine);
+    quarantineRequest(quarantine);
     for (int second = 3; second < 20; second += 2) {
         BOOST_TEST(quarantine.mayBeginTrial(request(0), at(second * s_second)));
         quarantine.beginTrial(request(0), at(second * s_second));
@@ -242,10 +242,10 @@
 }
 
 // Guards against losing the result of a trial because the router that started it terminated before the crash of its target was detected.
-BOOST_AUTO_TEST_CASE(aPeersTrialIsDecidedByAnyReport)
+BOOST_AUTO_TEST_CASE(anyCrashReportEndsAPeersTrial)
 {
     Quarantine quarantine;
-    holdBack(quarantine);
+    quarantineRequest(quarantine);
     const Instant trial = at(4 * s_second);
     quarantine.mergeEntry(request(0), {.nextTrial = trial + Quarantine::s_trialTimeout, .quarantineLevel = 1, .trials = 1}, trial);
     // A crash from before the trial began, reported late.
@@ -275,7 +275,7 @@
 }
 
 // A copy that was in flight when its request was first quarantined crashes its target too. That does not lengthen the quarantine.
-BOOST_AUTO_TEST_CASE(copiesAlreadyUnderWayChangeNothing)
+BOOST_AUTO_TEST_CASE(copiesAlreadyInFlightChangeNothing)
 {
     Quarantine quarantine;
     for (std::uint64_t target = 1; target <= 9; ++target) {
@@ -284,7 +284,7 @@
     BOOST_TEST(quarantine.entries().at(request(0)).quarantineLevel == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(forgetsWhatIsLongPast)
+BOOST_AUTO_TEST_CASE(oldCrashesAreRemoved)
 {
     Quarantine quarantine;
     quarantine.recordCrash(1, std::vector{request(0)}, at({}));
@@ -334,10 +334,10 @@
     BOOST_TEST((quarantine.timeToNextTrial(request(0), at({})) == 99 * s_second));
 }
 
-BOOST_AUTO_TEST_CASE(spoiltTermsAreBounded)
+BOOST_AUTO_TEST_CASE(corruptDurationsAreClamped)
 {
-    for (const std::int64_t spoilt : {std::numeric_limits<std::int64_t>::max(), std::numeric_limits<std::int64_t>::min()}) {
-        const Duration term = Quarantine::clampedDuration(spoilt);
+    for (const std::int64_t corrupt : {std::numeric_limits<std::int64_t>::max(), std::numeric_limits<std::int64_t>::min()}) {
+        const Duration term = Quarantine::clampedDuration(corrupt);
         BOOST_TEST((term <= Quarantine::s_maxTrialInterval && term >= -Quarantine::s_maxTrialInterval));
     }
     BOOST_TEST((Quarantine::clampedDuration(1500) == std::chrono::milliseconds(1500)));
@@ -345,7 +345,7 @@
 
 // Reports of the same crashes reach each router in a different order, some of them twice. All routers quarantine the same requests: those
 // that were in flight at three crashes or more.
-BOOST_AUTO_TEST_CASE(routersAgreeWhateverTheOrderOfReports)
+BOOST_AUTO_TEST_CASE(routersAgreeForAnyOrderOfReports)
 {
     const bool held = rc::check("the verdict follows from the set of reports", [] {
         const auto count = *rc::gen::inRange(1, 12);
@@ -368,8 +368,8 @@
         std::vector<Report> shuffled = reports;
         shuffled.insert(shuffled.end(), reports.begin(), reports.end());
         std::ranges::shuffle(shuffled, std::mt19937(static_cast<unsigned>(*rc::gen::inRange(0, 10'000))));
-        RC_ASSERT(heldAfter(reports) == expected);
-        RC_ASSERT(heldAfter(shuffled) == expected);
+        RC_ASSERT(quarantinedAfter(reports) == expected);
+        RC_ASSERT(quarantinedAfter(shuffled) == expected);
     });
     BOOST_TEST(held);
 }
--- a/src/tests/requestfingerprinttest.cpp
+++ b/src/tests/requestfingerprinttest.cpp
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_SUITE(RequestFingerprintTest)
 
-BOOST_AUTO_TEST_CASE(tellsWhoAsksAndWhat)
+BOOST_AUTO_TEST_CASE(everyFieldChangesTheFingerprint)
 {
     const FingerprintSource source{
         .team = "team", .method = "POST", .host = "app.example", .target = "/drafts/9?page=2", .body = "Is block 9 free?"};
@@ -26,7 +26,7 @@
 }
 
 // A caller adds a query that bypasses caches, or uses another name of the host. The core fingerprint is still the same.
-BOOST_AUTO_TEST_CASE(coreLeavesOutWhatMayChange)
+BOOST_AUTO_TEST_CASE(theCoreOmitsQueryAndHostName)
 {
     const FingerprintSource source{
         .team = "team", .method = "POST", .host = "app.example", .target = "/drafts/9?page=2", .body = "Is block 9 free?"};
@@ -58,9 +58,9 @@
     const RequestFingerprint fingerprint = RequestFingerprint::of({.team = "team"});
     BOOST_TEST((RequestFingerprint::fromText(fingerprint.text()) == fingerprint));
     BOOST_TEST((RequestFingerprint::fromBytes(fingerprint.bytes()) == fingerprint));
-    for (const std::string &spoilt :
+    for (const std::string &corrupt :
          {std::string(), std::string("12"), std::string(48, 'g'), std::string(48, 'A'), fingerprint.text() + "00", std::string(24, '\0')}) {
-        BOOST_TEST(!RequestFingerprint::fromText(spoilt).has_value());
+        BOOST_TEST(!RequestFingerprint::fromText(corrupt).has_value());
     }
     BOOST_TEST(!RequestFingerprint::fromBytes("short").has_value());
 }
