--- a/src/tests/poisonfleet.cpp
+++ b/src/tests/poisonfleet.cpp
@@ -234,13 +234,13 @@
     }
     std::erase_if(m_targets[target].running, [&](const InFlightRequest &running) {
         if (running.id == id) {
-            recordAnswer(running.router, request);
+            handleAnswer(running.router, request);
         }
         return running.id == id;
     });
 }
 
-void PoisonFleet::recordAnswer(std::size_t number, const FingerprintPair &request)
+void PoisonFleet::handleAnswer(std::size_t number, const FingerprintPair &request)
 {
     Router &router = m_routers[number];
     if (!router.watch.recentlyInterrupted(at(m_now)) && !router.quarantine.isTracked(request.front())
--- a/src/tests/poisonfleet.h
+++ b/src/tests/poisonfleet.h
@@ -119,7 +119,7 @@
     /// The caller has disconnected: the router cancels the request, which the target has not noticed yet.
     void disconnectCaller(std::size_t target, const std::string &incarnation, std::uint64_t id);
     void completeRequest(std::size_t target, std::uint64_t id, const FingerprintPair &request);
-    void recordAnswer(std::size_t number, const FingerprintPair &request);
+    void handleAnswer(std::size_t number, const FingerprintPair &request);
     void crashTarget(std::size_t number);
     void handleInterruption(const InFlightRequest &running, const std::string &incarnation);
     void probe(std::size_t router, const std::string &incarnation, std::size_t step);
