--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -174,7 +174,7 @@
                 "request.quarantined",
                 {{"fingerprint", fingerprint.text()},
                  {"target", name},
-                 {"crashes", static_cast<std::int64_t>(entry.targets.size())},
+                 {"crashes", static_cast<std::int64_t>(entry.crashedTargets.size())},
                  {"for_s", inSeconds(entry.nextTrial - now)}});
         announceEntry(fingerprint);
         m_unsavedAcquittals.erase(fingerprint);
@@ -197,14 +197,14 @@
 
 void PoisonGuard::acquit(const RequestFingerprint &fingerprint, Instant answered)
 {
-    const bool held = m_quarantine.entries().contains(fingerprint);
+    const bool wasQuarantined = m_quarantine.entries().contains(fingerprint);
     if (!m_quarantine.recordAnswer(fingerprint, answered)) {
         return;
     }
-    m_metrics.count("acquittals_total", {.name = "state", .value = held ? "held" : "suspected"});
+    m_metrics.count("acquittals_total", {.name = "state", .value = wasQuarantined ? "held" : "suspected"});
     m_announceChange({.fingerprint = fingerprint});
     // Only quarantined requests are logged: after a crash there are many suspects, and most are acquitted when their caller retries.
-    if (held) {
+    if (wasQuarantined) {
         logLine(Severity::Info, "request.acquitted", {{"fingerprint", fingerprint.text()}, {"by", "a complete response"}});
         m_unsavedAcquittals.insert(fingerprint);
         m_storeUpdateNeeded.notify();
@@ -306,7 +306,7 @@
 {
     const Instant now = steadyNow();
     const bool acquits = change.quarantineLevel == 0;
-    const bool held = m_quarantine.entries().contains(change.fingerprint);
+    const bool wasQuarantined = m_quarantine.entries().contains(change.fingerprint);
     const Quarantine::EntryState state{
         .nextTrial = now + change.remaining, .quarantineLevel = change.quarantineLevel, .trials = change.trials, .answers = change.answers};
     const bool isNew = acquits ? m_quarantine.recordPeerAnswer(change.fingerprint, now + std::min(change.remaining, Duration::zero()))
@@ -314,7 +314,7 @@
     if (isNew) {
         updateGauges();
     }
-    if (isNew && (held || !acquits)) {
+    if (isNew && (wasQuarantined || !acquits)) {
         logLine(Severity::Info,
                 acquits ? "request.acquitted" : "request.quarantined",
                 {{"fingerprint", change.fingerprint.text()}, {"by", from}, {"for_s", inSeconds(change.remaining)}});
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -71,14 +71,14 @@
 std::vector<RequestFingerprint>
 Quarantine::recordCrash(std::uint64_t target, std::span<const RequestFingerprint> inFlight, Instant now, Duration ago)
 {
-    std::vector<RequestFingerprint> held;
+    std::vector<RequestFingerprint> quarantined;
     for (const RequestFingerprint &fingerprint : inFlight) {
         if (answeredSince(fingerprint, now - ago)) {
             continue;
         }
         if (const auto known = m_entries.find(fingerprint); known != m_entries.end()) {
             Entry &entry = known->second;
-            addTarget(entry.targets, target);
+            addTarget(entry.crashedTargets, target);
             // Copies that were already in flight when the request was first quarantined change nothing. A copy on trial does, whichever
             // router started the trial, because that router may have terminated.
             if (entry.trialBegan && now - *entry.trialBegan <= s_trialTimeout && now - ago >= *entry.trialBegan) {
@@ -90,26 +90,26 @@
                     entry.nextTrial = now + trialInterval(entry);
                 }
                 endTrial(fingerprint);
-                held.push_back(fingerprint);
+                quarantined.push_back(fingerprint);
             }
             continue;
         }
         Suspect &suspect = m_suspects[fingerprint];
-        addTarget(suspect.targets, target);
+        addTarget(suspect.crashedTargets, target);
         suspect.last = now;
         if (isLikelyCause(suspect, now)) {
             m_entries[fingerprint] = {.nextTrial = now + m_options.firstTrialDelay + firstTrialOffset(fingerprint),
                                       .quarantineLevel = 1,
-                                      .targets = std::move(suspect.targets),
+                                      .crashedTargets = std::move(suspect.crashedTargets),
                                       .quarantinedSince = now,
                                       .answers = m_answers.recentAnswerCount(fingerprint, now)};
             m_suspects.erase(fingerprint);
-            held.push_back(fingerprint);
+            quarantined.push_back(fingerprint);
         }
     }
     limitSuspects();
     limitEntries();
-    return held;
+    return quarantined;
 }
 
 bool Quarantine::isExplained(std::uint64_t target, Instant now) const
@@ -118,16 +118,16 @@
     // else a harmless request that was reported first could clear the actual cause.
     return std::ranges::any_of(m_entries, [&](const auto &entry) {
         return now - entry.second.quarantinedSince > s_reportDelay
-            && std::ranges::find(entry.second.targets, target) != entry.second.targets.end();
+            && std::ranges::find(entry.second.crashedTargets, target) != entry.second.crashedTargets.end();
     });
 }
 
 bool Quarantine::isLikelyCause(const Suspect &suspect, Instant now) const
 {
-    if (suspect.targets.size() < m_options.crashThreshold) {
+    if (suspect.crashedTargets.size() < m_options.crashThreshold) {
         return false;
     }
-    const auto unexplained = std::ranges::count_if(suspect.targets, [&](std::uint64_t target) {
+    const auto unexplained = std::ranges::count_if(suspect.crashedTargets, [&](std::uint64_t target) {
         return !isExplained(target, now);
     });
     return static_cast<std::size_t>(unexplained) >= m_options.crashThreshold;
@@ -151,11 +151,11 @@
 
 std::vector<RequestFingerprint> Quarantine::unansweredSince(std::span<const RequestFingerprint> inFlight, Instant crash) const
 {
-    std::vector<RequestFingerprint> left(inFlight.begin(), inFlight.end());
-    std::erase_if(left, [&](const RequestFingerprint &fingerprint) {
+    std::vector<RequestFingerprint> unanswered(inFlight.begin(), inFlight.end());
+    std::erase_if(unanswered, [&](const RequestFingerprint &fingerprint) {
         return answeredSince(fingerprint, crash).has_value();
     });
-    return left;
+    return unanswered;
 }
 
 std::optional<Instant> Quarantine::answeredSince(const RequestFingerprint &fingerprint, Instant crash) const
@@ -199,7 +199,7 @@
     }
     if (isNew) {
         if (const auto suspect = m_suspects.find(fingerprint); suspect != m_suspects.end()) {
-            entry.targets = std::move(suspect->second.targets);
+            entry.crashedTargets = std::move(suspect->second.crashedTargets);
             m_suspects.erase(suspect);
         }
         limitEntries();
@@ -271,7 +271,7 @@
 {
     std::map<std::uint64_t, KnownCrash> crashes;
     for (const auto &[fingerprint, suspect] : m_suspects) {
-        for (const std::uint64_t target : suspect.targets) {
+        for (const std::uint64_t target : suspect.crashedTargets) {
             KnownCrash &crash = crashes[target];
             crash.target = target;
             crash.inFlight.push_back(fingerprint);
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -63,7 +63,7 @@
         /// 1 when the request is first quarantined, and one more for each trial that crashed a target.
         unsigned quarantineLevel = 0;
         /// Hashes of the incarnations of the targets that crashed while the request was in flight.
-        std::vector<std::uint64_t> targets;
+        std::vector<std::uint64_t> crashedTargets;
         Instant quarantinedSince{};
         /// True if the store has a row for this entry.
         bool stored = false;
@@ -183,7 +183,7 @@
 
 private:
     struct Suspect {
-        std::vector<std::uint64_t> targets;
+        std::vector<std::uint64_t> crashedTargets;
         Instant last{};
     };
 
