--- a/src/quarantine/crashwatch.cpp
+++ b/src/quarantine/crashwatch.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-/// All attempts on a crashed target are interrupted within milliseconds of each other. The margin is for an event loop that is short of
-/// processor time and handles the last of them late.
+/// A crashed target is remembered for this long after its last interrupted attempt. All attempts are interrupted within milliseconds of
+/// each other; the margin is for an event loop that is short of processor time and handles the last of them late.
 constexpr Duration s_crashRetention = std::chrono::seconds(10);
 /// Maximum number of fingerprints reported for one crash. An engine processes fewer requests at a time.
 constexpr std::size_t s_maxRequestsPerCrash = 1024;
-/// A target notices within this time that the caller of a request has disconnected, and cancels the request.
+/// A cancelled request is remembered for this long. Within this time a target notices that the caller has disconnected, and stops
+/// processing the request.
 constexpr Duration s_cancelledRetention = std::chrono::seconds(1);
-/// Within this time a router has either confirmed that a target with interrupted requests crashed, or reports no crash.
+/// Interrupted requests of a peer are remembered for this long. Within this time the peer has confirmed the crash, or reports none.
 constexpr Duration s_unconfirmedRetention = std::chrono::seconds(2);
 /// Maximum number of cancelled requests remembered for each target.
 constexpr std::size_t s_maxCancelledRequests = 64;
--- a/src/quarantine/crashwatch.h
+++ b/src/quarantine/crashwatch.h
@@ -39,8 +39,8 @@
     /// Records that the target refuses connections, so it has crashed. Returns the requests of this router that were in flight there.
     std::vector<RequestFingerprint> connectionRefused(const std::string &incarnation, Instant now);
 
-    /// Takes note of a crash that a peer detected; `target` is the hash of the target's incarnation. Returns the requests that this router
-    /// cancelled there shortly before.
+    /// Takes the requests that this router cancelled on a target shortly before a peer detected its crash; `target` is the hash of the
+    /// target's incarnation.
     std::vector<RequestFingerprint> takeCancelled(std::uint64_t target, Instant now);
 
     /// Returns the requests that were interrupted on the target since the last call. They are announced to the peers at once, because this
@@ -48,7 +48,7 @@
     std::vector<RequestFingerprint> takeUnannounced(const std::string &incarnation);
 
     /// Records that requests of a peer were interrupted on a target, which may have crashed; `target` is the hash of the target's
-    /// incarnation. If the target is already known to have crashed, returns these requests; else returns none.
+    /// incarnation. If the target is already known to have crashed, returns these requests, otherwise none.
     std::vector<RequestFingerprint>
     peerAttemptsInterrupted(std::uint64_t target, std::vector<RequestFingerprint> fingerprints, Instant now);
 
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -115,7 +115,7 @@
 bool Quarantine::isExplained(std::uint64_t target, Instant now) const
 {
     // Reports of one crash arrive in any order. A request quarantined just now therefore does not explain the crash for the others yet;
-    // else a harmless request that was reported first could clear the actual cause.
+    // otherwise a harmless request that was reported first could clear the actual cause.
     return std::ranges::any_of(m_entries, [&](const auto &entry) {
         return now - entry.second.quarantinedSince > s_reportDelay
             && std::ranges::find(entry.second.crashedTargets, target) != entry.second.crashedTargets.end();
