--- a/src/budget/checkpointkeeper.h
+++ b/src/budget/checkpointkeeper.h
@@ -87,7 +87,7 @@
             m_ledger.checkpointAnswered(*verdict, steadyNow());
             co_return true;
         }
-        if (toFailure(verdict.status()).ran == Ran::No) {
+        if (toFailure(verdict.status()).executed == Executed::No) {
             m_ledger.checkpoint().declined();
         } else {
             m_ledger.checkpoint().lost();
--- a/src/budget/ledgerkeeper.h
+++ b/src/budget/ledgerkeeper.h
@@ -105,7 +105,7 @@
             entry.answered.notify();
             co_return true;
         }
-        if (toFailure(verdict.status()).ran == Ran::No) {
+        if (toFailure(verdict.status()).executed == Executed::No) {
             entry.holding.flushDeclined();
         } else {
             entry.holding.flushLost();
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -92,7 +92,7 @@
                                             " held; left in the budget ",
                                             account.holding.remainingAnywhere(),
                                             account.storeAnswers && m_checkpointAnswers ? "" : "; store out of reach"),
-                     .ran = Ran::No,
+                     .executed = Executed::No,
                      .retryAfterMs = retryAfterMs(account, refusal, bound)});
 }
 
--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -156,7 +156,7 @@
 
 asio::awaitable<void> RequestDriver::answerFromClaim(Journey &journey, Claim standing)
 {
-    Failure failure{.kind = FailureKind::AlreadyRunning, .ran = Ran::Unknown, .retryAfterMs = s_retryClaimedMs};
+    Failure failure{.kind = FailureKind::AlreadyRunning, .executed = Executed::Unknown, .retryAfterMs = s_retryClaimedMs};
     failure.detail =
         absl::StrCat("request ", standing.requestId, " with this idempotency key is under way or was lost; it is not run again");
     if (standing.state == Claim::State::Done && standing.outcome == outcomeName(Outcome::Answered)) {
@@ -170,7 +170,7 @@
         }
     } else if (standing.state == Claim::State::Done) {
         const bool ran = standing.outcome == outcomeName(Outcome::FailedAfterRunning);
-        failure = Failure{.kind = FailureKind::EngineFailed, .ran = ran ? Ran::Yes : Ran::Unknown};
+        failure = Failure{.kind = FailureKind::EngineFailed, .executed = ran ? Executed::Yes : Executed::Unknown};
         failure.detail =
             absl::StrCat("request ", standing.requestId, " with this idempotency key ended as ", standing.outcome, "; it is not run again");
     }
@@ -327,8 +327,8 @@
     journey.cancelSentAt = steadyNow();
     sendCancel(journey);
     if (!hungUp) {
-        const Ran ran = journey.course.begun() ? Ran::Yes : Ran::Unknown;
-        Failure failure{.kind = FailureKind::DeadlineExceeded, .detail = "the deadline passed", .ran = ran};
+        const Executed ran = journey.course.begun() ? Executed::Yes : Executed::Unknown;
+        Failure failure{.kind = FailureKind::DeadlineExceeded, .detail = "the deadline passed", .executed = ran};
         co_await answerFailure(journey, std::move(failure));
     }
     journey.callerDone = true;
--- a/src/engine/sidecar.cpp
+++ b/src/engine/sidecar.cpp
@@ -327,16 +327,16 @@
     HttpStreamCall call(*m_engines[run->loopIndex], callOptions(*run));
     run->call = &call;
     AnswerFrame::End end;
-    absl::Status started = failed(FailureKind::Cancelled, "cancelled before it was sent", Ran::No);
+    absl::Status started = failed(FailureKind::Cancelled, "cancelled before it was sent", Executed::No);
     if (!run->cancelled) {
         started = co_await call.start();
     }
     if (started.ok()) {
         end = co_await relay(*run, call);
     } else {
-        const Ran ran = toFailure(started).ran;
-        end.end = ran == Ran::No ? RunEnd::NotRun : RunEnd::Unknown;
-        end.end = run->cancelled && ran != Ran::No ? RunEnd::Cancelled : end.end;
+        const Executed ran = toFailure(started).executed;
+        end.end = ran == Executed::No ? RunEnd::NotRun : RunEnd::Unknown;
+        end.end = run->cancelled && ran != Executed::No ? RunEnd::Cancelled : end.end;
     }
     run->call = nullptr;
     const std::string requestId = run->dispatch.request_id();
--- a/src/failure/failure.cpp
+++ b/src/failure/failure.cpp
@@ -62,14 +62,14 @@
     return entryOf(kind).name;
 }
 
-std::string_view ranName(Ran ran)
+std::string_view executedName(Executed executed)
 {
-    switch (ran) {
-    case Ran::No:
+    switch (executed) {
+    case Executed::No:
         return "no";
-    case Ran::Yes:
+    case Executed::Yes:
         return "yes";
-    case Ran::Unknown:
+    case Executed::Unknown:
         break;
     }
     return "unknown";
@@ -80,7 +80,7 @@
     absl::Status status(entryOf(failure.kind).code, absl::StrCat(std::string(failureName(failure.kind)), ": ", failure.detail));
     const std::int64_t retryAfter = failure.retryAfterMs.value_or(-1);
     const std::string payload =
-        absl::StrCat(static_cast<int>(failure.kind), "\n", static_cast<int>(failure.ran), "\n", retryAfter, "\n", failure.detail);
+        absl::StrCat(static_cast<int>(failure.kind), "\n", static_cast<int>(failure.executed), "\n", retryAfter, "\n", failure.detail);
     status.SetPayload({s_payloadUrl.data(), s_payloadUrl.size()}, absl::Cord(payload));
     return status;
 }
@@ -89,25 +89,25 @@
 {
     const auto payload = status.GetPayload({s_payloadUrl.data(), s_payloadUrl.size()});
     if (!payload) {
-        return Failure{.kind = FailureKind::EngineFailed, .detail = std::string(status.message()), .ran = Ran::Unknown};
+        return Failure{.kind = FailureKind::EngineFailed, .detail = std::string(status.message()), .executed = Executed::Unknown};
     }
     const std::vector<std::string> parts = absl::StrSplit(std::string(*payload), absl::MaxSplits('\n', 3));
     int kind = 0;
-    int ran = 0;
+    int executed = 0;
     std::int64_t retryAfter = -1;
     (void)absl::SimpleAtoi(parts.at(0), &kind);
-    (void)absl::SimpleAtoi(parts.at(1), &ran);
+    (void)absl::SimpleAtoi(parts.at(1), &executed);
     (void)absl::SimpleAtoi(parts.at(2), &retryAfter);
-    Failure failure{.kind = static_cast<FailureKind>(kind), .detail = parts.at(3), .ran = static_cast<Ran>(ran)};
+    Failure failure{.kind = static_cast<FailureKind>(kind), .detail = parts.at(3), .executed = static_cast<Executed>(executed)};
     if (retryAfter >= 0) {
         failure.retryAfterMs = retryAfter;
     }
     return failure;
 }
 
-absl::Status failed(FailureKind kind, std::string_view detail, Ran ran)
+absl::Status failed(FailureKind kind, std::string_view detail, Executed executed)
 {
-    return toStatus(Failure{.kind = kind, .detail = std::string(detail), .ran = ran});
+    return toStatus(Failure{.kind = kind, .detail = std::string(detail), .executed = executed});
 }
 
 }
--- a/src/failure/failure.h
+++ b/src/failure/failure.h
@@ -42,7 +42,7 @@
 };
 
 /// Whether the engine executed a request, as far as this is known.
-enum class Ran {
+enum class Executed {
     No,
     Yes,
     Unknown,
@@ -53,7 +53,7 @@
     FailureKind kind = FailureKind::InvalidRequest;
     /// What a person needs to resolve the failure: the flag, path or row concerned.
     std::string detail;
-    Ran ran = Ran::No;
+    Executed executed = Executed::No;
     /// Milliseconds after which a retry may succeed; nullopt if it never will.
     std::optional<std::int64_t> retryAfterMs;
 };
@@ -62,7 +62,7 @@
 std::string_view failureName(FailureKind kind);
 
 /// Returns "no", "yes" or "unknown".
-std::string_view ranName(Ran ran);
+std::string_view executedName(Executed executed);
 
 /// Wraps a failure in a status with the closest absl code.
 absl::Status toStatus(const Failure &failure);
@@ -71,6 +71,6 @@
 Failure toFailure(const absl::Status &status);
 
 /// Returns a status for a failure without a retry time.
-absl::Status failed(FailureKind kind, std::string_view detail, Ran ran = Ran::No);
+absl::Status failed(FailureKind kind, std::string_view detail, Executed executed = Executed::No);
 
 }
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -299,7 +299,7 @@
 
 AttemptEnd RequestRun::endOf(const absl::Status &status) const
 {
-    if (toFailure(status).ran == Ran::No) {
+    if (toFailure(status).executed == Executed::No) {
         return AttemptEnd::NotRun;
     }
     if (m_callerLeft) {
@@ -489,7 +489,7 @@
         co_return;
     }
     const bool notRun = m_ran == 0;
-    Failure failure{.kind = FailureKind::TargetLost, .detail = ran, .ran = notRun ? Ran::No : Ran::Unknown};
+    Failure failure{.kind = FailureKind::TargetLost, .detail = ran, .executed = notRun ? Executed::No : Executed::Unknown};
     if (notRun) {
         failure.kind = m_tried.empty() ? FailureKind::NoTarget : FailureKind::Overloaded;
         const Instant now = steadyNow();
--- a/src/membership/peerlink.cpp
+++ b/src/membership/peerlink.cpp
@@ -95,7 +95,7 @@
     co_await pending->answered.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
     m_pending.erase(id);
     if (!pending->answer) {
-        co_return failed(FailureKind::TargetLost, absl::StrCat("router ", peer, " did not answer"), Ran::Unknown);
+        co_return failed(FailureKind::TargetLost, absl::StrCat("router ", peer, " did not answer"), Executed::Unknown);
     }
     co_return *std::move(pending->answer);
 }
--- a/src/membership/peerlink.h
+++ b/src/membership/peerlink.h
@@ -56,7 +56,7 @@
     /// The routers that live, by link address; this one may be among them.
     void setPeers(const std::vector<std::string> &peers);
 
-    /// Asks a peer. Failures: TargetLost with Ran::Unknown when no answer came in time.
+    /// Asks a peer. Failures: TargetLost with Executed::Unknown when no answer came in time.
     boost::asio::awaitable<absl::StatusOr<wire::PeerAnswer>> ask(std::string peer, wire::PeerCall call, Duration timeout);
 
     /// Tells every peer which configuration is in force here.
--- a/src/membership/relayedstore.h
+++ b/src/membership/relayedstore.h
@@ -73,14 +73,14 @@
 
     boost::asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
     {
-        Ran ran = Ran::No;
+        Executed ran = Executed::No;
         if (m_directReachable) {
             absl::StatusOr<RowVerdict> verdict = co_await m_direct.transact(transaction);
             noteDirect(verdict.status());
             if (verdict.ok()) {
                 co_return verdict;
             }
-            ran = toFailure(verdict.status()).ran;
+            ran = toFailure(verdict.status()).executed;
         }
         const auto send = [&transaction](Store &store) {
             return store.transact(transaction);
@@ -90,17 +90,19 @@
             if (detoured->ok()) {
                 co_return *detoured;
             }
-            const bool ranNowhere = ran == Ran::No && toFailure(detoured->status()).ran == Ran::No;
-            co_return failed(FailureKind::TableUnreachable, "neither directly nor through a relay", ranNowhere ? Ran::No : Ran::Unknown);
+            const bool ranNowhere = ran == Executed::No && toFailure(detoured->status()).executed == Executed::No;
+            co_return failed(
+                FailureKind::TableUnreachable, "neither directly nor through a relay", ranNowhere ? Executed::No : Executed::Unknown);
         }
         wire::PeerCall call;
         *call.mutable_transaction() = toWire(transaction);
-        const std::pair<Ran, std::optional<wire::StoreAnswer>> relayed = co_await relay(std::move(call));
+        const std::pair<Executed, std::optional<wire::StoreAnswer>> relayed = co_await relay(std::move(call));
         if (relayed.second) {
             co_return verdictFromWire(*relayed.second);
         }
-        const bool surelyNot = ran == Ran::No && relayed.first == Ran::No;
-        co_return failed(FailureKind::TableUnreachable, "neither directly nor through a peer", surelyNot ? Ran::No : Ran::Unknown);
+        const bool surelyNot = ran == Executed::No && relayed.first == Executed::No;
+        co_return failed(
+            FailureKind::TableUnreachable, "neither directly nor through a peer", surelyNot ? Executed::No : Executed::Unknown);
     }
 
     boost::asio::awaitable<absl::StatusOr<RowsRead>> read(const std::string &table, const std::string &part)
@@ -123,7 +125,7 @@
         wire::PeerCall call;
         call.mutable_read()->set_table(table);
         call.mutable_read()->set_part(part);
-        const std::pair<Ran, std::optional<wire::StoreAnswer>> relayed = co_await relay(std::move(call));
+        const std::pair<Executed, std::optional<wire::StoreAnswer>> relayed = co_await relay(std::move(call));
         if (relayed.second) {
             co_return readFromWire(*relayed.second);
         }
@@ -178,7 +180,7 @@
         }
         noteDirect(status);
         answer.set_done(status.ok());
-        answer.set_done_unknown(!status.ok() && toFailure(status).ran != Ran::No);
+        answer.set_done_unknown(!status.ok() && toFailure(status).executed != Executed::No);
         co_return answer;
     }
 
@@ -216,7 +218,7 @@
     boost::asio::awaitable<std::optional<absl::StatusOr<Answer>>> detour(Send send)
     {
         std::optional<absl::StatusOr<Answer>> answer;
-        Ran ran = Ran::No;
+        Executed ran = Executed::No;
         for (std::size_t tried = 0; tried < m_options.detoursTried; ++tried) {
             const std::shared_ptr<Store> store = currentDetour();
             if (!store) {
@@ -228,7 +230,7 @@
                 m_detours->worked(relay);
                 co_return answer;
             }
-            ran = toFailure(answer->status()).ran == Ran::No ? ran : Ran::Unknown;
+            ran = toFailure(answer->status()).executed == Executed::No ? ran : Executed::Unknown;
             leaveDetour(relay);
         }
         if (answer) {
@@ -266,9 +268,9 @@
     }
 
     /// The store's answer through some peer, or whether the call may have taken effect.
-    boost::asio::awaitable<std::pair<Ran, std::optional<wire::StoreAnswer>>> relay(wire::PeerCall call)
+    boost::asio::awaitable<std::pair<Executed, std::optional<wire::StoreAnswer>>> relay(wire::PeerCall call)
     {
-        std::pair<Ran, std::optional<wire::StoreAnswer>> result{Ran::No, std::nullopt};
+        std::pair<Executed, std::optional<wire::StoreAnswer>> result{Executed::No, std::nullopt};
         if (steadyNow() < m_noRelayUntil) {
             co_return result;
         }
@@ -287,7 +289,7 @@
                 co_return result;
             }
             if (!answer.ok() || answer->done_unknown()) {
-                result.first = Ran::Unknown;
+                result.first = Executed::Unknown;
             }
         }
         m_noRelayUntil = steadyNow() + m_options.relayPause;
--- a/src/membership/storerelay.cpp
+++ b/src/membership/storerelay.cpp
@@ -54,7 +54,7 @@
     const std::lock_guard lock(m_mutex);
     m_pending.erase(relayId);
     if (!pending->answer || !pending->answer->reached()) {
-        co_return failed(FailureKind::TableUnreachable, "the peer does not reach the platform either", Ran::Unknown);
+        co_return failed(FailureKind::TableUnreachable, "the peer does not reach the platform either", Executed::Unknown);
     }
     ++m_relayed;
     co_return HttpReply{.status = pending->answer->status(), .contentType = "application/json", .body = pending->answer->body()};
@@ -62,7 +62,7 @@
 
 asio::awaitable<absl::StatusOr<HttpReply>> StoreRelay::call(HttpCallOptions options)
 {
-    absl::StatusOr<HttpReply> reply = failed(FailureKind::TableUnreachable, "no peer can be asked", Ran::Unknown);
+    absl::StatusOr<HttpReply> reply = failed(FailureKind::TableUnreachable, "no peer can be asked", Executed::Unknown);
     const std::vector<std::string> helpers = m_helpers();
     for (std::size_t index = 0; index < std::min(helpers.size(), m_options.peersAsked) && !reply.ok(); ++index) {
         reply = co_await ask(helpers[index], options);
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -51,7 +51,7 @@
     return request;
 }
 
-absl::Status lost(const boost::system::error_code &error, Ran ran)
+absl::Status lost(const boost::system::error_code &error, Executed ran)
 {
     return failed(FailureKind::TargetLost, error.message(), ran);
 }
@@ -114,7 +114,7 @@
     connection->stream.expires_after(timeout);
     const auto [error] = co_await connection->stream.async_connect(m_endpoint, s_tuple);
     if (error) {
-        co_return lost(error, Ran::No);
+        co_return lost(error, Executed::No);
     }
     boost::system::error_code ignored;
     connection->stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -127,7 +127,7 @@
     const auto [error, written] = co_await http::async_write(connection->stream, *request, s_tuple);
     connection->writing = false;
     if (error) {
-        co_return lost(error, Ran::Unknown);
+        co_return lost(error, Executed::Unknown);
     }
     co_return absl::OkStatus();
 }
@@ -139,7 +139,7 @@
     connection.stream.expires_after(options.timeout);
     const auto [headError, headSize] = co_await http::async_read_header(connection.stream, connection.buffer, parser, s_tuple);
     if (headError) {
-        co_return lost(headError, Ran::Unknown);
+        co_return lost(headError, Executed::Unknown);
     }
     reply.headAfter = steadyNow() - begun;
     reply.tooLong = options.mostBodyBytes > 0 && parser.content_length().value_or(0) > options.mostBodyBytes;
@@ -154,7 +154,7 @@
         if (error) {
             // How far the answer got tells a peer that fell silent from one whose answer is longer than its time.
             const std::string detail = absl::StrCat(error.message(), " after ", parser.get().body().size(), " bytes of the answer");
-            co_return failed(FailureKind::TargetLost, detail, Ran::Unknown);
+            co_return failed(FailureKind::TargetLost, detail, Executed::Unknown);
         }
     }
     co_return absl::OkStatus();
@@ -216,13 +216,13 @@
     }
     m_connection = *std::move(connected);
     if (m_cancelled) {
-        co_return failed(FailureKind::Cancelled, "cancelled before it was sent", Ran::No);
+        co_return failed(FailureKind::Cancelled, "cancelled before it was sent", Executed::No);
     }
     if (m_options.sendBefore && steadyNow() >= *m_options.sendBefore) {
-        co_return failed(FailureKind::Cancelled, "its time to be sent is over", Ran::No);
+        co_return failed(FailureKind::Cancelled, "its time to be sent is over", Executed::No);
     }
     if (m_options.wanted && !m_options.wanted()) {
-        co_return failed(FailureKind::Cancelled, "nobody waits for it any more", Ran::No);
+        co_return failed(FailureKind::Cancelled, "nobody waits for it any more", Executed::No);
     }
     const std::shared_ptr<HttpRequest> request = makeRequest(m_options, m_client.m_endpoint);
     m_connection->stream.expires_after(m_options.timeout);
@@ -249,11 +249,11 @@
         while (final && !m_parser->is_done()) {
             const auto piece = co_await readSome();
             if (!piece.ok()) {
-                co_return failed(FailureKind::TargetLost, "the connection ended within an answer to another request", Ran::Unknown);
+                co_return failed(FailureKind::TargetLost, "the connection ended within an answer to another request", Executed::Unknown);
             }
         }
     }
-    co_return failed(FailureKind::TargetLost, "only answers to other requests came", Ran::Unknown);
+    co_return failed(FailureKind::TargetLost, "only answers to other requests came", Executed::Unknown);
 }
 
 asio::awaitable<absl::Status> HttpStreamCall::readHead()
@@ -262,12 +262,12 @@
     m_parser->body_limit(boost::none);
     m_parser->skip(m_options.method == "HEAD");
     if (!m_connection) {
-        co_return failed(FailureKind::TargetLost, "the connection ended after an answer to another request", Ran::Unknown);
+        co_return failed(FailureKind::TargetLost, "the connection ended after an answer to another request", Executed::Unknown);
     }
     m_connection->stream.expires_after(m_options.timeout);
     const auto [error, size] = co_await http::async_read_header(m_connection->stream, m_connection->buffer, *m_parser, s_tuple);
     if (error) {
-        co_return lost(error, Ran::Unknown);
+        co_return lost(error, Executed::Unknown);
     }
     co_return absl::OkStatus();
 }
@@ -297,7 +297,7 @@
         m_connection->stream.expires_after(m_options.timeout);
         const auto [error, size] = co_await http::async_read_some(m_connection->stream, m_connection->buffer, *m_parser, s_tuple);
         if (error && error != http::error::need_buffer) {
-            co_return failed(FailureKind::AnswerIncomplete, error.message(), Ran::Yes);
+            co_return failed(FailureKind::AnswerIncomplete, error.message(), Executed::Yes);
         }
         const std::size_t taken = m_piece.size() - m_parser->get().body().size;
         if (taken > 0) {
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -70,7 +70,8 @@
 public:
     HttpClient(asio::any_io_executor executor, asio::ip::tcp::endpoint endpoint);
 
-    /// Sends a request and takes the whole answer. Failures: TargetLost with Ran::No when nothing was sent, with Ran::Unknown afterwards.
+    /// Sends a request and takes the whole answer. Failures: TargetLost with Executed::No when nothing was sent, with Executed::Unknown
+    /// afterwards.
     asio::awaitable<absl::StatusOr<HttpReply>> call(HttpCallOptions options);
 
     /// The address it calls.
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -400,7 +400,8 @@
     const auto text = [](std::string_view view) {
         return boost::json::string(view.data(), view.size());
     };
-    boost::json::object error{{"type", text(failureName(failure.kind))}, {"message", failure.detail}, {"ran", text(ranName(failure.ran))}};
+    boost::json::object error{
+        {"type", text(failureName(failure.kind))}, {"message", failure.detail}, {"ran", text(executedName(failure.executed))}};
     if (!requestId.empty()) {
         error["request_id"] = text(requestId);
     }
--- a/src/request/requestcourse.cpp
+++ b/src/request/requestcourse.cpp
@@ -12,8 +12,10 @@
 Failure declinedEverywhere(RunRefusal lastReason)
 {
     const FailureKind kind = lastReason == RunRefusal::Full ? FailureKind::Overloaded : FailureKind::NoTarget;
-    return {
-        .kind = kind, .detail = "every target that was asked declined the request", .ran = Ran::No, .retryAfterMs = s_retryOverloadedMs};
+    return {.kind = kind,
+            .detail = "every target that was asked declined the request",
+            .executed = Executed::No,
+            .retryAfterMs = s_retryOverloadedMs};
 }
 
 }
@@ -85,8 +87,9 @@
                       {.kind = FailureKind::Fenced, .detail = "this router was declared dead and restarts", .retryAfterMs = s_retryLostMs});
     }
     if (reason == RunRefusal::Duplicate) {
-        return finish(Outcome::Unknown,
-                      {.kind = FailureKind::AlreadyRunning, .detail = "a run of this request is known at the target", .ran = Ran::Unknown});
+        return finish(
+            Outcome::Unknown,
+            {.kind = FailureKind::AlreadyRunning, .detail = "a run of this request is known at the target", .executed = Executed::Unknown});
     }
     if (m_attempt >= m_options.maxAttempts) {
         return finish(Outcome::NotRun, declinedEverywhere(reason));
@@ -105,23 +108,27 @@
         return finish(Outcome::Answered, {});
     }
     if (end.end == RunEnd::Complete) {
-        return finish(Outcome::FailedAfterRunning,
-                      {.kind = FailureKind::AnswerIncomplete, .detail = "bytes of the answer were lost on the way", .ran = Ran::Yes});
+        return finish(
+            Outcome::FailedAfterRunning,
+            {.kind = FailureKind::AnswerIncomplete, .detail = "bytes of the answer were lost on the way", .executed = Executed::Yes});
     }
     if (end.end == RunEnd::Unknown) {
         return finish(Outcome::Unknown,
-                      {.kind = FailureKind::TargetLost, .detail = "the engine was lost before it answered", .ran = Ran::Unknown});
+                      {.kind = FailureKind::TargetLost, .detail = "the engine was lost before it answered", .executed = Executed::Unknown});
     }
-    return finish(Outcome::FailedAfterRunning, {.kind = FailureKind::EngineFailed, .detail = "the engine cut the answer", .ran = Ran::Yes});
+    return finish(Outcome::FailedAfterRunning,
+                  {.kind = FailureKind::EngineFailed, .detail = "the engine cut the answer", .executed = Executed::Yes});
 }
 
 CourseStep RequestCourse::onLost(FailureKind why)
 {
-    const Ran ran = m_begun ? Ran::Yes : Ran::Unknown;
+    const Executed ran = m_begun ? Executed::Yes : Executed::Unknown;
     const Outcome outcome = m_begun ? Outcome::FailedAfterRunning : Outcome::Unknown;
-    return finish(
-        outcome,
-        {.kind = why, .detail = "contact with the target was lost while it had the request", .ran = ran, .retryAfterMs = s_retryLostMs});
+    return finish(outcome,
+                  {.kind = why,
+                   .detail = "contact with the target was lost while it had the request",
+                   .executed = ran,
+                   .retryAfterMs = s_retryLostMs});
 }
 
 CourseStep RequestCourse::onStanding(Failure failure)
--- a/src/store/platformclient.cpp
+++ b/src/store/platformclient.cpp
@@ -20,7 +20,7 @@
     boost::json::error_code error;
     boost::json::value value = boost::json::parse(reply.body, error);
     if (error || !value.is_object()) {
-        return failed(FailureKind::TableUnreachable, "the platform's answer is not a JSON object", Ran::Unknown);
+        return failed(FailureKind::TableUnreachable, "the platform's answer is not a JSON object", Executed::Unknown);
     }
     return value;
 }
@@ -56,10 +56,10 @@
     options.timeout = m_timeout;
     auto reply = co_await m_client.call(std::move(options));
     if (!reply.ok()) {
-        co_return failed(FailureKind::TableUnreachable, reply.status().message().data(), Ran::Unknown);
+        co_return failed(FailureKind::TableUnreachable, reply.status().message().data(), Executed::Unknown);
     }
     if (reply->status != s_ok && reply->status != s_notFound) {
-        co_return failed(FailureKind::TableUnreachable, absl::StrCat("the platform answered ", reply->status), Ran::Unknown);
+        co_return failed(FailureKind::TableUnreachable, absl::StrCat("the platform answered ", reply->status), Executed::Unknown);
     }
     co_return reply;
 }
@@ -121,7 +121,7 @@
         co_return rows.status();
     }
     if (rows->size() != 1) {
-        co_return failed(FailureKind::TableUnreachable, "the platform answered another number of rows", Ran::Unknown);
+        co_return failed(FailureKind::TableUnreachable, "the platform answered another number of rows", Executed::Unknown);
     }
     co_return rows->front();
 }
--- a/src/store/platformclient.h
+++ b/src/store/platformclient.h
@@ -25,7 +25,7 @@
     /// Sets the way to take when the platform does not answer directly.
     void setRelay(Relay relay);
 
-    /// Sends a transaction. TableUnreachable with Ran::Unknown: it may have taken effect.
+    /// Sends a transaction. TableUnreachable with Executed::Unknown: it may have taken effect.
     asio::awaitable<absl::StatusOr<TableVerdict>> transact(const TableTransaction &transaction);
 
     /// Reads rows; an absent one has version 0.
--- a/src/store/table.cpp
+++ b/src/store/table.cpp
@@ -173,7 +173,7 @@
 absl::StatusOr<TableVerdict> verdictFromJson(const boost::json::value &value)
 {
     if (!value.is_object() || !value.get_object().contains("applied")) {
-        return failed(FailureKind::TableUnreachable, "the table's answer is not a verdict", Ran::Unknown);
+        return failed(FailureKind::TableUnreachable, "the table's answer is not a verdict", Executed::Unknown);
     }
     const boost::json::object &object = value.get_object();
     TableVerdict verdict;
--- a/src/tests/budgetaccounttest.cpp
+++ b/src/tests/budgetaccounttest.cpp
@@ -84,7 +84,7 @@
     BOOST_TEST((outcomes[0].verdict == Verdict::Refused));
     BOOST_TEST((outcomes[0].failure.kind == FailureKind::BudgetExhausted));
     BOOST_TEST(outcomes[0].failure.retryAfterMs.has_value());
-    BOOST_TEST((outcomes[0].failure.ran == Ran::No));
+    BOOST_TEST((outcomes[0].failure.executed == Executed::No));
 }
 
 BOOST_AUTO_TEST_CASE(refusalNamesItsReason)
--- a/src/tests/completionrequesttest.cpp
+++ b/src/tests/completionrequesttest.cpp
@@ -57,7 +57,7 @@
         const auto request = readCompletionRequest(body, false, s_limits);
         BOOST_REQUIRE(!request.ok());
         BOOST_TEST((toFailure(request.status()).kind == FailureKind::InvalidRequest));
-        BOOST_TEST((toFailure(request.status()).ran == Ran::No));
+        BOOST_TEST((toFailure(request.status()).executed == Executed::No));
     }
     BOOST_TEST(!readCompletionRequest(R"({"model":"m","messages":[]})", true, s_limits).ok());
 }
--- a/src/tests/failuretest.cpp
+++ b/src/tests/failuretest.cpp
@@ -10,11 +10,12 @@
 
 BOOST_AUTO_TEST_CASE(travelsInAStatus)
 {
-    const Failure failure{.kind = FailureKind::BudgetExhausted, .detail = "two\nlines", .ran = Ran::Unknown, .retryAfterMs = 1500};
+    const Failure failure{
+        .kind = FailureKind::BudgetExhausted, .detail = "two\nlines", .executed = Executed::Unknown, .retryAfterMs = 1500};
     const Failure again = toFailure(toStatus(failure));
     BOOST_TEST((again.kind == failure.kind));
     BOOST_TEST(again.detail == failure.detail);
-    BOOST_TEST((again.ran == failure.ran));
+    BOOST_TEST((again.executed == failure.executed));
     BOOST_TEST(again.retryAfterMs.value() == 1500);
     BOOST_TEST(!toFailure(failed(FailureKind::NotFound, "x")).retryAfterMs.has_value());
 }
@@ -30,7 +31,7 @@
 
 BOOST_AUTO_TEST_CASE(aStatusWithoutPayloadLeavesTheExecutionUnknown)
 {
-    BOOST_TEST((toFailure(absl::InternalError("x")).ran == Ran::Unknown));
+    BOOST_TEST((toFailure(absl::InternalError("x")).executed == Executed::Unknown));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -205,7 +205,7 @@
 
 absl::StatusOr<TableVerdict> FakeFleet::send(const TableTransaction &transaction, Delivery delivery)
 {
-    const absl::Status lost = failed(FailureKind::TableUnreachable, "lost", Ran::Unknown);
+    const absl::Status lost = failed(FailureKind::TableUnreachable, "lost", Executed::Unknown);
     switch (delivery) {
     case Delivery::LostBefore:
         return lost;
--- a/src/tests/httpclienttest.cpp
+++ b/src/tests/httpclienttest.cpp
@@ -31,7 +31,7 @@
     const absl::Status left = callWith(false);
     BOOST_TEST(!left.ok());
     BOOST_TEST((toFailure(left).kind == FailureKind::Cancelled));
-    BOOST_TEST((toFailure(left).ran == Ran::No));
+    BOOST_TEST((toFailure(left).executed == Executed::No));
     BOOST_TEST(callWith(true).ok());
     BOOST_TEST(peer.requests().size() == 1U);
 }
--- a/src/tests/relayedstoretest.cpp
+++ b/src/tests/relayedstoretest.cpp
@@ -20,7 +20,7 @@
     {
         ++*calls;
         if (!*open) {
-            co_return failed(FailureKind::TableUnreachable, "cut off", Ran::Unknown);
+            co_return failed(FailureKind::TableUnreachable, "cut off", Executed::Unknown);
         }
         co_return rows->transact(transaction, s_storeTime);
     }
@@ -150,7 +150,7 @@
     scene.farOpen = false;
     const absl::StatusOr<RowVerdict> verdict = scene.write("1");
     BOOST_REQUIRE(!verdict.ok());
-    BOOST_TEST((toFailure(verdict.status()).ran == Ran::Unknown));
+    BOOST_TEST((toFailure(verdict.status()).executed == Executed::Unknown));
     const int before = scene.detourCalls;
     BOOST_TEST(!scene.write("2").ok());
     BOOST_TEST(scene.detourCalls == before);
--- a/src/tests/requestcoursetest.cpp
+++ b/src/tests/requestcoursetest.cpp
@@ -127,7 +127,7 @@
         {
             BOOST_TEST((one.act(course) == CourseStep::Finish));
             BOOST_TEST((course.outcome() == one.outcome));
-            BOOST_TEST((course.outcome() == Outcome::NotRun) == (course.failure().ran == Ran::No));
+            BOOST_TEST((course.outcome() == Outcome::NotRun) == (course.failure().executed == Executed::No));
         }
     }
 }
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -21,7 +21,7 @@
     asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
     {
         if (!answers) {
-            co_return failed(FailureKind::TableUnreachable, "cut off", Ran::Unknown);
+            co_return failed(FailureKind::TableUnreachable, "cut off", Executed::Unknown);
         }
         co_return rows.transact(transaction, s_storeTime);
     }
@@ -169,7 +169,7 @@
     scene.store.answers = false;
     const auto refused = scene.reserve(5000);
     BOOST_REQUIRE(!refused.ok());
-    BOOST_TEST((toFailure(refused.status()).ran == Ran::No));
+    BOOST_TEST((toFailure(refused.status()).executed == Executed::No));
     scene.askedOf.clear();
     BOOST_TEST(!scene.reserve(5000).ok());
     BOOST_TEST(scene.askedOf.empty());
