--- a/src/tests/quarantinekeepertest.cpp
+++ b/src/tests/quarantinekeepertest.cpp
@@ -85,8 +85,8 @@
     rows.now += 60'000;
     Router after(rows);
     after.synchronise();
-    const std::optional<Duration> left = after.guard.timeToNextTrial(pair("poison"));
-    BOOST_REQUIRE(left.has_value());
+    const std::optional<Duration> remaining = after.guard.timeToNextTrial(pair("poison"));
+    BOOST_REQUIRE(remaining.has_value());
     BOOST_TEST(!after.guard.timeToNextTrial(pair("other")).has_value());
 }
 
--- a/src/tests/quarantinetest.cpp
+++ b/src/tests/quarantinetest.cpp
@@ -189,8 +189,8 @@
         quarantine.beginTrial(request(0), trial);
         BOOST_TEST(quarantine.recordCrash(100 + quarantineLevel, std::vector{request(0)}, trial + s_second / 5).size() == 1U);
         BOOST_TEST(quarantine.entries().at(request(0)).quarantineLevel == quarantineLevel);
-        const Duration term = quarantineLevel == 2 ? Duration(std::chrono::minutes(10)) : Duration(std::chrono::hours(24));
-        BOOST_TEST((quarantine.timeToNextTrial(request(0), trial + s_second / 5) == term));
+        const Duration interval = quarantineLevel == 2 ? Duration(std::chrono::minutes(10)) : Duration(std::chrono::hours(24));
+        BOOST_TEST((quarantine.timeToNextTrial(request(0), trial + s_second / 5) == interval));
     }
 }
 
@@ -319,26 +319,26 @@
 BOOST_AUTO_TEST_CASE(learnsFromOthers)
 {
     Quarantine quarantine;
-    const auto learn = [&](Duration nextTrial, unsigned quarantineLevel, unsigned trials) {
+    const auto merge = [&](Duration nextTrial, unsigned quarantineLevel, unsigned trials) {
         return quarantine.mergeEntry(
             request(0), {.nextTrial = at(nextTrial), .quarantineLevel = quarantineLevel, .trials = trials}, at({}));
     };
-    BOOST_TEST(learn(10 * s_second, 2, 1));
-    BOOST_TEST(!learn(50 * s_second, 1, 9));
-    BOOST_TEST(!learn(5 * s_second, 2, 1));
+    BOOST_TEST(merge(10 * s_second, 2, 1));
+    BOOST_TEST(!merge(50 * s_second, 1, 9));
+    BOOST_TEST(!merge(5 * s_second, 2, 1));
     BOOST_TEST((quarantine.timeToNextTrial(request(0), at({})) == 10 * s_second));
-    BOOST_TEST(!learn(20 * s_second, 2, 2));
+    BOOST_TEST(!merge(20 * s_second, 2, 2));
     BOOST_TEST((quarantine.timeToNextTrial(request(0), at({})) == 20 * s_second));
     BOOST_TEST(quarantine.entries().at(request(0)).trials == 2U);
-    BOOST_TEST(learn(99 * s_second, 3, 0));
+    BOOST_TEST(merge(99 * s_second, 3, 0));
     BOOST_TEST((quarantine.timeToNextTrial(request(0), at({})) == 99 * s_second));
 }
 
 BOOST_AUTO_TEST_CASE(corruptDurationsAreClamped)
 {
     for (const std::int64_t corrupt : {std::numeric_limits<std::int64_t>::max(), std::numeric_limits<std::int64_t>::min()}) {
-        const Duration term = Quarantine::clampedDuration(corrupt);
-        BOOST_TEST((term <= Quarantine::s_maxTrialInterval && term >= -Quarantine::s_maxTrialInterval));
+        const Duration interval = Quarantine::clampedDuration(corrupt);
+        BOOST_TEST((interval <= Quarantine::s_maxTrialInterval && interval >= -Quarantine::s_maxTrialInterval));
     }
     BOOST_TEST((Quarantine::clampedDuration(1500) == std::chrono::milliseconds(1500)));
 }
