--- a/src/quarantine/crashwatch.cpp
+++ b/src/quarantine/crashwatch.cpp
@@ -13,7 +13,7 @@
 /// each other; the margin is for an event loop that is short of processor time and handles the last of them late.
 constexpr Duration s_crashRetention = std::chrono::seconds(10);
 /// Maximum number of fingerprints reported for one crash. An engine processes fewer requests at a time.
-constexpr std::size_t s_maxRequestsPerCrash = 1024;
+constexpr std::size_t s_maxFingerprintsPerCrash = 1024;
 /// A cancelled request is remembered for this long. Within this time a target notices that the caller has disconnected, and stops
 /// processing the request.
 constexpr Duration s_cancelledRetention = std::chrono::seconds(1);
@@ -36,7 +36,7 @@
     if (interrupted.crashed) {
         return Action::Report;
     }
-    if (interrupted.fingerprints.size() < s_maxRequestsPerCrash) {
+    if (interrupted.fingerprints.size() < s_maxFingerprintsPerCrash) {
         interrupted.fingerprints.insert(interrupted.fingerprints.end(), fingerprints.begin(), fingerprints.end());
     }
     return first ? Action::Probe : Action::Wait;
@@ -101,7 +101,7 @@
         interrupted.fingerprints.clear();
     }
     interrupted.last = now;
-    if (interrupted.fingerprints.size() + fingerprints.size() <= s_maxRequestsPerCrash) {
+    if (interrupted.fingerprints.size() + fingerprints.size() <= s_maxFingerprintsPerCrash) {
         interrupted.fingerprints.insert(interrupted.fingerprints.end(), fingerprints.begin(), fingerprints.end());
     }
     return {};
