--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -299,7 +299,7 @@
 
 AttemptEnd RequestRun::endOf(const absl::Status &status) const
 {
-    if (toFailure(status).ran == Ran::No) {
+    if (toFailure(status).executed == Executed::No) {
         return AttemptEnd::NotRun;
     }
     if (m_callerLeft) {
@@ -489,7 +489,7 @@
         co_return;
     }
     const bool notRun = m_ran == 0;
-    Failure failure{.kind = FailureKind::TargetLost, .detail = ran, .ran = notRun ? Ran::No : Ran::Unknown};
+    Failure failure{.kind = FailureKind::TargetLost, .detail = ran, .executed = notRun ? Executed::No : Executed::Unknown};
     if (notRun) {
         failure.kind = m_tried.empty() ? FailureKind::NoTarget : FailureKind::Overloaded;
         const Instant now = steadyNow();
@@ -530,8 +530,8 @@
 
 std::optional<Duration> RequestRun::heldBackFor()
 {
-    const bool known = m_gateway.m_guard.mayKnow(RequestFingerprint::addressHash(fingerprintSource()));
-    return known ? m_gateway.m_guard.heldFor(fingerprints()) : std::nullopt;
+    const bool known = m_gateway.m_guard.mayContainAddress(RequestFingerprint::addressHash(fingerprintSource()));
+    return known ? m_gateway.m_guard.timeToNextTrial(fingerprints()) : std::nullopt;
 }
 
 absl::Status RequestRun::heldBack()
@@ -559,16 +559,16 @@
     const bool inTime = m_gateway.m_shedder.share() == 0;
     const bool leftEarly = inTime && end == AttemptEnd::CallerLeft && !m_firstByte;
     if (leftEarly || (m_brokeOff && end != AttemptEnd::NotRun && end != AttemptEnd::TimedOut)) {
-        m_gateway.m_guard.brokeOff(m_placement->incarnation, m_placement->address, fingerprints());
+        m_gateway.m_guard.attemptInterrupted(m_placement->incarnation, m_placement->address, fingerprints());
     } else if (end == AttemptEnd::CallerLeft) {
-        m_gateway.m_guard.left(m_placement->incarnation, m_placement->address, fingerprints());
+        m_gateway.m_guard.callerDisconnected(m_placement->incarnation, m_placement->address, fingerprints());
     }
 }
 
 void RequestRun::noteAnswered()
 {
     if (m_gateway.m_guard.wantsAnswers(RequestFingerprint::addressHash(fingerprintSource()))) {
-        m_gateway.m_guard.answered(fingerprints());
+        m_gateway.m_guard.requestAnswered(fingerprints());
     }
 }
 
--- a/src/quarantine/poisonguard.cpp
+++ b/src/quarantine/poisonguard.cpp
@@ -21,15 +21,15 @@
 namespace {
 
 constexpr auto s_tuple = boost::asio::as_tuple(boost::asio::use_awaitable);
-/// A host without power answers nothing at all.
-constexpr Duration s_askTimeout = std::chrono::milliseconds(250);
-/// Pauses before a target is asked whether it still listens. The connections of a process that crashes may close some time before its port
-/// does: asked only at once, it would be taken for alive. The last one leaves time to tell the peers well before a change has to be known
-/// everywhere.
-constexpr std::array<Duration, 4> s_askPauses{
+/// A host without power does not respond to a connection attempt at all.
+constexpr Duration s_probeTimeout = std::chrono::milliseconds(250);
+/// Pauses before each probe of a target. The connections of a crashing process may close some time before its port does, so that a single
+/// immediate probe would find the target alive. After the last probe there is still time to tell the peers well before every router must
+/// know of the crash.
+constexpr std::array<Duration, 4> s_probeDelays{
     Duration::zero(), std::chrono::milliseconds(100), std::chrono::milliseconds(400), std::chrono::milliseconds(1000)};
-/// The ends of all attempts at a target that crashed are taken together, so that each peer is told once.
-constexpr Duration s_gatherTime = std::chrono::milliseconds(20);
+/// Collects the interruptions of all attempts on a crashed target into one report to each peer.
+constexpr Duration s_collectTime = std::chrono::milliseconds(20);
 
 std::int64_t inSeconds(Duration duration)
 {
@@ -41,12 +41,12 @@
 PoisonGuard::PoisonGuard(boost::asio::any_io_executor executor, Metrics &metrics)
     : m_executor(std::move(executor))
     , m_metrics(metrics)
-    , m_decided(m_executor)
+    , m_storeUpdateNeeded(m_executor)
     , m_expectedToEnd([](const std::string &) {
         return false;
     })
-    , m_tellCrash([](const CrashReport &) {})
-    , m_tellChange([](const QuarantineChange &) {})
+    , m_announceCrash([](const CrashReport &) {})
+    , m_announceChange([](const QuarantineChange &) {})
 {
 }
 
@@ -57,126 +57,133 @@
 
 void PoisonGuard::setAnnouncers(std::function<void(const CrashReport &)> crash, std::function<void(const QuarantineChange &)> change)
 {
-    m_tellCrash = std::move(crash);
-    m_tellChange = std::move(change);
+    m_announceCrash = std::move(crash);
+    m_announceChange = std::move(change);
 }
 
-void PoisonGuard::brokeOff(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
+void PoisonGuard::attemptInterrupted(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
 {
     if (m_expectedToEnd(incarnation)) {
         return;
     }
-    switch (m_watch.brokeOff(incarnation, fingerprints, steadyNow())) {
-    case CrashWatch::Step::Wait:
+    switch (m_watch.attemptInterrupted(incarnation, fingerprints, steadyNow())) {
+    case CrashWatch::Action::Wait:
         break;
-    case CrashWatch::Step::Ask:
-        boost::asio::co_spawn(m_executor, watch(incarnation, address), boost::asio::detached);
+    case CrashWatch::Action::Probe:
+        boost::asio::co_spawn(m_executor, probeTarget(incarnation, address), boost::asio::detached);
         break;
-    case CrashWatch::Step::Report:
-        report({.target = stableHash(incarnation), .underWay = {fingerprints.begin(), fingerprints.end()}, .ago = sinceBroken(incarnation)},
-               incarnation);
+    case CrashWatch::Action::Report:
+        reportCrash({.target = stableHash(incarnation),
+                     .inFlight = {fingerprints.begin(), fingerprints.end()},
+                     .ago = timeSinceInterruption(incarnation)},
+                    incarnation);
         break;
     }
 }
 
-boost::asio::awaitable<void> PoisonGuard::watch(std::string incarnation, std::string address)
+boost::asio::awaitable<void> PoisonGuard::probeTarget(std::string incarnation, std::string address)
 {
-    for (const Duration wait : s_askPauses) {
+    for (const Duration wait : s_probeDelays) {
         if (wait > Duration::zero()) {
             co_await pause(wait);
         }
         if (m_expectedToEnd(incarnation)) {
             break;
         }
-        const bool refused = co_await refuses(address);
+        const bool refused = co_await refusesConnections(address);
         if (refused) {
-            co_await pause(s_gatherTime);
-            report(
-                {.target = stableHash(incarnation), .underWay = m_watch.refused(incarnation, steadyNow()), .ago = sinceBroken(incarnation)},
-                incarnation);
+            co_await pause(s_collectTime);
+            reportCrash({.target = stableHash(incarnation),
+                         .inFlight = m_watch.connectionRefused(incarnation, steadyNow()),
+                         .ago = timeSinceInterruption(incarnation)},
+                        incarnation);
             co_return;
         }
-        tellBrokenOff(incarnation);
+        announceInterrupted(incarnation);
     }
-    m_watch.alive(incarnation);
+    m_watch.targetAlive(incarnation);
 }
 
-boost::asio::awaitable<bool> PoisonGuard::refuses(std::string address)
+boost::asio::awaitable<bool> PoisonGuard::refusesConnections(std::string address)
 {
     boost::beast::tcp_stream stream(m_executor);
-    stream.expires_after(s_askTimeout);
+    stream.expires_after(s_probeTimeout);
     const auto endpoint = endpointFrom(address).value_or(boost::asio::ip::tcp::endpoint());
     const auto [error] = co_await stream.async_connect(endpoint, s_tuple);
     co_return error == boost::asio::error::connection_refused;
 }
 
-void PoisonGuard::left(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
+void PoisonGuard::callerDisconnected(const std::string &incarnation, const std::string &address, const FingerprintPair &fingerprints)
 {
-    if (m_quarantine.knows(fingerprints.front())) {
-        // It was there at a crash before: the target is asked, as the router may have no other connection there whose end would tell.
-        brokeOff(incarnation, address, fingerprints);
+    if (m_quarantine.isTracked(fingerprints.front())) {
+        // The request was in flight at an earlier crash. The target is probed, because this router may have no other connection there whose
+        // end would show a crash.
+        attemptInterrupted(incarnation, address, fingerprints);
         return;
     }
-    m_watch.left(incarnation, fingerprints, steadyNow());
+    m_watch.callerDisconnected(incarnation, fingerprints, steadyNow());
 }
 
-void PoisonGuard::tellBrokenOff(const std::string &incarnation)
+void PoisonGuard::announceInterrupted(const std::string &incarnation)
 {
-    std::vector<RequestFingerprint> untold = m_watch.takeUntold(incarnation);
-    const Instant since = m_watch.brokenSince(incarnation, steadyNow());
-    untold = m_quarantine.unanswered(untold, since);
-    if (!untold.empty()) {
-        m_tellCrash({.target = stableHash(incarnation), .underWay = std::move(untold), .crashed = false, .ago = sinceBroken(incarnation)});
+    std::vector<RequestFingerprint> unannounced = m_watch.takeUnannounced(incarnation);
+    const Instant since = m_watch.interruptedSince(incarnation, steadyNow());
+    unannounced = m_quarantine.unansweredSince(unannounced, since);
+    if (!unannounced.empty()) {
+        m_announceCrash({.target = stableHash(incarnation),
+                         .inFlight = std::move(unannounced),
+                         .confirmed = false,
+                         .ago = timeSinceInterruption(incarnation)});
     }
 }
 
-Duration PoisonGuard::sinceBroken(const std::string &incarnation) const
+Duration PoisonGuard::timeSinceInterruption(const std::string &incarnation) const
 {
     const Instant now = steadyNow();
-    return now - m_watch.brokenSince(incarnation, now);
+    return now - m_watch.interruptedSince(incarnation, now);
 }
 
-void PoisonGuard::report(CrashReport crash, std::string_view target)
+void PoisonGuard::reportCrash(CrashReport crash, std::string_view target)
 {
-    logLine(Severity::Warning, "target.crashed", {{"target", target}, {"under_way", static_cast<std::int64_t>(crash.underWay.size())}});
+    logLine(Severity::Warning, "target.crashed", {{"target", target}, {"under_way", static_cast<std::int64_t>(crash.inFlight.size())}});
     m_metrics.count("crash_reports_total", {.name = "from", .value = "here"});
-    crash.underWay = m_quarantine.unanswered(crash.underWay, steadyNow() - crash.ago);
-    m_tellCrash(crash);
-    const std::vector<RequestFingerprint> peers = m_watch.takePeers(crash.target, steadyNow());
-    crash.underWay.insert(crash.underWay.end(), peers.begin(), peers.end());
-    blame(crash, target);
+    crash.inFlight = m_quarantine.unansweredSince(crash.inFlight, steadyNow() - crash.ago);
+    m_announceCrash(crash);
+    const std::vector<RequestFingerprint> peers = m_watch.confirmCrash(crash.target, steadyNow());
+    crash.inFlight.insert(crash.inFlight.end(), peers.begin(), peers.end());
+    applyCrash(crash, target);
 }
 
-void PoisonGuard::tellAnswered(const CrashReport &crash)
+void PoisonGuard::announceAnswers(const CrashReport &crash)
 {
     const Instant now = steadyNow();
-    for (const RequestFingerprint &fingerprint : crash.underWay) {
-        if (const std::optional<Instant> answered = m_quarantine.takeUntoldAnswer(fingerprint, now - crash.ago)) {
-            m_tellChange({.fingerprint = fingerprint, .remaining = *answered - now});
+    for (const RequestFingerprint &fingerprint : crash.inFlight) {
+        if (const std::optional<Instant> answered = m_quarantine.takeUnannouncedAnswer(fingerprint, now - crash.ago)) {
+            m_announceChange({.fingerprint = fingerprint, .remaining = *answered - now});
         }
     }
 }
 
-void PoisonGuard::blame(const CrashReport &crash, std::string_view name)
+void PoisonGuard::applyCrash(const CrashReport &crash, std::string_view name)
 {
-    tellAnswered(crash);
+    announceAnswers(crash);
     const Instant now = steadyNow();
-    for (const RequestFingerprint &fingerprint : m_quarantine.crashed(crash.target, crash.underWay, now, crash.ago)) {
+    for (const RequestFingerprint &fingerprint : m_quarantine.recordCrash(crash.target, crash.inFlight, now, crash.ago)) {
         const Quarantine::Entry &entry = m_quarantine.entries().at(fingerprint);
         logLine(Severity::Warning,
                 "request.quarantined",
                 {{"fingerprint", fingerprint.text()},
                  {"target", name},
-                 {"crashes", static_cast<std::int64_t>(entry.targets.size())},
+                 {"crashes", static_cast<std::int64_t>(entry.crashedTargets.size())},
                  {"for_s", inSeconds(entry.nextTrial - now)}});
-        tell(fingerprint);
-        m_acquitted.erase(fingerprint);
-        m_decided.notify();
+        announceEntry(fingerprint);
+        m_unsavedAcquittals.erase(fingerprint);
+        m_storeUpdateNeeded.notify();
     }
-    count();
+    updateGauges();
 }
 
-void PoisonGuard::answered(const FingerprintPair &fingerprints)
+void PoisonGuard::requestAnswered(const FingerprintPair &fingerprints)
 {
     for (const RequestFingerprint &fingerprint : fingerprints) {
         acquit(fingerprint, steadyNow());
@@ -185,46 +192,46 @@
 
 bool PoisonGuard::wantsAnswers(std::uint64_t addressHash) const
 {
-    return m_watch.alert(steadyNow()) || m_quarantine.mayKnow(addressHash);
+    return m_watch.recentlyInterrupted(steadyNow()) || m_quarantine.mayContainAddress(addressHash);
 }
 
 void PoisonGuard::acquit(const RequestFingerprint &fingerprint, Instant answered)
 {
-    const bool held = m_quarantine.entries().contains(fingerprint);
-    if (!m_quarantine.answered(fingerprint, answered)) {
+    const bool wasQuarantined = m_quarantine.entries().contains(fingerprint);
+    if (!m_quarantine.recordAnswer(fingerprint, answered)) {
         return;
     }
-    m_metrics.count("acquittals_total", {.name = "state", .value = held ? "held" : "suspected"});
-    m_tellChange({.fingerprint = fingerprint});
-    // Suspects are many after a crash, and most are acquitted by their caller's next try.
-    if (held) {
-        logLine(Severity::Info, "request.acquitted", {{"fingerprint", fingerprint.text()}, {"by", "an answer"}});
-        m_acquitted.insert(fingerprint);
-        m_decided.notify();
+    m_metrics.count("acquittals_total", {.name = "state", .value = wasQuarantined ? "held" : "suspected"});
+    m_announceChange({.fingerprint = fingerprint});
+    // Only quarantined requests are logged: after a crash there are many suspects, and most are acquitted when their caller retries.
+    if (wasQuarantined) {
+        logLine(Severity::Info, "request.acquitted", {{"fingerprint", fingerprint.text()}, {"by", "a complete response"}});
+        m_unsavedAcquittals.insert(fingerprint);
+        m_storeUpdateNeeded.notify();
     }
-    count();
+    updateGauges();
 }
 
-std::optional<Duration> PoisonGuard::heldFor(const FingerprintPair &fingerprints) const
+std::optional<Duration> PoisonGuard::timeToNextTrial(const FingerprintPair &fingerprints) const
 {
     std::optional<Duration> longest;
     for (const RequestFingerprint &fingerprint : fingerprints) {
-        // None is less than any duration.
-        longest = std::max(longest, m_quarantine.heldFor(fingerprint, steadyNow()));
+        // nullopt compares less than any duration.
+        longest = std::max(longest, m_quarantine.timeToNextTrial(fingerprint, steadyNow()));
     }
     return longest;
 }
 
-void PoisonGuard::tell(const RequestFingerprint &fingerprint) const
+void PoisonGuard::announceEntry(const RequestFingerprint &fingerprint) const
 {
     const auto found = m_quarantine.entries().find(fingerprint);
     if (found != m_quarantine.entries().end()) {
         const Quarantine::Entry &entry = found->second;
-        m_tellChange({.fingerprint = fingerprint,
-                      .remaining = entry.nextTrial - steadyNow(),
-                      .terms = entry.terms,
-                      .trials = entry.trials,
-                      .answers = entry.answers});
+        m_announceChange({.fingerprint = fingerprint,
+                          .remaining = entry.nextTrial - steadyNow(),
+                          .quarantineLevel = entry.quarantineLevel,
+                          .trials = entry.trials,
+                          .answers = entry.answers});
     }
 }
 
@@ -232,17 +239,17 @@
 {
     const Instant now = steadyNow();
     const bool due = std::ranges::all_of(fingerprints, [&](const RequestFingerprint &fingerprint) {
-        return !m_quarantine.entries().contains(fingerprint) || m_quarantine.mayTry(fingerprint, now);
+        return !m_quarantine.entries().contains(fingerprint) || m_quarantine.mayBeginTrial(fingerprint, now);
     });
     if (!due) {
         return false;
     }
     for (const RequestFingerprint &fingerprint : fingerprints) {
         m_quarantine.beginTrial(fingerprint, now);
-        m_trialsBegun.insert(fingerprint);
-        tell(fingerprint);
+        m_unsavedTrials.insert(fingerprint);
+        announceEntry(fingerprint);
     }
-    m_decided.notify();
+    m_storeUpdateNeeded.notify();
     logLine(Severity::Info, "request.on_trial", {{"fingerprint", fingerprints.front().text()}});
     return true;
 }
@@ -259,61 +266,65 @@
     const Instant now = steadyNow();
     std::vector<CrashReport> reports;
     for (Quarantine::KnownCrash &crash : m_quarantine.knownCrashes()) {
-        reports.push_back({.target = crash.target, .underWay = std::move(crash.underWay), .ago = now - crash.at});
+        reports.push_back({.target = crash.target, .inFlight = std::move(crash.inFlight), .ago = now - crash.at});
     }
-    for (CrashWatch::BrokenOff &broken : m_watch.undecided(now)) {
-        reports.push_back({.target = broken.target, .underWay = std::move(broken.underWay), .crashed = false, .ago = now - broken.since});
+    for (CrashWatch::UnconfirmedCrash &unconfirmed : m_watch.unconfirmedCrashes(now)) {
+        reports.push_back({.target = unconfirmed.target,
+                           .inFlight = std::move(unconfirmed.inFlight),
+                           .confirmed = false,
+                           .ago = now - unconfirmed.since});
     }
     return reports;
 }
 
-void PoisonGuard::peerSawCrash(const CrashReport &report)
+void PoisonGuard::handleCrashReport(const CrashReport &report)
 {
-    constexpr std::string_view seenBy = "one that a peer saw crash";
+    constexpr std::string_view reportedBy = "reported by a peer";
     const Instant now = steadyNow();
-    if (!report.crashed) {
-        if (const std::vector<RequestFingerprint> known = m_watch.peerBrokeOff(report.target, report.underWay, now); !known.empty()) {
-            blame({.target = report.target, .underWay = known, .ago = report.ago}, seenBy);
+    if (!report.confirmed) {
+        if (const std::vector<RequestFingerprint> known = m_watch.peerAttemptsInterrupted(report.target, report.inFlight, now);
+            !known.empty()) {
+            applyCrash({.target = report.target, .inFlight = known, .ago = report.ago}, reportedBy);
         }
         return;
     }
     m_metrics.count("crash_reports_total", {.name = "from", .value = "peer"});
-    if (std::vector<RequestFingerprint> left = m_watch.crashedElsewhere(report.target, now); !left.empty()) {
-        this->report({.target = report.target, .underWay = std::move(left), .ago = report.ago}, seenBy);
+    if (std::vector<RequestFingerprint> cancelled = m_watch.takeCancelled(report.target, now); !cancelled.empty()) {
+        this->reportCrash({.target = report.target, .inFlight = std::move(cancelled), .ago = report.ago}, reportedBy);
     }
-    // The peer whose requests these were may have ended since it told of them, so that nobody else reports them.
-    blame({.target = report.target, .underWay = m_watch.takePeers(report.target, now), .ago = report.ago}, seenBy);
-    tellAnswered(report);
-    // Whoever saw the crash that decides it tells the others and the store; here it is only believed sooner.
-    for (const RequestFingerprint &fingerprint : m_quarantine.crashed(report.target, report.underWay, now, report.ago)) {
-        logLine(Severity::Warning, "request.quarantined", {{"fingerprint", fingerprint.text()}, {"by", "peers' reports"}});
+    // The peer that had these requests in flight may have terminated since it announced them, so that no other router reports them.
+    applyCrash({.target = report.target, .inFlight = m_watch.confirmCrash(report.target, now), .ago = report.ago}, reportedBy);
+    announceAnswers(report);
+    // The router whose crash detection completes the evidence tells the peers and the store. Here the request is only quarantined sooner.
+    for (const RequestFingerprint &fingerprint : m_quarantine.recordCrash(report.target, report.inFlight, now, report.ago)) {
+        logLine(Severity::Warning, "request.quarantined", {{"fingerprint", fingerprint.text()}, {"by", "crash reports of peers"}});
     }
-    count();
+    updateGauges();
 }
 
-void PoisonGuard::take(const QuarantineChange &change, std::string_view from)
+void PoisonGuard::applyChange(const QuarantineChange &change, std::string_view from)
 {
     const Instant now = steadyNow();
-    const bool lifts = change.terms == 0;
-    const bool held = m_quarantine.entries().contains(change.fingerprint);
-    const Quarantine::Standing standing{
-        .nextTrial = now + change.remaining, .terms = change.terms, .trials = change.trials, .answers = change.answers};
-    const bool isNew = lifts ? m_quarantine.answeredElsewhere(change.fingerprint, now + std::min(change.remaining, Duration::zero()))
-                             : m_quarantine.learn(change.fingerprint, standing, now);
+    const bool acquits = change.quarantineLevel == 0;
+    const bool wasQuarantined = m_quarantine.entries().contains(change.fingerprint);
+    const Quarantine::EntryState state{
+        .nextTrial = now + change.remaining, .quarantineLevel = change.quarantineLevel, .trials = change.trials, .answers = change.answers};
+    const bool isNew = acquits ? m_quarantine.recordPeerAnswer(change.fingerprint, now + std::min(change.remaining, Duration::zero()))
+                               : m_quarantine.mergeEntry(change.fingerprint, state, now);
     if (isNew) {
-        count();
+        updateGauges();
     }
-    if (isNew && (held || !lifts)) {
+    if (isNew && (wasQuarantined || !acquits)) {
         logLine(Severity::Info,
-                lifts ? "request.acquitted" : "request.quarantined",
+                acquits ? "request.acquitted" : "request.quarantined",
                 {{"fingerprint", change.fingerprint.text()}, {"by", from}, {"for_s", inSeconds(change.remaining)}});
     }
 }
 
-void PoisonGuard::lift(const RequestFingerprint &fingerprint)
+void PoisonGuard::release(const RequestFingerprint &fingerprint)
 {
     if (m_quarantine.acquit(fingerprint)) {
-        count();
+        updateGauges();
         logLine(Severity::Info, "request.acquitted", {{"fingerprint", fingerprint.text()}, {"by", "the store"}});
     }
 }
@@ -324,7 +335,7 @@
     m_quarantine.expire(steadyNow());
 }
 
-void PoisonGuard::count() const
+void PoisonGuard::updateGauges() const
 {
     m_metrics.gauge("quarantine_requests", {.name = "state", .value = "held"}, static_cast<std::int64_t>(m_quarantine.entries().size()));
     m_metrics.gauge("quarantine_requests", {.name = "state", .value = "suspected"}, static_cast<std::int64_t>(m_quarantine.suspects()));
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -12,31 +12,31 @@
 
 namespace {
 
-/// Crashes kept of one request; beyond, more of them say nothing new.
-constexpr std::size_t s_mostTargets = 8;
-/// Reports of one crash come from every router that had something there, within this time.
-constexpr Duration s_reportTime = std::chrono::seconds(1);
-/// Told to a caller whose copy might be the next on trial, but was not; and the pause after a trial that reached no target.
-constexpr Duration s_shortestWait = std::chrono::seconds(1);
+/// Maximum number of crashes kept for each request. More of them change no decision.
+constexpr std::size_t s_maxCrashesPerRequest = 8;
+/// Every router that had requests on a crashed target reports the crash within this time.
+constexpr Duration s_reportDelay = std::chrono::seconds(1);
+/// Shortest wait returned to a caller whose copy could be the next trial but was not, and the pause after a trial that reached no target.
+constexpr Duration s_minWait = std::chrono::seconds(1);
 
 void addTarget(std::vector<std::uint64_t> &targets, std::uint64_t target)
 {
-    if (targets.size() < s_mostTargets && std::ranges::find(targets, target) == targets.end()) {
+    if (targets.size() < s_maxCrashesPerRequest && std::ranges::find(targets, target) == targets.end()) {
         targets.push_back(target);
     }
 }
 
-/// A wait of its own for each request: those held back by the same crashes would all be tried at the same moment, on several routers,
-/// before any has heard of the others' trials.
-Duration slotOf(const RequestFingerprint &fingerprint)
+/// Returns a delay that depends on the fingerprint. Without it, all requests quarantined by the same crashes would be tried at the same
+/// moment on several routers, before these learn of each other's trials.
+Duration firstTrialOffset(const RequestFingerprint &fingerprint)
 {
     constexpr std::uint64_t slots = 8;
     constexpr Duration slot = std::chrono::milliseconds(250);
     return static_cast<std::int64_t>(mixed(stableHash(fingerprint.bytes())) % slots) * slot;
 }
 
-/// The first fingerprint in order that a request of this address can have.
-RequestFingerprint lowestOf(std::uint64_t addressHash)
+/// Returns the lowest fingerprint with this address hash in the sort order.
+RequestFingerprint lowestFingerprint(std::uint64_t addressHash)
 {
     std::array<char, RequestFingerprint::s_size> bytes{};
     boost::endian::store_big_u64(reinterpret_cast<unsigned char *>(bytes.data()), addressHash);
@@ -44,17 +44,17 @@
 }
 
 template<typename Map>
-bool holdsAddress(const Map &map, std::uint64_t addressHash)
+bool containsAddress(const Map &map, std::uint64_t addressHash)
 {
-    const auto found = map.lower_bound(lowestOf(addressHash));
+    const auto found = map.lower_bound(lowestFingerprint(addressHash));
     return found != map.end() && found->first.addressHash() == addressHash;
 }
 
 }
 
-Duration Quarantine::boundedTerm(std::int64_t milliseconds)
+Duration Quarantine::clampedDuration(std::int64_t milliseconds)
 {
-    constexpr std::int64_t most = std::chrono::duration_cast<std::chrono::milliseconds>(s_longestTerm).count();
+    constexpr std::int64_t most = std::chrono::duration_cast<std::chrono::milliseconds>(s_maxTrialInterval).count();
     return std::chrono::milliseconds(std::clamp(milliseconds, -most, most));
 }
 
@@ -69,92 +69,93 @@
 }
 
 std::vector<RequestFingerprint>
-Quarantine::crashed(std::uint64_t target, std::span<const RequestFingerprint> underWay, Instant now, Duration ago)
+Quarantine::recordCrash(std::uint64_t target, std::span<const RequestFingerprint> inFlight, Instant now, Duration ago)
 {
-    std::vector<RequestFingerprint> held;
-    for (const RequestFingerprint &fingerprint : underWay) {
+    std::vector<RequestFingerprint> quarantined;
+    for (const RequestFingerprint &fingerprint : inFlight) {
         if (answeredSince(fingerprint, now - ago)) {
             continue;
         }
         if (const auto known = m_entries.find(fingerprint); known != m_entries.end()) {
             Entry &entry = known->second;
-            addTarget(entry.targets, target);
-            // Copies that were under way when it was first held back change nothing; one on trial does, on whichever router: the one that
-            // began the trial may have ended.
-            if (entry.trialAt && now - *entry.trialAt <= s_trialTime && now - ago >= *entry.trialAt) {
-                entry.trialAt.reset();
+            addTarget(entry.crashedTargets, target);
+            // Copies that were already in flight when the request was first quarantined change nothing. A copy on trial does, whichever
+            // router started the trial, because that router may have terminated.
+            if (entry.trialBegan && now - *entry.trialBegan <= s_trialTimeout && now - ago >= *entry.trialBegan) {
+                entry.trialBegan.reset();
                 if (entry.trials <= extraTrials(entry)) {
-                    entry.nextTrial = now + m_options.extraTrialPause;
+                    entry.nextTrial = now + m_options.extraTrialDelay;
                 } else {
-                    ++entry.terms;
-                    entry.nextTrial = now + termOf(entry);
+                    ++entry.quarantineLevel;
+                    entry.nextTrial = now + trialInterval(entry);
                 }
-                trialDecided(fingerprint);
-                held.push_back(fingerprint);
+                endTrial(fingerprint);
+                quarantined.push_back(fingerprint);
             }
             continue;
         }
         Suspect &suspect = m_suspects[fingerprint];
-        addTarget(suspect.targets, target);
+        addTarget(suspect.crashedTargets, target);
         suspect.last = now;
-        if (suspected(suspect, now)) {
-            m_entries[fingerprint] = {.nextTrial = now + m_options.firstTrial + slotOf(fingerprint),
-                                      .terms = 1,
-                                      .targets = std::move(suspect.targets),
-                                      .since = now,
-                                      .answers = m_answers.answers(fingerprint, now)};
+        if (isLikelyCause(suspect, now)) {
+            m_entries[fingerprint] = {.nextTrial = now + m_options.firstTrialDelay + firstTrialOffset(fingerprint),
+                                      .quarantineLevel = 1,
+                                      .crashedTargets = std::move(suspect.crashedTargets),
+                                      .quarantinedSince = now,
+                                      .answers = m_answers.recentAnswerCount(fingerprint, now)};
             m_suspects.erase(fingerprint);
-            held.push_back(fingerprint);
+            quarantined.push_back(fingerprint);
         }
     }
-    boundSuspects();
-    boundEntries();
-    return held;
+    limitSuspects();
+    limitEntries();
+    return quarantined;
 }
 
-bool Quarantine::explained(std::uint64_t target, Instant now) const
+bool Quarantine::isExplained(std::uint64_t target, Instant now) const
 {
-    // Reports of one crash come in any order: what was held back a moment ago does not yet clear those that were there with it, or the
-    // cause could be cleared by a request that was there by chance and reported first.
+    // Reports of one crash arrive in any order. A request quarantined just now therefore does not explain the crash for the others yet;
+    // otherwise a harmless request that was reported first could clear the actual cause.
     return std::ranges::any_of(m_entries, [&](const auto &entry) {
-        return now - entry.second.since > s_reportTime && std::ranges::find(entry.second.targets, target) != entry.second.targets.end();
+        return now - entry.second.quarantinedSince > s_reportDelay
+            && std::ranges::find(entry.second.crashedTargets, target) != entry.second.crashedTargets.end();
     });
 }
 
-bool Quarantine::suspected(const Suspect &suspect, Instant now) const
+bool Quarantine::isLikelyCause(const Suspect &suspect, Instant now) const
 {
-    if (suspect.targets.size() < m_options.crashes) {
+    if (suspect.crashedTargets.size() < m_options.crashThreshold) {
         return false;
     }
-    const auto unexplained = std::ranges::count_if(suspect.targets, [&](std::uint64_t target) {
-        return !explained(target, now);
+    const auto unexplained = std::ranges::count_if(suspect.crashedTargets, [&](std::uint64_t target) {
+        return !isExplained(target, now);
     });
-    return static_cast<std::size_t>(unexplained) >= m_options.crashes;
+    return static_cast<std::size_t>(unexplained) >= m_options.crashThreshold;
 }
 
-bool Quarantine::answered(const RequestFingerprint &fingerprint, Instant at)
+bool Quarantine::recordAnswer(const RequestFingerprint &fingerprint, Instant at)
 {
-    m_answers.note(fingerprint, at);
-    const bool spokeAgainst = acquit(fingerprint);
-    if (spokeAgainst) {
-        (void)m_answers.takeUntold(fingerprint, at - Duration(1));
+    m_answers.addLocalAnswer(fingerprint, at);
+    const bool wasTracked = acquit(fingerprint);
+    if (wasTracked) {
+        (void)m_answers.takeUnannounced(fingerprint, at - Duration(1));
     }
-    return spokeAgainst;
+    return wasTracked;
 }
 
-bool Quarantine::answeredElsewhere(const RequestFingerprint &fingerprint, Instant at)
+bool Quarantine::recordPeerAnswer(const RequestFingerprint &fingerprint, Instant at)
 {
-    m_answers.noteElsewhere(fingerprint, at);
+    m_answers.addPeerAnswer(fingerprint, at);
     return acquit(fingerprint);
 }
 
-std::vector<RequestFingerprint> Quarantine::unanswered(std::span<const RequestFingerprint> underWay, Instant crash) const
+std::vector<RequestFingerprint> Quarantine::unansweredSince(std::span<const RequestFingerprint> inFlight, Instant crash) const
 {
-    std::vector<RequestFingerprint> left(underWay.begin(), underWay.end());
-    std::erase_if(left, [&](const RequestFingerprint &fingerprint) {
+    std::vector<RequestFingerprint> unanswered(inFlight.begin(), inFlight.end());
+    std::erase_if(unanswered, [&](const RequestFingerprint &fingerprint) {
         return answeredSince(fingerprint, crash).has_value();
     });
-    return left;
+    return unanswered;
 }
 
 std::optional<Instant> Quarantine::answeredSince(const RequestFingerprint &fingerprint, Instant crash) const
@@ -165,76 +166,77 @@
 
 unsigned Quarantine::extraTrials(const Entry &entry) const
 {
-    return std::min(entry.answers, m_options.mostExtraTrials);
+    return std::min(entry.answers, m_options.maxExtraTrials);
 }
 
 bool Quarantine::acquit(const RequestFingerprint &fingerprint)
 {
-    trialDecided(fingerprint);
-    const bool suspected = m_suspects.erase(fingerprint) > 0;
-    const bool held = m_entries.erase(fingerprint) > 0;
-    return suspected || held;
+    endTrial(fingerprint);
+    const bool wasSuspected = m_suspects.erase(fingerprint) > 0;
+    const bool wasQuarantined = m_entries.erase(fingerprint) > 0;
+    return wasSuspected || wasQuarantined;
 }
 
-bool Quarantine::learn(const RequestFingerprint &fingerprint, const Standing &standing, Instant now)
+bool Quarantine::mergeEntry(const RequestFingerprint &fingerprint, const EntryState &state, Instant now)
 {
-    const auto [known, isNew] = m_entries.try_emplace(fingerprint, Entry{.since = now, .answers = m_answers.answers(fingerprint, now)});
+    const auto [known, isNew] =
+        m_entries.try_emplace(fingerprint, Entry{.quarantinedSince = now, .answers = m_answers.recentAnswerCount(fingerprint, now)});
     Entry &entry = known->second;
-    const bool longer = standing.terms > entry.terms;
+    const bool longer = state.quarantineLevel > entry.quarantineLevel;
     if (longer) {
-        trialDecided(fingerprint);
-        entry.trialAt.reset();
-    } else if (standing.terms == entry.terms && standing.trials > entry.trials) {
-        m_onTrial = fingerprint;
-        m_trialEnds = now + s_trialTime;
-        entry.trialAt = now;
+        endTrial(fingerprint);
+        entry.trialBegan.reset();
+    } else if (state.quarantineLevel == entry.quarantineLevel && state.trials > entry.trials) {
+        m_requestOnTrial = fingerprint;
+        m_trialEnds = now + s_trialTimeout;
+        entry.trialBegan = now;
     }
-    entry.answers = std::max(entry.answers, standing.answers);
-    if (standing.terms >= entry.terms) {
-        entry.nextTrial = std::max(entry.nextTrial, standing.nextTrial);
-        entry.trials = std::max(entry.trials, standing.trials);
-        entry.terms = standing.terms;
+    entry.answers = std::max(entry.answers, state.answers);
+    if (state.quarantineLevel >= entry.quarantineLevel) {
+        entry.nextTrial = std::max(entry.nextTrial, state.nextTrial);
+        entry.trials = std::max(entry.trials, state.trials);
+        entry.quarantineLevel = state.quarantineLevel;
     }
     if (isNew) {
         if (const auto suspect = m_suspects.find(fingerprint); suspect != m_suspects.end()) {
-            entry.targets = std::move(suspect->second.targets);
+            entry.crashedTargets = std::move(suspect->second.crashedTargets);
             m_suspects.erase(suspect);
         }
-        boundEntries();
+        limitEntries();
     }
     return isNew || longer;
 }
 
-bool Quarantine::mayKnow(std::uint64_t addressHash) const
+bool Quarantine::mayContainAddress(std::uint64_t addressHash) const
 {
-    return holdsAddress(m_entries, addressHash) || holdsAddress(m_suspects, addressHash);
+    return containsAddress(m_entries, addressHash) || containsAddress(m_suspects, addressHash);
 }
 
-std::optional<Duration> Quarantine::heldFor(const RequestFingerprint &fingerprint, Instant now) const
+std::optional<Duration> Quarantine::timeToNextTrial(const RequestFingerprint &fingerprint, Instant now) const
 {
     const auto found = m_entries.find(fingerprint);
     if (found == m_entries.end()) {
         return std::nullopt;
     }
-    return std::max(found->second.nextTrial - now, s_shortestWait);
+    return std::max(found->second.nextTrial - now, s_minWait);
 }
 
-bool Quarantine::mayTry(const RequestFingerprint &fingerprint, Instant now) const
+bool Quarantine::mayBeginTrial(const RequestFingerprint &fingerprint, Instant now) const
 {
     const auto found = m_entries.find(fingerprint);
     const bool due = found != m_entries.end() && now >= found->second.nextTrial;
-    return due && (!m_onTrial || now >= m_trialEnds);
+    return due && (!m_requestOnTrial || now >= m_trialEnds);
 }
 
-Duration Quarantine::termOf(const Entry &entry) const
+Duration Quarantine::trialInterval(const Entry &entry) const
 {
-    return entry.terms > 2 ? m_options.laterTerm : m_options.firstTerm;
+    return entry.quarantineLevel > 2 ? m_options.longTrialInterval : m_options.shortTrialInterval;
 }
 
-void Quarantine::trialDecided(const RequestFingerprint &fingerprint)
+void Quarantine::endTrial(const RequestFingerprint &fingerprint)
 {
-    if (m_onTrial == fingerprint) {
-        m_onTrial.reset();
+    if (m_requestOnTrial == fingerprint) {
+        m_requestOnTrial.reset();
     }
 }
 
@@ -246,33 +248,33 @@
     }
     Entry &entry = found->second;
     ++entry.trials;
-    entry.trialAt = now;
-    entry.nextTrial = now + (entry.trials < m_options.earlyTrials + extraTrials(entry) ? s_trialTime : termOf(entry));
-    m_onTrial = fingerprint;
-    m_trialEnds = now + s_trialTime;
+    entry.trialBegan = now;
+    entry.nextTrial = now + (entry.trials < m_options.maxEarlyTrials + extraTrials(entry) ? s_trialTimeout : trialInterval(entry));
+    m_requestOnTrial = fingerprint;
+    m_trialEnds = now + s_trialTimeout;
 }
 
 void Quarantine::trialNotRun(const RequestFingerprint &fingerprint, Instant now)
 {
     const auto found = m_entries.find(fingerprint);
-    if (found == m_entries.end() || !found->second.trialAt) {
+    if (found == m_entries.end() || !found->second.trialBegan) {
         return;
     }
-    trialDecided(fingerprint);
+    endTrial(fingerprint);
     Entry &entry = found->second;
     entry.trials -= std::min(entry.trials, 1U);
-    entry.trialAt.reset();
-    entry.nextTrial = now + s_shortestWait;
+    entry.trialBegan.reset();
+    entry.nextTrial = now + s_minWait;
 }
 
 std::vector<Quarantine::KnownCrash> Quarantine::knownCrashes() const
 {
     std::map<std::uint64_t, KnownCrash> crashes;
     for (const auto &[fingerprint, suspect] : m_suspects) {
-        for (const std::uint64_t target : suspect.targets) {
+        for (const std::uint64_t target : suspect.crashedTargets) {
             KnownCrash &crash = crashes[target];
             crash.target = target;
-            crash.underWay.push_back(fingerprint);
+            crash.inFlight.push_back(fingerprint);
             crash.at = std::max(crash.at, suspect.last);
         }
     }
@@ -288,10 +290,10 @@
 {
     m_answers.expire(now);
     std::erase_if(m_suspects, [&](const auto &suspect) {
-        return now - suspect.second.last > m_options.memory;
+        return now - suspect.second.last > m_options.crashRetention;
     });
     std::erase_if(m_entries, [&](const auto &entry) {
-        return now - entry.second.nextTrial >= s_longestTerm;
+        return now - entry.second.nextTrial >= s_maxTrialInterval;
     });
 }
 
@@ -302,9 +304,9 @@
     }
 }
 
-void Quarantine::boundSuspects()
+void Quarantine::limitSuspects()
 {
-    if (m_suspects.size() <= m_options.mostSuspects) {
+    if (m_suspects.size() <= m_options.maxSuspects) {
         return;
     }
     dropOldestQuarter(m_suspects, [](const Suspect &suspect) {
@@ -312,9 +314,9 @@
     });
 }
 
-void Quarantine::boundEntries()
+void Quarantine::limitEntries()
 {
-    while (m_entries.size() > m_options.mostEntries) {
+    while (m_entries.size() > m_options.maxEntries) {
         m_entries.erase(std::ranges::min_element(m_entries, {}, [](const auto &entry) {
             return entry.second.nextTrial;
         }));
--- a/src/quarantine/quarantinekeeper.h
+++ b/src/quarantine/quarantinekeeper.h
@@ -13,20 +13,20 @@
 
 namespace bamboohold {
 
-/// Keeps the quarantine in the store, so that it outlives the routers, and reads what others put there.
+/// Synchronises the quarantine with the store, so that it survives a restart of all routers.
 ///
-/// Routers tell each other at once; the store is for those that were not there: a fleet that lost power would send a request on that had
-/// crashed three targets, three more times.
+/// Routers announce changes to each other at once. The store serves routers that did not receive them: after a power failure of the whole
+/// fleet, a request that had already crashed three targets would otherwise crash three more.
 template<RowStore Store>
 class QuarantineKeeper
 {
 public:
     struct Options {
-        /// Between two reads. Shorter than the time in which a change has to be known to every router in touch with the store, so that the
-        /// notice of a peer may be lost.
-        Duration interval = std::chrono::seconds(2);
-        /// After a call that was declined or lost.
-        Duration retryPause = std::chrono::milliseconds(300);
+        /// Time between two reads. It is shorter than the time within which every router in contact with the store must know of a change,
+        /// so that a peer's announcement may get lost.
+        Duration readInterval = std::chrono::seconds(2);
+        /// Time until the next try after a call that failed or a transaction that was declined.
+        Duration retryDelay = std::chrono::milliseconds(300);
     };
 
     QuarantineKeeper(Store &store, PoisonGuard &guard, Options options)
@@ -41,46 +41,47 @@
     {
     }
 
-    /// Runs for as long as the process.
+    /// Runs until the process ends.
     boost::asio::awaitable<void> run()
     {
         while (true) {
             const bool done = co_await synchronise();
-            co_await m_guard.decided().wait(done ? m_options.interval : m_options.retryPause);
+            co_await m_guard.storeUpdateNeeded().wait(done ? m_options.readInterval : m_options.retryDelay);
         }
     }
 
-    /// Reads the rows and writes what the store lacks. False when a call failed, or another router was quicker.
+    /// Reads the rows and writes what the store lacks. Returns false if a call failed, the read was outdated, or another router changed the
+    /// rows first.
     boost::asio::awaitable<bool> synchronise()
     {
         const std::string table(s_quarantineTable);
         const std::string wholePart;
         const absl::StatusOr<RowsRead> read = co_await m_store.read(table, wholePart);
-        noteStore(read.ok());
-        // An answer older than one that was seen lacks rows that are there: what it lacks would be let pass.
-        if (!read.ok() || read->version < m_version) {
+        logStoreState(read.ok());
+        // A read older than a previous one may lack rows that exist. Requests missing from it would be released.
+        if (!read.ok() || read->version < m_lastReadVersion) {
             co_return false;
         }
-        m_version = read->version;
-        takeRows(*read);
-        const RowTransaction transaction = missing(*read);
+        m_lastReadVersion = read->version;
+        applyRows(*read);
+        const RowTransaction transaction = pendingChanges(*read);
         if (transaction.changes.empty()) {
             co_return true;
         }
         const absl::StatusOr<RowVerdict> verdict = co_await m_store.transact(transaction);
-        noteStore(verdict.ok());
+        logStoreState(verdict.ok());
         const bool applied = verdict.ok() && verdict->applied;
         if (applied) {
-            m_guard.trialsBegun().clear();
+            m_guard.unsavedTrials().clear();
         }
         co_return applied;
     }
 
 private:
-    /// A transaction holds a hundred entries at most, conditions and changes together.
-    static constexpr std::size_t s_mostChanges = 40;
-    /// Every router that reaches the store reads it several times within this.
-    static constexpr Duration s_acquittalMemory = std::chrono::minutes(1);
+    /// The store allows at most a hundred entries per transaction, counting conditions and changes.
+    static constexpr std::size_t s_maxChanges = 40;
+    /// Every router in contact with the store reads it several times within this time.
+    static constexpr Duration s_acquittalRetention = std::chrono::minutes(1);
 
     using Entries = Quarantine::Entries;
 
@@ -89,82 +90,84 @@
         return {.table = std::string(s_quarantineTable), .part = "", .key = fingerprint.text()};
     }
 
-    void takeRows(const RowsRead &read)
+    void applyRows(const RowsRead &read)
     {
         m_rows.clear();
         for (const StoredRow &row : read.rows) {
-            takeRow(row, read.storeTime);
+            applyRow(row, read.storeTime);
         }
-        std::erase_if(m_guard.acquitted(), [this](const RequestFingerprint &fingerprint) {
+        std::erase_if(m_guard.unsavedAcquittals(), [this](const RequestFingerprint &fingerprint) {
             const auto row = m_rows.find(fingerprint);
-            const bool told = row != m_rows.end() && row->second.content.terms == 0;
-            return told || m_guard.quarantine().entries().contains(fingerprint);
+            const bool acquittalStored = row != m_rows.end() && row->second.content.quarantineLevel == 0;
+            return acquittalStored || m_guard.quarantine().entries().contains(fingerprint);
         });
-        std::vector<RequestFingerprint> lifted;
+        std::vector<RequestFingerprint> released;
         for (const auto &[fingerprint, entry] : m_guard.quarantine().entries()) {
             if (entry.stored && !m_rows.contains(fingerprint)) {
-                lifted.push_back(fingerprint);
+                released.push_back(fingerprint);
             }
         }
-        for (const RequestFingerprint &fingerprint : lifted) {
-            m_guard.lift(fingerprint);
+        for (const RequestFingerprint &fingerprint : released) {
+            m_guard.release(fingerprint);
         }
     }
 
-    void takeRow(const StoredRow &row, StoreTimeMs storeTime)
+    void applyRow(const StoredRow &row, StoreTimeMs storeTime)
     {
         const std::optional<RequestFingerprint> fingerprint = RequestFingerprint::fromText(row.address.key);
         const absl::StatusOr<QuarantineRow> content = quarantineRowFrom(row.value);
         if (!fingerprint || !content.ok()) {
-            if (row.version > m_newestSpoilt) {
-                m_newestSpoilt = row.version;
+            if (row.version > m_newestUnreadable) {
+                m_newestUnreadable = row.version;
                 logLine(Severity::Error, "quarantine.unreadable", {{"key", row.address.key}});
             }
             return;
         }
         m_rows[*fingerprint] = {.version = row.version, .content = *content};
-        if (m_guard.acquitted().contains(*fingerprint) || past(*content, storeTime)) {
+        if (m_guard.unsavedAcquittals().contains(*fingerprint) || isExpired(*content, storeTime)) {
             return;
         }
-        if (content->terms == 0) {
-            takeAcquittal(*fingerprint, Quarantine::boundedTerm(storeTime - content->nextTrial));
+        if (content->quarantineLevel == 0) {
+            applyAcquittal(*fingerprint, Quarantine::clampedDuration(storeTime - content->nextTrial));
             return;
         }
-        const Duration remaining = Quarantine::boundedTerm(content->nextTrial - storeTime);
-        m_guard.take({.fingerprint = *fingerprint, .remaining = remaining, .terms = content->terms}, "the store");
+        const Duration remaining = Quarantine::clampedDuration(content->nextTrial - storeTime);
+        m_guard.applyChange({.fingerprint = *fingerprint, .remaining = remaining, .quarantineLevel = content->quarantineLevel},
+                            "the store");
         m_guard.quarantine().setStored(*fingerprint);
     }
 
-    /// Acquitted so long ago. One that was held back since is held back anew.
-    void takeAcquittal(const RequestFingerprint &fingerprint, Duration ago)
+    /// Releases a request that was acquitted `ago` before now, unless it has been quarantined again since.
+    void applyAcquittal(const RequestFingerprint &fingerprint, Duration ago)
     {
         const auto entry = m_guard.quarantine().entries().find(fingerprint);
-        if (entry != m_guard.quarantine().entries().end() && entry->second.since < steadyNow() - ago) {
-            m_guard.lift(fingerprint);
+        if (entry != m_guard.quarantine().entries().end() && entry->second.quarantinedSince < steadyNow() - ago) {
+            m_guard.release(fingerprint);
         }
     }
 
-    /// True when a trial was decided since the row was written, or one has begun here. By the time of the next trial alone a router whose
-    /// clock stood still for a while would prolong every row.
-    static bool isNewer(const QuarantineRow &content, const QuarantineRow &row, bool trialBegun)
+    /// Returns true if a trial has got a result since the row was written, or a trial has begun here. The time of the next trial alone does
+    /// not make a row newer: a router whose clock had stopped for a while would extend every row.
+    static bool isNewer(const QuarantineRow &content, const QuarantineRow &row, bool trialBegan)
     {
-        return content.terms > row.terms || (trialBegun && content.terms == row.terms && content.nextTrial > row.nextTrial);
+        return content.quarantineLevel > row.quarantineLevel
+            || (trialBegan && content.quarantineLevel == row.quarantineLevel && content.nextTrial > row.nextTrial);
     }
 
-    /// True for a row that nobody needs any more.
-    static bool past(const QuarantineRow &row, StoreTimeMs storeTime)
+    /// Returns true if no router needs the row any more.
+    static bool isExpired(const QuarantineRow &row, StoreTimeMs storeTime)
     {
-        if (row.terms == 0) {
-            return Quarantine::boundedTerm(storeTime - row.nextTrial) > s_acquittalMemory;
+        if (row.quarantineLevel == 0) {
+            return Quarantine::clampedDuration(storeTime - row.nextTrial) > s_acquittalRetention;
         }
-        return Quarantine::boundedTerm(row.nextTrial - storeTime) <= -Quarantine::s_longestTerm;
+        return Quarantine::clampedDuration(row.nextTrial - storeTime) <= -Quarantine::s_maxTrialInterval;
     }
 
-    RowTransaction missing(const RowsRead &read) const
+    RowTransaction pendingChanges(const RowsRead &read) const
     {
         RowTransaction transaction;
         const auto change = [&transaction](const RequestFingerprint &fingerprint, std::uint64_t version, std::optional<std::string> value) {
-            if (transaction.changes.size() < s_mostChanges) {
+            if (transaction.changes.size() < s_maxChanges) {
                 transaction.conditions.push_back({.address = addressOf(fingerprint), .version = version});
                 transaction.changes.push_back({.address = addressOf(fingerprint), .value = std::move(value)});
             }
@@ -172,32 +175,32 @@
         const Instant now = steadyNow();
         for (const auto &[fingerprint, entry] : m_guard.quarantine().entries()) {
             const auto row = m_rows.find(fingerprint);
-            const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(entry.nextTrial - now).count();
-            const QuarantineRow content{.nextTrial = read.storeTime + left, .terms = entry.terms};
-            const bool begun = m_guard.trialsBegun().contains(fingerprint);
-            if (row == m_rows.end() || isNewer(content, row->second.content, begun)) {
+            const auto remainingMs = std::chrono::duration_cast<std::chrono::milliseconds>(entry.nextTrial - now).count();
+            const QuarantineRow content{.nextTrial = read.storeTime + remainingMs, .quarantineLevel = entry.quarantineLevel};
+            const bool trialUnsaved = m_guard.unsavedTrials().contains(fingerprint);
+            if (row == m_rows.end() || isNewer(content, row->second.content, trialUnsaved)) {
                 change(fingerprint, row == m_rows.end() ? 0 : row->second.version, toText(content));
             }
         }
-        for (const RequestFingerprint &fingerprint : m_guard.acquitted()) {
+        for (const RequestFingerprint &fingerprint : m_guard.unsavedAcquittals()) {
             const auto row = m_rows.find(fingerprint);
-            const QuarantineRow content{.nextTrial = read.storeTime, .terms = 0};
+            const QuarantineRow content{.nextTrial = read.storeTime, .quarantineLevel = 0};
             change(fingerprint, row == m_rows.end() ? 0 : row->second.version, toText(content));
         }
         const StoreTimeMs oldestKept = oldestKeptTrial();
         for (const auto &[fingerprint, row] : m_rows) {
-            const bool surplus = row.content.nextTrial < oldestKept || past(row.content, read.storeTime);
-            if (surplus && !m_guard.acquitted().contains(fingerprint)) {
+            const bool surplus = row.content.nextTrial < oldestKept || isExpired(row.content, read.storeTime);
+            if (surplus && !m_guard.unsavedAcquittals().contains(fingerprint)) {
                 change(fingerprint, row.version, std::nullopt);
             }
         }
         return transaction;
     }
 
-    /// Rows whose next trial is due before this are more than are kept.
+    /// Returns the time of the next trial before which rows exceed the maximum number, or 0 if there are no more rows than that.
     StoreTimeMs oldestKeptTrial() const
     {
-        const std::size_t most = m_guard.quarantine().options().mostEntries;
+        const std::size_t most = m_guard.quarantine().options().maxEntries;
         if (m_rows.size() <= most) {
             return 0;
         }
@@ -210,12 +213,12 @@
         return *oldest;
     }
 
-    void noteStore(bool answers)
+    void logStoreState(bool reachable)
     {
-        if (answers != m_answers) {
-            logLine(answers ? Severity::Info : Severity::Warning, answers ? "quarantine.store_regained" : "quarantine.store_lost", {});
+        if (reachable != m_storeReachable) {
+            logLine(reachable ? Severity::Info : Severity::Warning, reachable ? "quarantine.store_regained" : "quarantine.store_lost", {});
         }
-        m_answers = answers;
+        m_storeReachable = reachable;
     }
 
     struct Row {
@@ -226,11 +229,11 @@
     Store &m_store;
     PoisonGuard &m_guard;
     Options m_options;
-    /// As of the last read.
+    /// The rows as of the last read.
     std::map<RequestFingerprint, Row> m_rows;
-    std::uint64_t m_version = 0;
-    std::uint64_t m_newestSpoilt = 0;
-    bool m_answers = true;
+    std::uint64_t m_lastReadVersion = 0;
+    std::uint64_t m_newestUnreadable = 0;
+    bool m_storeReachable = true;
 };
 
 }
--- a/src/quarantine/quarantinenotice.cpp
+++ b/src/quarantine/quarantinenotice.cpp
@@ -10,9 +10,9 @@
 {
     wire::CrashNotice notice;
     notice.set_target(report.target);
-    notice.set_broke_off(!report.crashed);
+    notice.set_broke_off(!report.confirmed);
     notice.set_ago_ms(std::chrono::duration_cast<std::chrono::milliseconds>(report.ago).count());
-    for (const RequestFingerprint &fingerprint : report.underWay) {
+    for (const RequestFingerprint &fingerprint : report.inFlight) {
         notice.add_under_way(std::string(fingerprint.bytes()));
     }
     return notice;
@@ -23,7 +23,7 @@
     wire::QuarantineNotice notice;
     notice.set_fingerprint(std::string(change.fingerprint.bytes()));
     notice.set_remaining_ms(std::chrono::duration_cast<std::chrono::milliseconds>(change.remaining).count());
-    notice.set_terms(change.terms);
+    notice.set_terms(change.quarantineLevel);
     notice.set_trials(change.trials);
     notice.set_answers(change.answers);
     return notice;
@@ -32,12 +32,12 @@
 CrashReport fromWire(const wire::CrashNotice &notice)
 {
     CrashReport report{.target = notice.target(),
-                       .underWay = {},
-                       .crashed = !notice.broke_off(),
-                       .ago = std::max(Quarantine::boundedTerm(notice.ago_ms()), Duration::zero())};
+                       .inFlight = {},
+                       .confirmed = !notice.broke_off(),
+                       .ago = std::max(Quarantine::clampedDuration(notice.ago_ms()), Duration::zero())};
     for (const std::string &bytes : notice.under_way()) {
         if (const std::optional<RequestFingerprint> fingerprint = RequestFingerprint::fromBytes(bytes)) {
-            report.underWay.push_back(*fingerprint);
+            report.inFlight.push_back(*fingerprint);
         } else {
             logLine(Severity::Warning, "quarantine.notice_unreadable", {{"bytes", static_cast<std::int64_t>(bytes.size())}});
         }
@@ -53,8 +53,8 @@
         return std::nullopt;
     }
     return QuarantineChange{.fingerprint = *fingerprint,
-                            .remaining = Quarantine::boundedTerm(notice.remaining_ms()),
-                            .terms = notice.terms(),
+                            .remaining = Quarantine::clampedDuration(notice.remaining_ms()),
+                            .quarantineLevel = notice.terms(),
                             .trials = notice.trials(),
                             .answers = notice.answers()};
 }
--- a/src/quarantine/quarantinerow.cpp
+++ b/src/quarantine/quarantinerow.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A whole number of the object that is not negative; -1 when there is none.
+/// Returns a non-negative integer member of the object, or -1 if there is none.
 std::int64_t numberOf(const boost::json::object &object, std::string_view name)
 {
     const boost::json::value *value = object.if_contains({name.data(), name.size()});
@@ -23,7 +23,7 @@
 
 std::string toText(const QuarantineRow &row)
 {
-    return boost::json::serialize(boost::json::object{{"next_trial_ms", row.nextTrial}, {"terms", row.terms}});
+    return boost::json::serialize(boost::json::object{{"next_trial_ms", row.nextTrial}, {"terms", row.quarantineLevel}});
 }
 
 absl::StatusOr<QuarantineRow> quarantineRowFrom(std::string_view text)
@@ -31,14 +31,14 @@
     boost::json::error_code error;
     const boost::json::value value = boost::json::parse({text.data(), text.size()}, error);
     if (error || !value.is_object()) {
-        return failed(FailureKind::InvalidDocument, "a quarantine row that is no object");
+        return failed(FailureKind::InvalidDocument, "quarantine row is not a JSON object");
     }
     const std::int64_t nextTrial = numberOf(value.get_object(), "next_trial_ms");
-    const std::int64_t terms = numberOf(value.get_object(), "terms");
-    if (nextTrial < 0 || terms < 0 || terms > std::numeric_limits<std::int32_t>::max()) {
-        return failed(FailureKind::InvalidDocument, "a quarantine row without a time or a number of terms");
+    const std::int64_t quarantineLevel = numberOf(value.get_object(), "terms");
+    if (nextTrial < 0 || quarantineLevel < 0 || quarantineLevel > std::numeric_limits<std::int32_t>::max()) {
+        return failed(FailureKind::InvalidDocument, "quarantine row lacks a valid \"next_trial_ms\" or \"terms\"");
     }
-    return QuarantineRow{.nextTrial = nextTrial, .terms = static_cast<unsigned>(terms)};
+    return QuarantineRow{.nextTrial = nextTrial, .quarantineLevel = static_cast<unsigned>(quarantineLevel)};
 }
 
 }
--- a/src/tests/crashwatchtest.cpp
+++ b/src/tests/crashwatchtest.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-using Step = CrashWatch::Step;
+using Action = CrashWatch::Action;
 
 FingerprintPair request(const std::string &body)
 {
     return fingerprintsOf({.body = body});
 }
 
-/// The fingerprints of all of them.
+/// Returns the fingerprints of all requests.
 std::vector<RequestFingerprint> all(const std::vector<FingerprintPair> &requests)
 {
     std::vector<RequestFingerprint> fingerprints;
@@ -33,116 +33,117 @@
 
 BOOST_AUTO_TEST_SUITE(CrashWatchTest)
 
-// All connections of a target close at once. It is asked once, and all that was under way there is reported together; what the loop gets
-// to later is reported as well.
-BOOST_AUTO_TEST_CASE(aTargetThatRefusesHasCrashed)
+// All connections of a crashed target close at once. The target is probed once, and all requests in flight there are reported together. An
+// interruption that the event loop handles later is reported too.
+BOOST_AUTO_TEST_CASE(aTargetThatRefusesConnectionsHasCrashed)
 {
     CrashWatch watch;
-    BOOST_TEST((watch.brokeOff("target", request("a"), s_now) == Step::Ask));
-    BOOST_TEST((watch.brokeOff("target", request("b"), s_now) == Step::Wait));
-    BOOST_TEST((watch.brokeOff("other", request("c"), s_now) == Step::Ask));
-    BOOST_TEST((watch.refused("target", s_now) == all({request("a"), request("b")})));
-    BOOST_TEST((watch.brokeOff("target", request("d"), s_now) == Step::Report));
+    BOOST_TEST((watch.attemptInterrupted("target", request("a"), s_now) == Action::Probe));
+    BOOST_TEST((watch.attemptInterrupted("target", request("b"), s_now) == Action::Wait));
+    BOOST_TEST((watch.attemptInterrupted("other", request("c"), s_now) == Action::Probe));
+    BOOST_TEST((watch.connectionRefused("target", s_now) == all({request("a"), request("b")})));
+    BOOST_TEST((watch.attemptInterrupted("target", request("d"), s_now) == Action::Report));
 }
 
-// A target loses an answer, or resets a connection, and lives: nothing is held against what was under way there, also when it crashes of
-// something else a moment later.
-BOOST_AUTO_TEST_CASE(aTargetThatAcceptsLives)
+// Guards against blaming requests for a lost response or a reset connection of a target that stays alive, also when that target crashes for
+// another reason a moment later.
+BOOST_AUTO_TEST_CASE(aTargetThatAcceptsConnectionsIsAlive)
 {
     CrashWatch watch;
-    watch.brokeOff("target", request("a"), s_now);
-    watch.alive("target");
-    BOOST_TEST((watch.brokeOff("target", request("b"), s_now) == Step::Ask));
-    BOOST_TEST((watch.refused("target", s_now) == all({request("b")})));
+    watch.attemptInterrupted("target", request("a"), s_now);
+    watch.targetAlive("target");
+    BOOST_TEST((watch.attemptInterrupted("target", request("b"), s_now) == Action::Probe));
+    BOOST_TEST((watch.connectionRefused("target", s_now) == all({request("b")})));
 }
 
-// Callers leave soon, and their requests are broken off from here; the target crashes a moment later of one of them. Without these, the
-// requests of an impatient caller were never seen at a crash.
-BOOST_AUTO_TEST_CASE(whatWasJustLeftCounts)
+// Guards against a caller with a short timeout never being seen at a crash: it disconnects, this router cancels its request, and the target
+// crashes a moment later because of that request.
+BOOST_AUTO_TEST_CASE(recentlyCancelledRequestsCount)
 {
     CrashWatch watch;
-    watch.left("target", request("long ago"), s_now - std::chrono::seconds(5));
-    watch.left("target", request("just now"), s_now - std::chrono::milliseconds(300));
-    watch.left("other", request("elsewhere"), s_now);
-    watch.brokeOff("target", request("a"), s_now);
-    // The target is found to refuse connections a while after its crash.
-    BOOST_TEST((watch.refused("target", s_now + std::chrono::seconds(2)) == all({request("a"), request("just now")})));
-    BOOST_TEST(watch.refused("target", s_now + std::chrono::seconds(2)).empty());
+    watch.callerDisconnected("target", request("long ago"), s_now - std::chrono::seconds(5));
+    watch.callerDisconnected("target", request("just now"), s_now - std::chrono::milliseconds(300));
+    watch.callerDisconnected("other", request("elsewhere"), s_now);
+    watch.attemptInterrupted("target", request("a"), s_now);
+    // The target is found to refuse connections some time after its crash.
+    BOOST_TEST((watch.connectionRefused("target", s_now + std::chrono::seconds(2)) == all({request("a"), request("just now")})));
+    BOOST_TEST(watch.connectionRefused("target", s_now + std::chrono::seconds(2)).empty());
 }
 
-// The router had nothing else at that target, so no end of its own tells of the crash; a peer does.
-BOOST_AUTO_TEST_CASE(whatWasJustLeftCountsByAPeersWord)
+// This router had no other request on the target, so that no interruption of its own shows the crash. A peer reports it.
+BOOST_AUTO_TEST_CASE(recentlyCancelledRequestsCountWhenAPeerReportsTheCrash)
 {
     CrashWatch watch;
-    watch.left("target", request("a"), s_now);
-    BOOST_TEST(watch.crashedElsewhere(stableHash("other"), s_now).empty());
-    BOOST_TEST((watch.crashedElsewhere(stableHash("target"), s_now + std::chrono::milliseconds(200)) == all({request("a")})));
-    BOOST_TEST(watch.crashedElsewhere(stableHash("target"), s_now + std::chrono::milliseconds(200)).empty());
+    watch.callerDisconnected("target", request("a"), s_now);
+    BOOST_TEST(watch.takeCancelled(stableHash("other"), s_now).empty());
+    BOOST_TEST((watch.takeCancelled(stableHash("target"), s_now + std::chrono::milliseconds(200)) == all({request("a")})));
+    BOOST_TEST(watch.takeCancelled(stableHash("target"), s_now + std::chrono::milliseconds(200)).empty());
 }
 
-// Guards against answers being forgotten that come between a crash and its report.
-BOOST_AUTO_TEST_CASE(watchesAnswersAfterRequestsBrokeOff)
+// Guards against forgetting responses that arrive between a crash and its report.
+BOOST_AUTO_TEST_CASE(answersAreRecordedAfterAnInterruption)
 {
     CrashWatch watch;
-    BOOST_TEST(!watch.alert(s_now));
-    watch.brokeOff("target", request("a"), s_now);
-    watch.brokeOff("target", request("b"), s_now + std::chrono::milliseconds(5));
-    BOOST_TEST((watch.brokenSince("target", s_now + std::chrono::seconds(1)) == s_now));
-    BOOST_TEST((watch.brokenSince("other", s_now + std::chrono::seconds(1)) == s_now + std::chrono::seconds(1)));
-    BOOST_TEST(watch.alert(s_now + std::chrono::seconds(30)));
-    BOOST_TEST(!watch.alert(s_now + std::chrono::minutes(10)));
+    BOOST_TEST(!watch.recentlyInterrupted(s_now));
+    watch.attemptInterrupted("target", request("a"), s_now);
+    watch.attemptInterrupted("target", request("b"), s_now + std::chrono::milliseconds(5));
+    BOOST_TEST((watch.interruptedSince("target", s_now + std::chrono::seconds(1)) == s_now));
+    BOOST_TEST((watch.interruptedSince("other", s_now + std::chrono::seconds(1)) == s_now + std::chrono::seconds(1)));
+    BOOST_TEST(watch.recentlyInterrupted(s_now + std::chrono::seconds(30)));
+    BOOST_TEST(!watch.recentlyInterrupted(s_now + std::chrono::minutes(10)));
     CrashWatch peer;
-    peer.peerBrokeOff(stableHash("target"), all({request("a")}), s_now);
-    BOOST_TEST(peer.alert(s_now));
+    peer.peerAttemptsInterrupted(stableHash("target"), all({request("a")}), s_now);
+    BOOST_TEST(peer.recentlyInterrupted(s_now));
 }
 
-// Guards against a router that starts knowing nothing of what broke off a moment ago.
-BOOST_AUTO_TEST_CASE(tellsARouterThatStartsWhatIsUndecided)
+// Guards against a router that starts without knowledge of requests interrupted a moment ago.
+BOOST_AUTO_TEST_CASE(aStartingRouterLearnsOfUnconfirmedCrashes)
 {
     CrashWatch watch;
-    watch.brokeOff("here", request("a"), s_now);
-    watch.peerBrokeOff(stableHash("elsewhere"), all({request("b")}), s_now);
-    watch.brokeOff("crashed", request("c"), s_now);
-    watch.refused("crashed", s_now);
-    const std::vector<CrashWatch::BrokenOff> undecided = watch.undecided(s_now + std::chrono::seconds(1));
-    BOOST_REQUIRE(undecided.size() == 2U);
-    BOOST_TEST(undecided.front().target == stableHash("here"));
-    BOOST_TEST((undecided.back().underWay == all({request("b")})));
-    BOOST_TEST(watch.undecided(s_now + std::chrono::seconds(10)).size() == 1U);
+    watch.attemptInterrupted("here", request("a"), s_now);
+    watch.peerAttemptsInterrupted(stableHash("elsewhere"), all({request("b")}), s_now);
+    watch.attemptInterrupted("crashed", request("c"), s_now);
+    watch.connectionRefused("crashed", s_now);
+    const std::vector<CrashWatch::UnconfirmedCrash> unconfirmed = watch.unconfirmedCrashes(s_now + std::chrono::seconds(1));
+    BOOST_REQUIRE(unconfirmed.size() == 2U);
+    BOOST_TEST(unconfirmed.front().target == stableHash("here"));
+    BOOST_TEST((unconfirmed.back().inFlight == all({request("b")})));
+    BOOST_TEST(watch.unconfirmedCrashes(s_now + std::chrono::seconds(10)).size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(oldCrashesAreForgotten)
 {
     CrashWatch watch;
-    watch.brokeOff("target", request("a"), s_now);
-    watch.refused("target", s_now);
+    watch.attemptInterrupted("target", request("a"), s_now);
+    watch.connectionRefused("target", s_now);
     watch.expire(s_now + std::chrono::minutes(1));
-    BOOST_TEST((watch.brokeOff("target", request("b"), s_now + std::chrono::minutes(1)) == Step::Ask));
+    BOOST_TEST((watch.attemptInterrupted("target", request("b"), s_now + std::chrono::minutes(1)) == Action::Probe));
 }
 
-// Guards against a router that ends before the port of a crashed target closes, and takes with it what it had under way there.
-BOOST_AUTO_TEST_CASE(peersKnowWhatBrokeOffAtACrash)
+// Guards against losing the requests that a router had in flight on a crashed target, when the router terminates before the port of the
+// target closes.
+BOOST_AUTO_TEST_CASE(peersKnowTheRequestsInterruptedByACrash)
 {
     CrashWatch watch;
-    watch.brokeOff("target", request("a"), s_now);
-    BOOST_TEST((watch.takeUntold("target") == all({request("a")})));
-    BOOST_TEST(watch.takeUntold("target").empty());
-    watch.brokeOff("target", request("b"), s_now);
-    BOOST_TEST((watch.takeUntold("target") == all({request("b")})));
+    watch.attemptInterrupted("target", request("a"), s_now);
+    BOOST_TEST((watch.takeUnannounced("target") == all({request("a")})));
+    BOOST_TEST(watch.takeUnannounced("target").empty());
+    watch.attemptInterrupted("target", request("b"), s_now);
+    BOOST_TEST((watch.takeUnannounced("target") == all({request("b")})));
     CrashWatch peer;
     const std::uint64_t target = stableHash("target");
-    BOOST_TEST(peer.peerBrokeOff(target, all({request("a")}), s_now).empty());
-    BOOST_TEST((peer.takePeers(target, s_now) == all({request("a")})));
-    BOOST_TEST((peer.peerBrokeOff(target, all({request("b")}), s_now) == all({request("b")})));
+    BOOST_TEST(peer.peerAttemptsInterrupted(target, all({request("a")}), s_now).empty());
+    BOOST_TEST((peer.confirmCrash(target, s_now) == all({request("a")})));
+    BOOST_TEST((peer.peerAttemptsInterrupted(target, all({request("b")}), s_now) == all({request("b")})));
 }
 
-// Guards against requests blamed for a crash that came long after a peer's connection was reset.
-BOOST_AUTO_TEST_CASE(whatBrokeOffLongBeforeACrashIsNotBlamed)
+// Guards against blaming requests for a crash that came long after the connection of a peer was reset.
+BOOST_AUTO_TEST_CASE(requestsInterruptedLongBeforeACrashAreNotBlamed)
 {
     CrashWatch peer;
     const std::uint64_t target = stableHash("target");
-    peer.peerBrokeOff(target, all({request("a")}), s_now);
-    BOOST_TEST(peer.takePeers(target, s_now + std::chrono::seconds(5)).empty());
+    peer.peerAttemptsInterrupted(target, all({request("a")}), s_now);
+    BOOST_TEST(peer.confirmCrash(target, s_now + std::chrono::seconds(5)).empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/requestfingerprinttest.cpp
+++ b/src/tests/requestfingerprinttest.cpp
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_SUITE(RequestFingerprintTest)
 
-BOOST_AUTO_TEST_CASE(tellsWhoAsksAndWhat)
+BOOST_AUTO_TEST_CASE(everyFieldChangesTheFingerprint)
 {
     const FingerprintSource source{
         .team = "team", .method = "POST", .host = "app.example", .target = "/drafts/9?page=2", .body = "Is block 9 free?"};
@@ -25,8 +25,8 @@
     BOOST_TEST(RequestFingerprint::of(source).addressHash() == RequestFingerprint::addressHash(source));
 }
 
-// A caller adds a query that defeats caches, or comes by another name of the host: at its core the request is the same one.
-BOOST_AUTO_TEST_CASE(coreLeavesOutWhatMayChange)
+// A caller adds a query that bypasses caches, or uses another name of the host. The core fingerprint is still the same.
+BOOST_AUTO_TEST_CASE(theCoreOmitsQueryAndHostName)
 {
     const FingerprintSource source{
         .team = "team", .method = "POST", .host = "app.example", .target = "/drafts/9?page=2", .body = "Is block 9 free?"};
@@ -47,7 +47,7 @@
     BOOST_TEST((RequestFingerprint::ofCore({.team = "t"}) != RequestFingerprint::of({.team = "t"})));
 }
 
-// A team could otherwise move letters from one field to the next until its request had the fingerprint of another one.
+// Guards against a team that moves characters from one field to the next until its request has the fingerprint of another one.
 BOOST_AUTO_TEST_CASE(fieldsDoNotRunTogether)
 {
     BOOST_TEST((RequestFingerprint::of({.team = "ab", .method = "c"}) != RequestFingerprint::of({.team = "a", .method = "bc"})));
@@ -58,9 +58,9 @@
     const RequestFingerprint fingerprint = RequestFingerprint::of({.team = "team"});
     BOOST_TEST((RequestFingerprint::fromText(fingerprint.text()) == fingerprint));
     BOOST_TEST((RequestFingerprint::fromBytes(fingerprint.bytes()) == fingerprint));
-    for (const std::string &spoilt :
+    for (const std::string &corrupt :
          {std::string(), std::string("12"), std::string(48, 'g'), std::string(48, 'A'), fingerprint.text() + "00", std::string(24, '\0')}) {
-        BOOST_TEST(!RequestFingerprint::fromText(spoilt).has_value());
+        BOOST_TEST(!RequestFingerprint::fromText(corrupt).has_value());
     }
     BOOST_TEST(!RequestFingerprint::fromBytes("short").has_value());
 }
