--- a/src/budget/charge.cpp
+++ b/src/budget/charge.cpp
@@ -32,7 +32,7 @@
             {"output_tokens", charge.outputTokens},
             {"tokens", charge.tokens},
             {"estimated", charge.estimated},
-            {"at_ms", charge.atMs}};
+            {"at_ms", charge.chargedAtMs}};
 }
 
 Charge chargeFromJson(const boost::json::object &object)
@@ -45,7 +45,7 @@
                   .promptTokens = integerField(object, "prompt_tokens"),
                   .outputTokens = integerField(object, "output_tokens"),
                   .tokens = integerField(object, "tokens"),
-                  .atMs = integerField(object, "at_ms")};
+                  .chargedAtMs = integerField(object, "at_ms")};
     const std::string outcome = textField(object, "outcome");
     for (const auto candidate : {Outcome::Answered, Outcome::NotRun, Outcome::FailedAfterRunning, Outcome::Unknown}) {
         if (outcomeName(candidate) == outcome) {
--- a/src/budget/charge.h
+++ b/src/budget/charge.h
@@ -36,7 +36,7 @@
     /// True when the engine gave no count and the worst case was charged.
     bool estimated = false;
     /// Wall-clock milliseconds since 1970, for people.
-    std::int64_t atMs = 0;
+    std::int64_t chargedAtMs = 0;
 };
 
 /// JSON forms in the ledger's batch objects.
--- a/src/budget/sponsorship.cpp
+++ b/src/budget/sponsorship.cpp
@@ -173,7 +173,7 @@
                   .attempt = message.attempt(),
                   .outcome = message.not_run() ? Outcome::NotRun : outcomeOf(end.end),
                   .estimated = !message.not_run() && !end.usage,
-                  .atMs = wallClockMs()};
+                  .chargedAtMs = wallClockMs()};
     if (end.usage) {
         charge.promptTokens = end.usage->prompt;
         charge.outputTokens = end.usage->output;
@@ -218,7 +218,7 @@
             if (const auto sponsored = take(requestId)) {
                 Charge charge{.requestId = requestId, .team = sponsored->team, .budget = sponsored->budget, .outcome = Outcome::Unknown};
                 charge.estimated = true;
-                charge.atMs = wallClockMs();
+                charge.chargedAtMs = wallClockMs();
                 m_budgets.settle(std::move(charge), sponsored->bound);
             }
         }
--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -438,7 +438,7 @@
                   .target = course.target(),
                   .attempt = course.attempt(),
                   .outcome = course.outcome(),
-                  .atMs = wallClockMs()};
+                  .chargedAtMs = wallClockMs()};
     if (course.usage()) {
         charge.promptTokens = course.usage()->prompt;
         charge.outputTokens = course.usage()->output;
