--- a/src/budget/budgetrows.cpp
+++ b/src/budget/budgetrows.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::string joined(std::string_view first, std::string_view second)
+std::string concatenated(std::string_view first, std::string_view second)
 {
     return std::string(first).append(second);
 }
@@ -15,30 +15,30 @@
 
 std::string budgetKey(std::string_view budget)
 {
-    return joined(s_budgetPrefix, budget);
+    return concatenated(s_budgetPrefix, budget);
 }
 
 std::string grantKey(std::string_view incarnation, std::string_view budget)
 {
-    return joined(joined(s_grantPrefix, incarnation).append("/"), budget);
+    return concatenated(concatenated(s_grantPrefix, incarnation).append("/"), budget);
 }
 
 std::string nodeKey(std::string_view incarnation)
 {
-    return joined(s_nodePrefix, incarnation);
+    return concatenated(s_nodePrefix, incarnation);
 }
 
 std::string ledgerKey(std::string_view incarnation, std::string_view flushId)
 {
-    return joined(joined(s_ledgerPrefix, incarnation).append("/"), flushId);
+    return concatenated(concatenated(s_ledgerPrefix, incarnation).append("/"), flushId);
 }
 
-std::string flushOfLedgerKey(std::string_view key)
+std::string flushIdOfLedgerKey(std::string_view key)
 {
     return std::string(key.substr(key.rfind('/') + 1));
 }
 
-BudgetRow readBudgetRow(const TableRow &row)
+BudgetRow parseBudgetRow(const TableRow &row)
 {
     return {.free = integerField(row.fields, "free"), .closed = textField(row.fields, "state") == "closed", .exists = row.version != 0};
 }
--- a/src/budget/budgetrows.h
+++ b/src/budget/budgetrows.h
@@ -25,13 +25,13 @@
 std::string nodeKey(std::string_view incarnation);
 
 /// Name of the flush that wrote a ledger page, from the page's key.
-std::string flushOfLedgerKey(std::string_view key);
+std::string flushIdOfLedgerKey(std::string_view key);
 
 /// Object with the charges of one flush.
 std::string ledgerKey(std::string_view incarnation, std::string_view flushId);
 
 /// Reads a budget's row; a row of version 0 gives one that does not exist.
-BudgetRow readBudgetRow(const TableRow &row);
+BudgetRow parseBudgetRow(const TableRow &row);
 
 /// The fields of a new budget's row.
 boost::json::object newBudgetFields(Tokens prepaid);
--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -240,7 +240,7 @@
     }
     tableAnswered();
     for (const TableRow &row : *read) {
-        rows.emplace(row.key.substr(s_budgetPrefix.size()), readBudgetRow(row));
+        rows.emplace(row.key.substr(s_budgetPrefix.size()), parseBudgetRow(row));
     }
     co_return true;
 }
--- a/src/budget/nodeledger.cpp
+++ b/src/budget/nodeledger.cpp
@@ -243,7 +243,7 @@
     }
     for (const TableObstacle &obstacle : verdict.obstacles) {
         if (obstacle.guard && obstacle.row.key.starts_with(s_budgetPrefix)) {
-            account(obstacle.row.key.substr(s_budgetPrefix.size())).drawRefused(readBudgetRow(obstacle.row), now);
+            account(obstacle.row.key.substr(s_budgetPrefix.size())).drawRefused(parseBudgetRow(obstacle.row), now);
         }
     }
     m_superseded.push_back(*std::exchange(m_current, std::nullopt));
--- a/src/measure/grantpolicy.cpp
+++ b/src/measure/grantpolicy.cpp
@@ -109,7 +109,7 @@
     }
     std::map<std::string, BudgetRow, std::less<>> rows;
     for (const std::string &budget : router.ledger->budgetsToRead(view(router), m_simulation.now())) {
-        rows.emplace(budget, readBudgetRow(*m_table.read(budgetKey(budget))));
+        rows.emplace(budget, parseBudgetRow(*m_table.read(budgetKey(budget))));
     }
     router.reachable = true;
     auto plan = router.ledger->planFlush(rows, view(router), m_simulation.now());
--- a/src/membership/reclaimservice.cpp
+++ b/src/membership/reclaimservice.cpp
@@ -123,7 +123,7 @@
     absl::flat_hash_set<std::string> billed;
     while (!ledger.empty()) {
         std::uint64_t flush = 0;
-        const bool ownFlush = absl::SimpleAtoi(flushOfLedgerKey(ledger), &flush);
+        const bool ownFlush = absl::SimpleAtoi(flushIdOfLedgerKey(ledger), &flush);
         if (ownFlush && flush < earliestFlush) {
             break;
         }
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -198,7 +198,7 @@
 {
     std::map<std::string, BudgetRow, std::less<>> rows;
     for (const std::string &budget : budgets) {
-        rows.emplace(budget, readBudgetRow(*m_table.read(budgetKey(budget))));
+        rows.emplace(budget, parseBudgetRow(*m_table.read(budgetKey(budget))));
     }
     return rows;
 }
--- a/src/tests/nodeledgertest.cpp
+++ b/src/tests/nodeledgertest.cpp
@@ -29,7 +29,7 @@
     {
         std::map<std::string, BudgetRow, std::less<>> rows;
         for (const std::string &budget : ledger.budgetsToRead(s_alone, s_start)) {
-            rows.emplace(budget, readBudgetRow(*table.read(budgetKey(budget))));
+            rows.emplace(budget, parseBudgetRow(*table.read(budgetKey(budget))));
         }
         return ledger.planFlush(rows, s_alone, s_start);
     }
