--- a/src/budget/ledgerpage.cpp
+++ b/src/budget/ledgerpage.cpp
@@ -8,7 +8,7 @@
 
 namespace bamboohold {
 
-std::string writeLedgerPage(const LedgerPage &page)
+std::string serializeLedgerPage(const LedgerPage &page)
 {
     boost::json::array charges;
     for (const Charge &charge : page.charges) {
@@ -17,7 +17,7 @@
     return boost::json::serialize(boost::json::object{{"previous", page.previous}, {"charges", std::move(charges)}});
 }
 
-absl::StatusOr<LedgerPage> readLedgerPage(std::string_view json)
+absl::StatusOr<LedgerPage> parseLedgerPage(std::string_view json)
 {
     boost::json::error_code error;
     const boost::json::value value = boost::json::parse({json.data(), json.size()}, error);
--- a/src/budget/ledgerpage.h
+++ b/src/budget/ledgerpage.h
@@ -18,7 +18,7 @@
 };
 
 /// JSON forms of a page; reading fails with InvalidDocument.
-std::string writeLedgerPage(const LedgerPage &page);
-absl::StatusOr<LedgerPage> readLedgerPage(std::string_view json);
+std::string serializeLedgerPage(const LedgerPage &page);
+absl::StatusOr<LedgerPage> parseLedgerPage(std::string_view json);
 
 }
--- a/src/budget/ledgerreader.cpp
+++ b/src/budget/ledgerreader.cpp
@@ -17,7 +17,7 @@
             if (!object.ok()) {
                 co_return object.status();
             }
-            const auto page = readLedgerPage(*object);
+            const auto page = parseLedgerPage(*object);
             if (!page.ok()) {
                 co_return page.status();
             }
--- a/src/budget/nodeledger.cpp
+++ b/src/budget/nodeledger.cpp
@@ -196,7 +196,7 @@
     }
     if (!plan.charges.empty()) {
         plan.objectKey = ledgerKey(m_options.identity.incarnation, plan.flushId);
-        plan.object = writeLedgerPage({.previous = m_lastPage, .charges = plan.charges});
+        plan.object = serializeLedgerPage({.previous = m_lastPage, .charges = plan.charges});
     }
     const bool closes = m_closing && registered() && plan.parts.empty() && plan.charges.empty() && holdsNothing();
     if (closes) {
--- a/src/membership/reclaimservice.cpp
+++ b/src/membership/reclaimservice.cpp
@@ -131,7 +131,7 @@
         if (!object.ok()) {
             co_return false;
         }
-        const auto page = readLedgerPage(*object);
+        const auto page = parseLedgerPage(*object);
         if (!page.ok()) {
             co_return false;
         }
--- a/src/membership/reclamation.cpp
+++ b/src/membership/reclamation.cpp
@@ -213,7 +213,7 @@
     if (!page.charges.empty()) {
         // Each step has a page of its own: a reclaimer that dies between two steps leaves no run billed whose tokens have not moved.
         step.objectKey = ledgerKey(m_options.incarnation, absl::StrCat("r", m_epoch, "-", m_step));
-        step.object = writeLedgerPage(page);
+        step.object = serializeLedgerPage(page);
         ledger = step.objectKey;
     }
     operations.front() = putRow(nodeKey(m_options.incarnation), nodeFields(last ? "closed" : "sealing", ledger), m_nodeRow.version);
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -347,7 +347,7 @@
     const TableRow row = *m_table.read(nodeKey(m_reclaimed));
     absl::flat_hash_set<std::string> billed;
     for (std::string key = textField(row.fields, "ledger"); !key.empty();) {
-        const auto page = readLedgerPage(*m_table.readObject(key));
+        const auto page = parseLedgerPage(*m_table.readObject(key));
         for (const Charge &charge : page->charges) {
             billed.insert(charge.requestId);
         }
@@ -459,7 +459,7 @@
     std::vector<Charge> lines;
     for (const TableRow &node : rowsUnder(s_nodePrefix)) {
         for (std::string key = textField(node.fields, "ledger"); !key.empty();) {
-            const auto page = readLedgerPage(*m_table.readObject(key));
+            const auto page = parseLedgerPage(*m_table.readObject(key));
             lines.insert(lines.end(), page->charges.begin(), page->charges.end());
             key = page->previous;
         }
