--- a/src/budget/budgetaccount.cpp
+++ b/src/budget/budgetaccount.cpp
@@ -31,7 +31,7 @@
 
 void BudgetAccount::noteScarcity(Instant now)
 {
-    m_scarceUntil = now + m_policy.scarceWindow;
+    m_scarceUntil = now + m_policy.scarcityDuration;
 }
 
 Tokens BudgetAccount::aim(Instant now) const
@@ -39,8 +39,8 @@
     if (scarce(now)) {
         return 0;
     }
-    const double ahead = m_demand.rate(now) * seconds(m_policy.horizon);
-    const double minimum = m_demand.averageBound() * m_policy.minimumRequests;
+    const double ahead = m_demand.rate(now) * seconds(m_policy.holdingHorizon);
+    const double minimum = m_demand.averageBound() * m_policy.minimumHoldingRequests;
     return static_cast<Tokens>(std::ceil(std::max(ahead, minimum)));
 }
 
@@ -55,7 +55,7 @@
 
 bool BudgetAccount::refusalStands(Instant now) const
 {
-    return m_refusal && m_refusal->finalAt && now - *m_refusal->finalAt < m_policy.refusalMemory;
+    return m_refusal && m_refusal->finalAt && now - *m_refusal->finalAt < m_policy.refusalCacheTime;
 }
 
 bool BudgetAccount::mayStillAdmit(Tokens bound, const FleetView &fleet, Instant now) const
@@ -204,14 +204,14 @@
     if (m_recallUntil || refusalStands(now)) {
         return false;
     }
-    return !m_waiters.empty() || static_cast<double>(available()) < m_policy.refillBelow * static_cast<double>(aim(now));
+    return !m_waiters.empty() || static_cast<double>(available()) < m_policy.refillThreshold * static_cast<double>(aim(now));
 }
 
 Tokens BudgetAccount::drawAmount(const BudgetRow &row, const FleetView &fleet, Instant now) const
 {
     const Tokens missing = std::max<Tokens>(0, aim(now) - std::max<Tokens>(0, available()));
     const auto drawers = static_cast<double>(std::max<std::size_t>(1, fleet.routers));
-    const auto share = static_cast<Tokens>(static_cast<double>(row.free) * m_policy.shareOfFree / drawers);
+    const auto share = static_cast<Tokens>(static_cast<double>(row.free) * m_policy.drawShareOfFree / drawers);
     const Tokens ahead = std::min(missing, share);
     const Tokens forWaiters = std::max<Tokens>(0, waitersNeed() - available());
     const Tokens wanted = std::max(ahead, forWaiters);
@@ -230,7 +230,7 @@
     m_lastFleet = fleet;
     FlushPart part{.budget = m_budget, .settled = m_unsettled};
     if (row) {
-        const double plenty = m_policy.plentyRequests * m_demand.averageBound() * static_cast<double>(fleet.routers);
+        const double plenty = m_policy.ampleRequests * m_demand.averageBound() * static_cast<double>(fleet.routers);
         static_cast<double>(row->free) >= plenty ? m_scarceUntil.reset() : noteScarcity(now);
     }
     if (row && wantsDraw(fleet, now)) {
@@ -280,7 +280,7 @@
     if (peersMayHelp && !askedPeers && !askedLately) {
         m_recallWanted = true;
         m_lastRecall = now;
-        m_recallUntil = now + m_policy.recallWindow;
+        m_recallUntil = now + m_policy.recallTimeout;
         return;
     }
     m_refusal->finalAt = now;
@@ -324,7 +324,7 @@
     if (!m_policy.returnsSurplus || needsItMore) {
         return 0;
     }
-    const auto keep = static_cast<Tokens>(m_demand.rate(now) * seconds(m_policy.recallKeep));
+    const auto keep = static_cast<Tokens>(m_demand.rate(now) * seconds(m_policy.recallRetention));
     const Tokens spare = std::max<Tokens>(0, available() - keep);
     m_recalledByPeer = std::max(m_recalledByPeer, spare);
     return spare;
--- a/src/budget/budgetaccount.h
+++ b/src/budget/budgetaccount.h
@@ -17,29 +17,29 @@
 /// How a router sizes what it holds of a budget.
 struct AccountPolicy {
     /// A router aims to hold this much of its own demand, so that it can go on while the table is out of reach.
-    Duration horizon = std::chrono::minutes(15);
+    Duration holdingHorizon = std::chrono::minutes(15);
     /// A draw takes at most this share of what is free, divided by the number of routers that draw.
-    double shareOfFree = 0.5;
+    double drawShareOfFree = 0.5;
     /// A router draws again when it holds less than this part of its aim. High, so that a table that goes away finds the routers provided
     /// for.
-    double refillBelow = 0.9;
+    double refillThreshold = 0.9;
     /// A draw covers at least this many requests of the average bound.
-    double minimumRequests = 4;
+    double minimumHoldingRequests = 4;
     /// Holdings above this multiple of the aim go back to the table.
     double surplusFactor = 2;
     /// For this long after the table had too little, and no peer had any either, requests are refused without asking again.
-    Duration refusalMemory = std::chrono::milliseconds(20);
+    Duration refusalCacheTime = std::chrono::milliseconds(20);
     /// A recall that peers have not answered ends after this.
-    Duration recallWindow = std::chrono::milliseconds(250);
+    Duration recallTimeout = std::chrono::milliseconds(250);
     /// Peers are asked at most this often for one budget.
     Duration recallInterval = std::chrono::milliseconds(500);
     /// For this long after the table had too little, or a peer asked, nothing is held ahead: what one router has no use for now goes
     /// straight back.
-    Duration scarceWindow = std::chrono::seconds(5);
+    Duration scarcityDuration = std::chrono::seconds(5);
     /// A budget with free tokens for this many average requests per router is not scarce any more.
-    double plentyRequests = 8;
+    double ampleRequests = 8;
     /// After a recall a router keeps this much of its own demand.
-    Duration recallKeep = std::chrono::milliseconds(200);
+    Duration recallRetention = std::chrono::milliseconds(200);
     /// False: holdings are never given back and never recalled (the measured baseline).
     bool returnsSurplus = true;
     /// False: requests are refused instead of waiting for reservations in flight (for comparison).
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -44,7 +44,7 @@
 AccountPolicy policyOf(const Settings &settings)
 {
     AccountPolicy policy;
-    policy.horizon = settings.horizon;
+    policy.holdingHorizon = settings.horizon;
     return policy;
 }
 
--- a/src/tests/budgetaccounttest.cpp
+++ b/src/tests/budgetaccounttest.cpp
@@ -74,7 +74,7 @@
 // nearly all of its worst case. Cause: nothing in flight can admit it any more, so holding it back would only keep it from going elsewhere.
 BOOST_AUTO_TEST_CASE(refusesAtOnceWhenNothingInFlightCanAdmitIt)
 {
-    BudgetAccount account = holding(1000, {.refusalMemory = std::chrono::milliseconds(500)});
+    BudgetAccount account = holding(1000, {.refusalCacheTime = std::chrono::milliseconds(500)});
     account.reserve("large", 900, s_alone, at(1));
     account.drawRefused({.free = 0}, at(2));
     account.reserve("second", 500, s_alone, at(3));
@@ -145,7 +145,7 @@
 
 BOOST_AUTO_TEST_CASE(refusesWhenPeersHaveNothingEither)
 {
-    BudgetAccount account("team", {.refusalMemory = std::chrono::milliseconds(500)});
+    BudgetAccount account("team", {.refusalCacheTime = std::chrono::milliseconds(500)});
     account.reserve("a", 100, s_three, at(1));
     account.planFlush(BudgetRow{.free = 20}, s_three, at(2));
     account.expire(at(1000));
