--- a/src/budget/budgetaccount.cpp
+++ b/src/budget/budgetaccount.cpp
@@ -225,39 +225,39 @@
     return admitsSomeone ? row.free : 0;
 }
 
-FlushPart BudgetAccount::planFlush(const std::optional<BudgetRow> &row, const FleetView &fleet, Instant now)
+BudgetUpdate BudgetAccount::planFlush(const std::optional<BudgetRow> &row, const FleetView &fleet, Instant now)
 {
     m_lastFleet = fleet;
-    FlushPart part{.budget = m_budget, .settled = m_unsettled};
+    BudgetUpdate update{.budget = m_budget, .settled = m_unsettled};
     if (row) {
         const double plenty = m_policy.ampleRequests * m_demand.averageBound() * static_cast<double>(fleet.routers);
         static_cast<double>(row->free) >= plenty ? m_scarceUntil.reset() : noteScarcity(now);
     }
     if (row && wantsDraw(fleet, now)) {
-        part.draw = row->closed || !row->exists ? 0 : drawAmount(*row, fleet, now);
-        if (part.draw == 0 && !m_waiters.empty()) {
+        update.draw = row->closed || !row->exists ? 0 : drawAmount(*row, fleet, now);
+        if (update.draw == 0 && !m_waiters.empty()) {
             drawRefused(*row, now);
         }
     }
     // Near the end the table is the one place where remainders meet: what cannot admit a request here may, together with what others put
     // back.
-    const bool pools = scarce(now) && row && part.draw == 0;
-    if (part.draw == 0 && m_policy.returnsSurplus && (m_waiters.empty() || m_recalledByPeer > 0 || pools)) {
+    const bool pools = scarce(now) && row && update.draw == 0;
+    if (update.draw == 0 && m_policy.returnsSurplus && (m_waiters.empty() || m_recalledByPeer > 0 || pools)) {
         const auto keep = static_cast<Tokens>(m_policy.surplusFactor * static_cast<double>(aim(now)));
         const Tokens surplus = std::max<Tokens>(0, available() - keep);
-        part.giveBack = std::clamp(std::max(surplus, m_recalledByPeer), Tokens{0}, std::max<Tokens>(0, available()));
+        update.returnAmount = std::clamp(std::max(surplus, m_recalledByPeer), Tokens{0}, std::max<Tokens>(0, available()));
     }
     m_recalledByPeer = 0;
-    m_returning = std::max(m_returning, part.giveBack);
-    return part;
+    m_returning = std::max(m_returning, update.returnAmount);
+    return update;
 }
 
-void BudgetAccount::confirm(const FlushPart &part, Instant now)
+void BudgetAccount::confirm(const BudgetUpdate &update, Instant now)
 {
-    m_holding += part.draw - part.giveBack - part.settled;
-    m_unsettled -= part.settled;
+    m_holding += update.draw - update.returnAmount - update.settled;
+    m_unsettled -= update.settled;
     m_returning = 0;
-    if (part.draw > 0) {
+    if (update.draw > 0) {
         m_refusal.reset();
     }
     assert(m_holding >= 0 && m_unsettled >= 0 && available() >= 0);
--- a/src/budget/budgetaccount.h
+++ b/src/budget/budgetaccount.h
@@ -62,16 +62,16 @@
 };
 
 /// The change one flush makes to one budget.
-struct FlushPart {
+struct BudgetUpdate {
     std::string budget;
     Tokens settled = 0;
     Tokens draw = 0;
-    Tokens giveBack = 0;
+    Tokens returnAmount = 0;
 
     /// True when the flush need not mention the budget.
     bool empty() const
     {
-        return settled == 0 && draw == 0 && giveBack == 0;
+        return settled == 0 && draw == 0 && returnAmount == 0;
     }
 };
 
@@ -125,10 +125,10 @@
     bool urgent(Instant now) const;
 
     /// Fills in what the next flush should do. The row is the budget's, read just before; none when it was not read.
-    FlushPart planFlush(const std::optional<BudgetRow> &row, const FleetView &fleet, Instant now);
+    BudgetUpdate planFlush(const std::optional<BudgetRow> &row, const FleetView &fleet, Instant now);
 
     /// The table applied the part.
-    void confirm(const FlushPart &part, Instant now);
+    void confirm(const BudgetUpdate &update, Instant now);
 
     /// The table certainly did not and will not apply any planned part.
     void withdrawPlan();
--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -286,8 +286,8 @@
     {
         const std::lock_guard lock(m_mutex);
         billed = m_ledger.flushAnswered(*verdict, steadyNow());
-        for (const FlushPart &part : plan->parts) {
-            afterChange(m_ledger.account(part.budget));
+        for (const BudgetUpdate &update : plan->budgetUpdates) {
+            afterChange(m_ledger.account(update.budget));
         }
     }
     if (!billed.empty() && m_billed) {
--- a/src/budget/nodeledger.cpp
+++ b/src/budget/nodeledger.cpp
@@ -129,23 +129,23 @@
     return putRow(nodeKey(m_options.identity.incarnation), std::move(fields), m_nodeVersion);
 }
 
-void NodeLedger::addPart(FlushPlan &plan, const FlushPart &part)
+void NodeLedger::addBudgetUpdate(FlushPlan &plan, const BudgetUpdate &update)
 {
     auto &operations = plan.transaction.operations;
-    const std::string key = budgetKey(part.budget);
-    const Tokens holdingChange = part.draw - part.giveBack - part.settled;
+    const std::string key = budgetKey(update.budget);
+    const Tokens holdingChange = update.draw - update.returnAmount - update.settled;
     // The guard on free is what keeps a budget from being granted twice, whatever this router believed when it planned the draw.
-    operations.push_back(addToField(key, "free", part.giveBack - part.draw, 0));
+    operations.push_back(addToField(key, "free", update.returnAmount - update.draw, 0));
     operations.push_back(addToField(key, "granted", holdingChange, 0));
-    operations.push_back(addToField(key, "consumed", part.settled, 0));
-    const std::string grant = grantKey(m_options.identity.incarnation, part.budget);
-    if (m_hasGrantRow.contains(part.budget)) {
+    operations.push_back(addToField(key, "consumed", update.settled, 0));
+    const std::string grant = grantKey(m_options.identity.incarnation, update.budget);
+    if (m_hasGrantRow.contains(update.budget)) {
         operations.push_back(addToField(grant, "unspent", holdingChange, 0));
     } else {
         operations.push_back(
-            putRow(grant, {{"unspent", holdingChange}, {"budget", part.budget}, {"holder", m_options.identity.incarnation}}, 0));
+            putRow(grant, {{"unspent", holdingChange}, {"budget", update.budget}, {"holder", m_options.identity.incarnation}}, 0));
     }
-    plan.parts.push_back(part);
+    plan.budgetUpdates.push_back(update);
 }
 
 std::optional<FlushPlan>
@@ -161,10 +161,10 @@
     FlushPlan plan{.flushId = absl::StrCat(m_nextFlush)};
     plan.transaction.operations.emplace_back();
     const auto include = [&](BudgetAccount &account, const std::optional<BudgetRow> &row) {
-        const bool hasRoom = plan.parts.size() < s_budgetsPerFlush && registered();
-        const FlushPart part = hasRoom ? account.planFlush(row, fleet, now) : FlushPart{};
-        if (!part.empty()) {
-            addPart(plan, part);
+        const bool hasRoom = plan.budgetUpdates.size() < s_budgetsPerFlush && registered();
+        const BudgetUpdate update = hasRoom ? account.planFlush(row, fleet, now) : BudgetUpdate{};
+        if (!update.empty()) {
+            addBudgetUpdate(plan, update);
         }
     };
     for (const auto &[budget, row] : rows) {
@@ -172,7 +172,7 @@
     }
     std::string last = m_roundRobin;
     forEachActive([&](BudgetAccount &account) {
-        if (!rows.contains(account.budget()) && plan.parts.size() < s_budgetsPerFlush) {
+        if (!rows.contains(account.budget()) && plan.budgetUpdates.size() < s_budgetsPerFlush) {
             include(account, std::nullopt);
             last = account.budget();
         }
@@ -183,12 +183,12 @@
     });
     retireQuiet(fleet, now);
     const bool heartbeatDue = now - m_appliedAt >= m_options.heartbeat;
-    if (m_closed || (registered() && plan.parts.empty() && m_charges.empty() && !heartbeatDue && !m_closing)) {
+    if (m_closed || (registered() && plan.budgetUpdates.empty() && m_charges.empty() && !heartbeatDue && !m_closing)) {
         return std::nullopt;
     }
     for (Charge &charge : m_charges) {
-        const bool covered = std::any_of(plan.parts.begin(), plan.parts.end(), [&charge](const FlushPart &part) {
-            return part.budget == charge.budget;
+        const bool covered = std::any_of(plan.budgetUpdates.begin(), plan.budgetUpdates.end(), [&charge](const BudgetUpdate &update) {
+            return update.budget == charge.budget;
         });
         if (covered || charge.tokens == 0) {
             plan.charges.push_back(charge);
@@ -198,7 +198,7 @@
         plan.objectKey = ledgerKey(m_options.identity.incarnation, plan.flushId);
         plan.object = serializeLedgerPage({.previous = m_lastPage, .charges = plan.charges});
     }
-    const bool closes = m_closing && registered() && plan.parts.empty() && plan.charges.empty() && holdsNothing();
+    const bool closes = m_closing && registered() && plan.budgetUpdates.empty() && plan.charges.empty() && holdsNothing();
     if (closes) {
         addClosing(plan);
     }
@@ -216,9 +216,9 @@
     m_appliedAt = now;
     m_appliedFlush = std::stoull(plan.flushId);
     m_closed = textField(plan.transaction.operations.front().fields, "state") == "closed";
-    for (const FlushPart &part : plan.parts) {
-        m_hasGrantRow.emplace(part.budget, true);
-        account(part.budget).confirm(part, now);
+    for (const BudgetUpdate &update : plan.budgetUpdates) {
+        m_hasGrantRow.emplace(update.budget, true);
+        account(update.budget).confirm(update, now);
     }
     absl::flat_hash_set<std::string> billedIds;
     for (const Charge &charge : plan.charges) {
@@ -238,8 +238,8 @@
 
 void NodeLedger::withdraw(const TableVerdict &verdict, Instant now)
 {
-    for (const FlushPart &part : m_current->parts) {
-        account(part.budget).withdrawPlan();
+    for (const BudgetUpdate &update : m_current->budgetUpdates) {
+        account(update.budget).withdrawPlan();
     }
     for (const TableObstacle &obstacle : verdict.obstacles) {
         if (obstacle.guard && obstacle.row.key.starts_with(s_budgetPrefix)) {
--- a/src/budget/nodeledger.h
+++ b/src/budget/nodeledger.h
@@ -28,7 +28,7 @@
     std::string objectKey;
     std::string object;
     TableTransaction transaction;
-    std::vector<FlushPart> parts;
+    std::vector<BudgetUpdate> budgetUpdates;
     std::vector<Charge> charges;
 };
 
@@ -146,7 +146,7 @@
     template<typename Visit>
     void sweepQuiet(Visit visit);
     void retireQuiet(const FleetView &fleet, Instant now);
-    void addPart(FlushPlan &plan, const FlushPart &part);
+    void addBudgetUpdate(FlushPlan &plan, const BudgetUpdate &update);
     TableOperation nodeOperation(const std::string &flushId, const std::string &lastPage, std::string_view state) const;
     bool holdsNothing() const;
     void addClosing(FlushPlan &plan) const;
--- a/src/measure/grantpolicy.cpp
+++ b/src/measure/grantpolicy.cpp
@@ -136,8 +136,8 @@
     for (const Charge &charge : router.ledger->flushAnswered(*m_table.transact(plan->transaction), m_simulation.now())) {
         m_witness.forget(charge.requestId);
     }
-    for (const FlushPart &part : plan->parts) {
-        deliver(index, router.ledger->account(part.budget));
+    for (const BudgetUpdate &update : plan->budgetUpdates) {
+        deliver(index, router.ledger->account(update.budget));
     }
 }
 
--- a/src/tests/budgetaccounttest.cpp
+++ b/src/tests/budgetaccounttest.cpp
@@ -98,8 +98,8 @@
                             Case{{.exists = false}, FailureKind::BudgetClosed}}) {
         BudgetAccount account("team", {});
         BOOST_TEST((account.reserve("a", 100, s_alone, at(1)).verdict == Verdict::Waiting));
-        const FlushPart part = account.planFlush(one.row, s_alone, at(2));
-        BOOST_TEST(part.draw == 0);
+        const BudgetUpdate update = account.planFlush(one.row, s_alone, at(2));
+        BOOST_TEST(update.draw == 0);
         const auto outcomes = account.takeOutcomes();
         BOOST_REQUIRE(outcomes.size() == 1);
         BOOST_TEST((outcomes[0].failure.kind == one.kind));
@@ -123,9 +123,9 @@
                             Case{1599, 2, 100, 100}}) {
         BudgetAccount account("team", {});
         account.reserve("a", 100, {.routers = one.routers}, at(1));
-        const FlushPart part = account.planFlush(BudgetRow{.free = one.free}, {.routers = one.routers}, at(2));
-        BOOST_TEST(part.draw >= one.lowest);
-        BOOST_TEST(part.draw <= one.highest);
+        const BudgetUpdate update = account.planFlush(BudgetRow{.free = one.free}, {.routers = one.routers}, at(2));
+        BOOST_TEST(update.draw >= one.lowest);
+        BOOST_TEST(update.draw <= one.highest);
     }
 }
 
@@ -163,11 +163,11 @@
     BudgetAccount account = holding(1000);
     account.reserve("a", 300, s_three, at(1));
     BOOST_TEST(account.recalled(true, at(2)) == 700);
-    const FlushPart part = account.planFlush(std::nullopt, s_three, at(3));
-    BOOST_TEST(part.giveBack == 700);
+    const BudgetUpdate update = account.planFlush(std::nullopt, s_three, at(3));
+    BOOST_TEST(update.returnAmount == 700);
     // On its way back it cannot be promised to anybody.
     BOOST_TEST(account.available() == 0);
-    account.confirm(part, at(4));
+    account.confirm(update, at(4));
     BOOST_TEST(account.holding() == 300);
 }
 
@@ -190,7 +190,7 @@
     account.drawRefused({.free = 10}, at(2));
     account.reserve("waiting", 900, s_three, at(3));
     account.expire(at(1000));
-    BOOST_TEST(account.planFlush(BudgetRow{.free = 10}, s_three, at(1001)).giveBack == 500);
+    BOOST_TEST(account.planFlush(BudgetRow{.free = 10}, s_three, at(1001)).returnAmount == 500);
     BOOST_TEST(account.available() == 0);
     BOOST_TEST(account.waiting() == 1);
 }
