--- a/src/budget/budgetaccount.cpp
+++ b/src/budget/budgetaccount.cpp
@@ -93,25 +93,25 @@
             .retryAfterMs = reservationsOut ? s_retryWhenReleasedMs : s_retryAfterTopUpMs};
 }
 
-ReservationOutcome BudgetAccount::reserve(std::string_view requestId, Tokens bound, const FleetView &fleet, Instant now)
+ReservationResult BudgetAccount::reserve(std::string_view requestId, Tokens bound, const FleetView &fleet, Instant now)
 {
     assert(bound > 0 && !m_reservations.contains(std::string(requestId)));
     m_lastFleet = fleet;
     m_demand.addRequest(bound);
-    ReservationOutcome outcome{.requestId = std::string(requestId)};
+    ReservationResult result{.requestId = std::string(requestId)};
     if (available() >= bound) {
-        m_reservations.emplace(outcome.requestId, bound);
+        m_reservations.emplace(result.requestId, bound);
         m_reserved += bound;
-        outcome.verdict = ReservationOutcome::Verdict::Admitted;
-        return outcome;
+        result.decision = ReservationResult::Decision::Admitted;
+        return result;
     }
     if (!mayStillAdmit(bound, fleet, now)) {
-        outcome.failure = refusal(bound, fleet);
-        return outcome;
+        result.failure = refusal(bound, fleet);
+        return result;
     }
-    m_waiters.push_back({.requestId = outcome.requestId, .bound = bound});
-    outcome.verdict = ReservationOutcome::Verdict::Waiting;
-    return outcome;
+    m_waiters.push_back({.requestId = result.requestId, .bound = bound});
+    result.decision = ReservationResult::Decision::Waiting;
+    return result;
 }
 
 bool BudgetAccount::sponsor(std::string_view requestId, Tokens bound)
@@ -174,7 +174,7 @@
         }
         m_reservations.emplace(waiter->requestId, waiter->bound);
         m_reserved += waiter->bound;
-        m_outcomes.push_back({.requestId = waiter->requestId, .verdict = ReservationOutcome::Verdict::Admitted});
+        m_results.push_back({.requestId = waiter->requestId, .decision = ReservationResult::Decision::Admitted});
         waiter = m_waiters.erase(waiter);
     }
 }
@@ -187,7 +187,7 @@
             ++waiter;
             continue;
         }
-        m_outcomes.push_back({.requestId = waiter->requestId, .failure = refusal(waiter->bound, fleet)});
+        m_results.push_back({.requestId = waiter->requestId, .failure = refusal(waiter->bound, fleet)});
         waiter = m_waiters.erase(waiter);
     }
 }
@@ -337,9 +337,9 @@
     }
 }
 
-std::vector<ReservationOutcome> BudgetAccount::takeOutcomes()
+std::vector<ReservationResult> BudgetAccount::takeResults()
 {
-    return std::exchange(m_outcomes, {});
+    return std::exchange(m_results, {});
 }
 
 }
--- a/src/budget/budgetaccount.h
+++ b/src/budget/budgetaccount.h
@@ -76,15 +76,15 @@
 };
 
 /// What became of a request that asked for, or waited for, tokens.
-struct ReservationOutcome {
-    enum class Verdict {
+struct ReservationResult {
+    enum class Decision {
         Admitted,
         Waiting,
         Refused,
     };
 
     std::string requestId;
-    Verdict verdict = Verdict::Refused;
+    Decision decision = Decision::Refused;
     /// Set when refused.
     Failure failure;
 };
@@ -103,7 +103,7 @@
     BudgetAccount(std::string budget, AccountPolicy policy);
 
     /// Asks for the worst case of a request. Waiting requests get their verdict from takeOutcomes().
-    ReservationOutcome reserve(std::string_view requestId, Tokens bound, const FleetView &fleet, Instant now);
+    ReservationResult reserve(std::string_view requestId, Tokens bound, const FleetView &fleet, Instant now);
 
     /// Reserves for a request of a peer that cannot draw. At once or not at all, and only from what this router has no waiting request for.
     /// The run is this router's in every respect, so that its recovery needs to know nothing of the peer.
@@ -153,7 +153,7 @@
     void expire(Instant now);
 
     /// Verdicts of waiting requests since the last call.
-    std::vector<ReservationOutcome> takeOutcomes();
+    std::vector<ReservationResult> takeResults();
 
     /// The grant row's unspent amount as the table last confirmed it.
     Tokens holding() const
@@ -227,7 +227,7 @@
     DemandMeter m_demand;
     absl::flat_hash_map<std::string, Tokens> m_reservations;
     std::deque<Waiter> m_waiters;
-    std::vector<ReservationOutcome> m_outcomes;
+    std::vector<ReservationResult> m_results;
     Tokens m_holding = 0;
     Tokens m_reserved = 0;
     Tokens m_unsettled = 0;
--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -28,7 +28,7 @@
     }
 
     asio::steady_timer timer;
-    std::optional<ReservationOutcome> outcome;
+    std::optional<ReservationResult> result;
 };
 
 BudgetService::BudgetService(asio::any_io_executor platformLoop, PlatformClient &platform, Options options)
@@ -57,15 +57,15 @@
     });
 }
 
-void BudgetService::deliver(std::vector<ReservationOutcome> outcomes)
+void BudgetService::deliver(std::vector<ReservationResult> results)
 {
-    for (ReservationOutcome &outcome : outcomes) {
-        const auto found = m_waiters.find(outcome.requestId);
+    for (ReservationResult &result : results) {
+        const auto found = m_waiters.find(result.requestId);
         if (found == m_waiters.end()) {
             continue;
         }
         const std::shared_ptr<Waiter> waiter = found->second;
-        waiter->outcome = std::move(outcome);
+        waiter->result = std::move(result);
         asio::post(waiter->timer.get_executor(), [waiter] {
             waiter->timer.cancel();
         });
@@ -75,7 +75,7 @@
 
 void BudgetService::afterChange(BudgetAccount &account)
 {
-    deliver(account.takeOutcomes());
+    deliver(account.takeResults());
     if (const auto need = account.takeRecall(steadyNow()); need && m_recall) {
         // Outside the lock: the handler takes the link's.
         asio::post(m_loop, [this, budget = account.budget(), amount = *need] {
@@ -93,12 +93,12 @@
             co_return toStatus({.kind = FailureKind::Fenced, .detail = "this router was declared dead and restarts", .retryAfterMs = 1000});
         }
         BudgetAccount &account = m_ledger.account(budget);
-        const ReservationOutcome outcome = account.reserve(requestId, bound, m_fleet, steadyNow());
-        if (outcome.verdict == ReservationOutcome::Verdict::Admitted) {
+        const ReservationResult result = account.reserve(requestId, bound, m_fleet, steadyNow());
+        if (result.decision == ReservationResult::Decision::Admitted) {
             co_return absl::OkStatus();
         }
-        if (outcome.verdict == ReservationOutcome::Verdict::Refused) {
-            co_return toStatus(outcome.failure);
+        if (result.decision == ReservationResult::Decision::Refused) {
+            co_return toStatus(result.failure);
         }
         m_waiters.emplace(requestId, waiter);
         wakeFlush();
@@ -106,14 +106,14 @@
     waiter->timer.expires_after(patience);
     co_await waiter->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     const std::lock_guard lock(m_mutex);
-    if (!waiter->outcome) {
+    if (!waiter->result) {
         m_waiters.erase(requestId);
         if (m_ledger.account(budget).abandon(requestId)) {
             co_return failed(FailureKind::DeadlineExceeded, "the deadline passed while the request waited for tokens");
         }
     }
-    if (waiter->outcome && waiter->outcome->verdict == ReservationOutcome::Verdict::Refused) {
-        co_return toStatus(waiter->outcome->failure);
+    if (waiter->result && waiter->result->decision == ReservationResult::Decision::Refused) {
+        co_return toStatus(waiter->result->failure);
     }
     co_return absl::OkStatus();
 }
--- a/src/budget/budgetservice.h
+++ b/src/budget/budgetservice.h
@@ -99,7 +99,7 @@
     asio::awaitable<bool> readRows(std::map<std::string, BudgetRow, std::less<>> &rows);
     void tableAnswered();
     void tableSilent();
-    void deliver(std::vector<ReservationOutcome> outcomes);
+    void deliver(std::vector<ReservationResult> results);
     void afterChange(BudgetAccount &account);
     void wakeFlush();
 
--- a/src/measure/grantpolicy.cpp
+++ b/src/measure/grantpolicy.cpp
@@ -160,14 +160,14 @@
 void GrantPolicy::deliver(std::size_t index, BudgetAccount &account)
 {
     Router &router = m_routers[index];
-    for (const ReservationOutcome &outcome : account.takeOutcomes()) {
+    for (const ReservationResult &outcome : account.takeResults()) {
         const auto found = router.waiting.find(outcome.requestId);
         if (found == router.waiting.end()) {
             continue;
         }
         const SimRequest request = found->second;
         router.waiting.erase(found);
-        if (outcome.verdict == ReservationOutcome::Verdict::Admitted) {
+        if (outcome.decision == ReservationResult::Decision::Admitted) {
             admit(index, request);
         } else {
             refuse(request, outcome.failure);
@@ -246,14 +246,14 @@
     BudgetAccount &account = router.ledger->account(budgetOf(request.team));
     const auto outcome = account.reserve(request.id, request.bound, view(router), m_simulation.now());
     router.waiting.emplace(request.id, request);
-    switch (outcome.verdict) {
-    case ReservationOutcome::Verdict::Waiting:
+    switch (outcome.decision) {
+    case ReservationResult::Decision::Waiting:
         return;
-    case ReservationOutcome::Verdict::Admitted:
+    case ReservationResult::Decision::Admitted:
         router.waiting.erase(request.id);
         admit(request.router, request);
         return;
-    case ReservationOutcome::Verdict::Refused:
+    case ReservationResult::Decision::Refused:
         router.waiting.erase(request.id);
         refuse(request, outcome.failure);
         return;
--- a/src/tests/budgetaccounttest.cpp
+++ b/src/tests/budgetaccounttest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-using Verdict = ReservationOutcome::Verdict;
+using Decision = ReservationResult::Decision;
 
 constexpr FleetView s_alone{.routers = 1};
 constexpr FleetView s_three{.routers = 3};
@@ -31,7 +31,7 @@
 BOOST_AUTO_TEST_CASE(reservesWithinHoldingAndChargesWhatWasUsed)
 {
     BudgetAccount account = holding(1000);
-    BOOST_TEST((account.reserve("a", 600, s_alone, at(1)).verdict == Verdict::Admitted));
+    BOOST_TEST((account.reserve("a", 600, s_alone, at(1)).decision == Decision::Admitted));
     BOOST_TEST(account.available() == 400);
     account.tighten("a", 500);
     account.tighten("a", 900);
@@ -63,11 +63,11 @@
     BudgetAccount account = holding(1000);
     account.reserve("large", 900, s_alone, at(1));
     account.drawRefused({.free = 0}, at(2));
-    BOOST_TEST((account.reserve("second", 500, s_alone, at(3)).verdict == Verdict::Waiting));
+    BOOST_TEST((account.reserve("second", 500, s_alone, at(3)).decision == Decision::Waiting));
     account.settle("large", 100, at(50));
-    const auto outcomes = account.takeOutcomes();
-    BOOST_REQUIRE(outcomes.size() == 1);
-    BOOST_TEST((outcomes[0].verdict == Verdict::Admitted));
+    const auto results = account.takeResults();
+    BOOST_REQUIRE(results.size() == 1);
+    BOOST_TEST((results[0].decision == Decision::Admitted));
 }
 
 // A caller sees: a refusal the moment it is certain, with the time to come back. Order: it waits for a reservation, which ends having used
@@ -79,12 +79,12 @@
     account.drawRefused({.free = 0}, at(2));
     account.reserve("second", 500, s_alone, at(3));
     account.settle("large", 890, at(50));
-    const auto outcomes = account.takeOutcomes();
-    BOOST_REQUIRE(outcomes.size() == 1);
-    BOOST_TEST((outcomes[0].verdict == Verdict::Refused));
-    BOOST_TEST((outcomes[0].failure.kind == FailureKind::BudgetExhausted));
-    BOOST_TEST(outcomes[0].failure.retryAfterMs.has_value());
-    BOOST_TEST((outcomes[0].failure.ran == Ran::No));
+    const auto results = account.takeResults();
+    BOOST_REQUIRE(results.size() == 1);
+    BOOST_TEST((results[0].decision == Decision::Refused));
+    BOOST_TEST((results[0].failure.kind == FailureKind::BudgetExhausted));
+    BOOST_TEST(results[0].failure.retryAfterMs.has_value());
+    BOOST_TEST((results[0].failure.ran == Ran::No));
 }
 
 BOOST_AUTO_TEST_CASE(refusalNamesItsReason)
@@ -97,12 +97,12 @@
                             Case{{.free = 900, .closed = true}, FailureKind::BudgetClosed},
                             Case{{.exists = false}, FailureKind::BudgetClosed}}) {
         BudgetAccount account("team", {});
-        BOOST_TEST((account.reserve("a", 100, s_alone, at(1)).verdict == Verdict::Waiting));
+        BOOST_TEST((account.reserve("a", 100, s_alone, at(1)).decision == Decision::Waiting));
         const BudgetUpdate update = account.planFlush(one.row, s_alone, at(2));
         BOOST_TEST(update.draw == 0);
-        const auto outcomes = account.takeOutcomes();
-        BOOST_REQUIRE(outcomes.size() == 1);
-        BOOST_TEST((outcomes[0].failure.kind == one.kind));
+        const auto results = account.takeResults();
+        BOOST_REQUIRE(results.size() == 1);
+        BOOST_TEST((results[0].failure.kind == one.kind));
     }
 }
 
@@ -136,7 +136,7 @@
     BudgetAccount account("team", {});
     account.reserve("a", 100, s_three, at(1));
     account.planFlush(BudgetRow{.free = 20}, s_three, at(2));
-    BOOST_TEST(account.takeOutcomes().empty());
+    BOOST_TEST(account.takeResults().empty());
     BOOST_TEST(account.takeRecall(at(2)).value_or(0) == 100);
     BOOST_TEST(!account.takeRecall(at(2)).has_value());
     account.recallEnded(80, at(30));
@@ -150,12 +150,12 @@
     account.planFlush(BudgetRow{.free = 20}, s_three, at(2));
     account.expire(at(1000));
     account.planFlush(BudgetRow{.free = 20}, s_three, at(1001));
-    const auto outcomes = account.takeOutcomes();
-    BOOST_REQUIRE(outcomes.size() == 1);
-    BOOST_TEST((outcomes[0].verdict == Verdict::Refused));
+    const auto results = account.takeResults();
+    BOOST_REQUIRE(results.size() == 1);
+    BOOST_TEST((results[0].decision == Decision::Refused));
     // Remembered for a moment, then asked anew, so that a top-up is found.
-    BOOST_TEST((account.reserve("b", 100, s_three, at(1100)).verdict == Verdict::Refused));
-    BOOST_TEST((account.reserve("c", 100, s_three, at(1600)).verdict == Verdict::Waiting));
+    BOOST_TEST((account.reserve("b", 100, s_three, at(1100)).decision == Decision::Refused));
+    BOOST_TEST((account.reserve("c", 100, s_three, at(1600)).decision == Decision::Waiting));
 }
 
 BOOST_AUTO_TEST_CASE(givesRecalledSurplusBackAndKeepsWhatIsReserved)
@@ -201,7 +201,7 @@
     BOOST_TEST(account.sponsor("peer's", 600));
     BOOST_TEST(!account.sponsor("peer's", 100));
     BOOST_TEST(!account.sponsor("another", 500));
-    BOOST_TEST((account.reserve("own", 900, s_three, at(1)).verdict == Verdict::Waiting));
+    BOOST_TEST((account.reserve("own", 900, s_three, at(1)).decision == Decision::Waiting));
     BOOST_TEST(!account.sponsor("small", 10));
     BOOST_TEST(account.settle("peer's", 200, at(2)) == 200);
     BOOST_TEST(account.unsettled() == 200);
@@ -212,13 +212,13 @@
     BudgetAccount account = holding(150);
     account.tableLost(at(1));
     const FleetView cutOff{.routers = 3, .tableReachable = false};
-    BOOST_TEST((account.reserve("a", 100, cutOff, at(2)).verdict == Verdict::Admitted));
-    const auto outcome = account.reserve("b", 100, cutOff, at(3));
-    BOOST_TEST((outcome.verdict == Verdict::Waiting));
+    BOOST_TEST((account.reserve("a", 100, cutOff, at(2)).decision == Decision::Admitted));
+    const auto result = account.reserve("b", 100, cutOff, at(3));
+    BOOST_TEST((result.decision == Decision::Waiting));
     account.settle("a", 90, at(4));
-    const auto outcomes = account.takeOutcomes();
-    BOOST_REQUIRE(outcomes.size() == 1);
-    BOOST_TEST((outcomes[0].failure.kind == FailureKind::BudgetUnreachable));
+    const auto results = account.takeResults();
+    BOOST_REQUIRE(results.size() == 1);
+    BOOST_TEST((results[0].failure.kind == FailureKind::BudgetUnreachable));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -87,10 +87,10 @@
     }
     const Asked asked{
         .requestId = absl::StrCat("request-", m_nextId++), .budget = budgetName(budget), .bound = bound, .truth = truth, .target = target};
-    const auto outcome = process.ledger->account(asked.budget).reserve(asked.requestId, bound, {.routers = m_routers.size()}, m_now);
-    if (outcome.verdict == ReservationOutcome::Verdict::Admitted) {
+    const auto result = process.ledger->account(asked.budget).reserve(asked.requestId, bound, {.routers = m_routers.size()}, m_now);
+    if (result.decision == ReservationResult::Decision::Admitted) {
         dispatch(process, process, asked);
-    } else if (outcome.verdict == ReservationOutcome::Verdict::Waiting) {
+    } else if (result.decision == ReservationResult::Decision::Waiting) {
         process.waiting.emplace(asked.requestId, asked);
     }
 }
@@ -124,7 +124,7 @@
                                               m_now);
     if (refusal) {
         payer.ledger->account(asked.budget).settle(asked.requestId, 0, m_now);
-        takeOutcomes(payer);
+        processResults(payer);
         return;
     }
     m_runs.push_back({.requestId = asked.requestId,
@@ -136,17 +136,17 @@
                       .truth = std::min(asked.truth, asked.bound)});
 }
 
-void FakeFleet::takeOutcomes(RouterProcess &router)
+void FakeFleet::processResults(RouterProcess &router)
 {
     for (const auto &[name, ignored] : router.ledger->accounts()) {
-        for (const ReservationOutcome &outcome : router.ledger->account(name).takeOutcomes()) {
-            const auto found = router.waiting.find(outcome.requestId);
+        for (const ReservationResult &result : router.ledger->account(name).takeResults()) {
+            const auto found = router.waiting.find(result.requestId);
             if (found == router.waiting.end()) {
                 continue;
             }
             const Asked asked = found->second;
             router.waiting.erase(found);
-            if (outcome.verdict == ReservationOutcome::Verdict::Admitted) {
+            if (result.decision == ReservationResult::Decision::Admitted) {
                 dispatch(router, router, asked);
             }
         }
@@ -158,7 +158,7 @@
     Charge line = charge;
     line.tokens = router.ledger->account(charge.budget).settle(charge.requestId, charged, m_now);
     router.ledger->addCharge(std::move(line));
-    takeOutcomes(router);
+    processResults(router);
 }
 
 void FakeFleet::deliverEnd(const Run &run, Tokens charged, bool reported)
@@ -234,7 +234,7 @@
     NodeLedger &ledger = *process.ledger;
     const FleetView fleet{.routers = m_routers.size()};
     const auto plan = ledger.planFlush(readRows(ledger.budgetsToRead(fleet, m_now)), fleet, m_now);
-    takeOutcomes(process);
+    processResults(process);
     if (!plan) {
         return;
     }
@@ -251,7 +251,7 @@
             sidecar.table->forget(charge.requestId);
         }
     }
-    takeOutcomes(process);
+    processResults(process);
 }
 
 void FakeFleet::deliverLate()
--- a/src/tests/fakefleet.h
+++ b/src/tests/fakefleet.h
@@ -123,7 +123,7 @@
     void startSidecar(std::size_t target);
     RouterProcess *findRouter(const std::string &incarnation);
     void dispatch(RouterProcess &front, RouterProcess &payer, const Asked &asked);
-    void takeOutcomes(RouterProcess &router);
+    void processResults(RouterProcess &router);
     void deliverEnd(const Run &run, Tokens charged, bool reported);
     void settleAt(RouterProcess &router, const Charge &charge, Tokens charged);
     absl::StatusOr<TableVerdict> send(const TableTransaction &transaction, Delivery delivery);
