--- a/src/budget/budgetaccount.cpp
+++ b/src/budget/budgetaccount.cpp
@@ -114,7 +114,7 @@
     return result;
 }
 
-bool BudgetAccount::sponsor(std::string_view requestId, Tokens bound)
+bool BudgetAccount::reserveForPeer(std::string_view requestId, Tokens bound)
 {
     if (bound <= 0 || !m_waiters.empty() || available() < bound || m_reservations.contains(std::string(requestId))) {
         return false;
@@ -124,7 +124,7 @@
     return true;
 }
 
-void BudgetAccount::tighten(std::string_view requestId, Tokens bound)
+void BudgetAccount::lowerReservation(std::string_view requestId, Tokens bound)
 {
     const auto found = m_reservations.find(std::string(requestId));
     if (found == m_reservations.end() || bound >= found->second) {
@@ -151,7 +151,7 @@
     return charged;
 }
 
-bool BudgetAccount::abandon(std::string_view requestId)
+bool BudgetAccount::cancelWaiting(std::string_view requestId)
 {
     const auto found = std::find_if(m_waiters.begin(), m_waiters.end(), [requestId](const Waiter &waiter) {
         return waiter.requestId == requestId;
--- a/src/budget/budgetaccount.h
+++ b/src/budget/budgetaccount.h
@@ -107,16 +107,16 @@
 
     /// Reserves for a request of a peer that cannot draw. At once or not at all, and only from what this router has no waiting request for.
     /// The run is this router's in every respect, so that its recovery needs to know nothing of the peer.
-    bool sponsor(std::string_view requestId, Tokens bound);
+    bool reserveForPeer(std::string_view requestId, Tokens bound);
 
     /// Lowers a reservation once a tighter bound is known; a higher one is ignored.
-    void tighten(std::string_view requestId, Tokens bound);
+    void lowerReservation(std::string_view requestId, Tokens bound);
 
     /// Ends a reservation with what was used. Returns the tokens charged: never more than were reserved; 0 for an unknown request.
     Tokens settle(std::string_view requestId, Tokens used, Instant now);
 
     /// Withdraws a waiting request, for example because its caller hung up. False when it was not waiting.
-    bool abandon(std::string_view requestId);
+    bool cancelWaiting(std::string_view requestId);
 
     /// True when the account wants tokens from the table now.
     bool wantsDraw(const FleetView &fleet, Instant now);
--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -108,7 +108,7 @@
     const std::lock_guard lock(m_mutex);
     if (!waiter->result) {
         m_waiters.erase(requestId);
-        if (m_ledger.account(budget).abandon(requestId)) {
+        if (m_ledger.account(budget).cancelWaiting(requestId)) {
             co_return failed(FailureKind::DeadlineExceeded, "the deadline passed while the request waited for tokens");
         }
     }
@@ -118,20 +118,20 @@
     co_return absl::OkStatus();
 }
 
-std::optional<std::uint64_t> BudgetService::sponsor(std::string_view budget, std::string_view requestId, Tokens bound)
+std::optional<std::uint64_t> BudgetService::reserveForPeer(std::string_view budget, std::string_view requestId, Tokens bound)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_ledger.fenced() || m_returning || !m_ledger.account(budget).sponsor(requestId, bound)) {
+    if (m_ledger.fenced() || m_returning || !m_ledger.account(budget).reserveForPeer(requestId, bound)) {
         return std::nullopt;
     }
     return m_ledger.nextFlush();
 }
 
-void BudgetService::tighten(std::string_view budget, std::string_view requestId, Tokens bound)
+void BudgetService::lowerReservation(std::string_view budget, std::string_view requestId, Tokens bound)
 {
     const std::lock_guard lock(m_mutex);
     BudgetAccount &account = m_ledger.account(budget);
-    account.tighten(requestId, bound);
+    account.lowerReservation(requestId, bound);
     afterChange(account);
 }
 
--- a/src/budget/budgetservice.h
+++ b/src/budget/budgetservice.h
@@ -45,10 +45,10 @@
     asio::awaitable<absl::Status> reserve(std::string budget, std::string requestId, Tokens bound, Duration patience);
 
     /// Reserves at once for a peer's request, or declines. Gives the earliest flush that can bill it.
-    std::optional<std::uint64_t> sponsor(std::string_view budget, std::string_view requestId, Tokens bound);
+    std::optional<std::uint64_t> reserveForPeer(std::string_view budget, std::string_view requestId, Tokens bound);
 
     /// Lowers a reservation.
-    void tighten(std::string_view budget, std::string_view requestId, Tokens bound);
+    void lowerReservation(std::string_view budget, std::string_view requestId, Tokens bound);
 
     /// Ends a reservation with the tokens used, and bills them on the line given. Returns what was charged.
     Tokens settle(Charge charge, Tokens used);
--- a/src/budget/sponsorship.cpp
+++ b/src/budget/sponsorship.cpp
@@ -119,7 +119,7 @@
 
 void Sponsorship::onRequest(std::string_view peer, const wire::SponsorRequest &request)
 {
-    const auto earliestFlush = m_budgets.sponsor(request.budget(), request.request_id(), request.bound());
+    const auto earliestFlush = m_budgets.reserveForPeer(request.budget(), request.request_id(), request.bound());
     if (earliestFlush) {
         const Instant overAt = steadyNow() + std::chrono::milliseconds(request.over_in_ms());
         const std::lock_guard lock(m_mutex);
--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -374,9 +374,9 @@
             break;
         case CourseStep::Tighten:
             // A sponsored request's reservation is at its payer; nothing is known of it here, and lowering it is then without effect.
-            m_budgets.tighten(journey.request.budget,
-                              journey.request.requestId,
-                              std::get<AnswerFrame::PromptCounted>(frame->content).tokens + journey.request.outputLimit);
+            m_budgets.lowerReservation(journey.request.budget,
+                                       journey.request.requestId,
+                                       std::get<AnswerFrame::PromptCounted>(frame->content).tokens + journey.request.outputLimit);
             break;
         case CourseStep::Deliver:
             co_await deliver(journey, *frame);
--- a/src/measure/grantpolicy.cpp
+++ b/src/measure/grantpolicy.cpp
@@ -232,7 +232,7 @@
     }
     m_controlBytes += 2 * s_recallBytes;
     m_simulation.after(2 * m_simulation.scenario().peerLatency, [this, request, asked, peer] {
-        if (m_routers[peer].ledger->account(budgetOf(request.team)).sponsor(request.id, request.bound)) {
+        if (m_routers[peer].ledger->account(budgetOf(request.team)).reserveForPeer(request.id, request.bound)) {
             admit(peer, request);
         } else {
             askSponsor(request, asked + 1);
--- a/src/tests/budgetaccounttest.cpp
+++ b/src/tests/budgetaccounttest.cpp
@@ -33,8 +33,8 @@
     BudgetAccount account = holding(1000);
     BOOST_TEST((account.reserve("a", 600, s_alone, at(1)).decision == Decision::Admitted));
     BOOST_TEST(account.available() == 400);
-    account.tighten("a", 500);
-    account.tighten("a", 900);
+    account.lowerReservation("a", 500);
+    account.lowerReservation("a", 900);
     BOOST_TEST(account.reserved() == 500);
     BOOST_TEST(account.settle("a", 120, at(2)) == 120);
     BOOST_TEST(account.available() == 880);
@@ -198,11 +198,11 @@
 BOOST_AUTO_TEST_CASE(sponsorsOnlyFromWhatNobodyHereWaitsFor)
 {
     BudgetAccount account = holding(1000);
-    BOOST_TEST(account.sponsor("peer's", 600));
-    BOOST_TEST(!account.sponsor("peer's", 100));
-    BOOST_TEST(!account.sponsor("another", 500));
+    BOOST_TEST(account.reserveForPeer("peer's", 600));
+    BOOST_TEST(!account.reserveForPeer("peer's", 100));
+    BOOST_TEST(!account.reserveForPeer("another", 500));
     BOOST_TEST((account.reserve("own", 900, s_three, at(1)).decision == Decision::Waiting));
-    BOOST_TEST(!account.sponsor("small", 10));
+    BOOST_TEST(!account.reserveForPeer("small", 10));
     BOOST_TEST(account.settle("peer's", 200, at(2)) == 200);
     BOOST_TEST(account.unsettled() == 200);
 }
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -102,7 +102,7 @@
     const bool able = asking.state == RouterState::Running && paying.state == RouterState::Running && !paying.ledger->fenced();
     const Asked asked{
         .requestId = absl::StrCat("request-", m_nextId++), .budget = budgetName(budget), .bound = bound, .truth = truth, .target = target};
-    if (able && paying.ledger->account(asked.budget).sponsor(asked.requestId, bound)) {
+    if (able && paying.ledger->account(asked.budget).reserveForPeer(asked.requestId, bound)) {
         dispatch(asking, paying, asked);
     }
 }
