--- a/src/budget/budgetaccount.cpp
+++ b/src/budget/budgetaccount.cpp
@@ -192,7 +192,7 @@
     }
 }
 
-bool BudgetAccount::urgent(Instant now) const
+bool BudgetAccount::needsUrgentFlush(Instant now) const
 {
     const bool spareNeededElsewhere = scarce(now) && m_waiters.empty() && available() > 0;
     return (!m_waiters.empty() && !m_recallUntil) || m_recalledByPeer > 0 || spareNeededElsewhere;
@@ -236,7 +236,7 @@
     if (row && wantsDraw(fleet, now)) {
         update.draw = row->closed || !row->exists ? 0 : drawAmount(*row, fleet, now);
         if (update.draw == 0 && !m_waiters.empty()) {
-            drawRefused(*row, now);
+            onDrawRefused(*row, now);
         }
     }
     // Near the end the table is the one place where remainders meet: what cannot admit a request here may, together with what others put
@@ -252,7 +252,7 @@
     return update;
 }
 
-void BudgetAccount::confirm(const BudgetUpdate &update, Instant now)
+void BudgetAccount::onFlushApplied(const BudgetUpdate &update, Instant now)
 {
     m_holding += update.draw - update.returnAmount - update.settled;
     m_unsettled -= update.settled;
@@ -265,12 +265,12 @@
     refuseHopeless(m_lastFleet, now);
 }
 
-void BudgetAccount::withdrawPlan()
+void BudgetAccount::onFlushRejected()
 {
     m_returning = 0;
 }
 
-void BudgetAccount::drawRefused(const BudgetRow &row, Instant now)
+void BudgetAccount::onDrawRefused(const BudgetRow &row, Instant now)
 {
     const bool askedPeers = m_refusal && !m_refusal->finalAt && !m_recallUntil;
     m_refusal = TableRefusal{.free = row.free, .closed = row.closed, .exists = row.exists};
@@ -287,14 +287,14 @@
     refuseHopeless(m_lastFleet, now);
 }
 
-void BudgetAccount::tableLost(Instant now)
+void BudgetAccount::onTableUnreachable(Instant now)
 {
     m_lastFleet.tableReachable = false;
     m_recallUntil.reset();
     refuseHopeless(m_lastFleet, now);
 }
 
-std::optional<Tokens> BudgetAccount::takeRecall(Instant)
+std::optional<Tokens> BudgetAccount::takeRecallRequest(Instant)
 {
     if (!std::exchange(m_recallWanted, false)) {
         return std::nullopt;
@@ -302,7 +302,7 @@
     return std::max<Tokens>(1, waitersNeed() - available());
 }
 
-void BudgetAccount::recallEnded(Tokens returned, Instant now)
+void BudgetAccount::onRecallEnded(Tokens returned, Instant now)
 {
     if (!m_recallUntil) {
         return;
@@ -316,11 +316,11 @@
     refuseHopeless(m_lastFleet, now);
 }
 
-Tokens BudgetAccount::recalled(bool peerGoesFirst, Instant now)
+Tokens BudgetAccount::onPeerRecall(bool peerHasPriority, Instant now)
 {
     noteScarcity(now);
     // Two routers that each hold half of what either needs would both keep it and both refuse; the order between them lets one be served.
-    const bool needsItMore = !m_waiters.empty() && !peerGoesFirst;
+    const bool needsItMore = !m_waiters.empty() && !peerHasPriority;
     if (!m_policy.returnsSurplus || needsItMore) {
         return 0;
     }
@@ -330,10 +330,10 @@
     return spare;
 }
 
-void BudgetAccount::expire(Instant now)
+void BudgetAccount::expireRecall(Instant now)
 {
     if (m_recallUntil && now >= *m_recallUntil) {
-        recallEnded(1, now);
+        onRecallEnded(1, now);
     }
 }
 
--- a/src/budget/budgetaccount.h
+++ b/src/budget/budgetaccount.h
@@ -122,35 +122,35 @@
     bool wantsDraw(const FleetView &fleet, Instant now);
 
     /// True when someone waits for the next flush.
-    bool urgent(Instant now) const;
+    bool needsUrgentFlush(Instant now) const;
 
     /// Fills in what the next flush should do. The row is the budget's, read just before; none when it was not read.
     BudgetUpdate planFlush(const std::optional<BudgetRow> &row, const FleetView &fleet, Instant now);
 
     /// The table applied the part.
-    void confirm(const BudgetUpdate &update, Instant now);
+    void onFlushApplied(const BudgetUpdate &update, Instant now);
 
     /// The table certainly did not and will not apply any planned part.
-    void withdrawPlan();
+    void onFlushRejected();
 
     /// The table has too little: the budget holds this much free.
-    void drawRefused(const BudgetRow &row, Instant now);
+    void onDrawRefused(const BudgetRow &row, Instant now);
 
     /// The table cannot be reached: requests that hoped for a draw are refused, unless reservations in flight can still admit them.
-    void tableLost(Instant now);
+    void onTableUnreachable(Instant now);
 
     /// The tokens to ask of peers, once per need; empty when there is nothing to ask.
-    std::optional<Tokens> takeRecall(Instant now);
+    std::optional<Tokens> takeRecallRequest(Instant now);
 
     /// All peers answered a recall, or its window passed.
-    void recallEnded(Tokens returned, Instant now);
+    void onRecallEnded(Tokens returned, Instant now);
 
     /// A peer needs tokens: surplus goes back with the next flush. Returns how much that will be. A router with waiting requests of its own
     /// gives only to a peer that goes first in the fleet's fixed order.
-    Tokens recalled(bool peerGoesFirst, Instant now);
+    Tokens onPeerRecall(bool peerHasPriority, Instant now);
 
     /// Ends what has taken too long. Call now and then, and before takeOutcomes().
-    void expire(Instant now);
+    void expireRecall(Instant now);
 
     /// Verdicts of waiting requests since the last call.
     std::vector<ReservationResult> takeResults();
--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -76,7 +76,7 @@
 void BudgetService::afterChange(BudgetAccount &account)
 {
     deliver(account.takeResults());
-    if (const auto need = account.takeRecall(steadyNow()); need && m_recall) {
+    if (const auto need = account.takeRecallRequest(steadyNow()); need && m_recall) {
         // Outside the lock: the handler takes the link's.
         asio::post(m_loop, [this, budget = account.budget(), amount = *need] {
             m_recall(budget, amount);
@@ -146,14 +146,14 @@
     return charged;
 }
 
-Tokens BudgetService::recalled(std::string_view budget, std::string_view peer)
+Tokens BudgetService::onPeerRecall(std::string_view budget, std::string_view peer)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_ledger.accounts().find(budget);
     if (found == m_ledger.accounts().end()) {
         return 0;
     }
-    const Tokens spare = m_ledger.account(budget).recalled(peer < m_options.identity.incarnation, steadyNow());
+    const Tokens spare = m_ledger.account(budget).onPeerRecall(peer < m_options.identity.incarnation, steadyNow());
     if (spare > 0) {
         wakeFlush();
     }
@@ -217,7 +217,7 @@
     m_fleet.tableReachable = false;
     for (const std::string &name : m_ledger.active()) {
         BudgetAccount &account = m_ledger.account(name);
-        account.tableLost(steadyNow());
+        account.onTableUnreachable(steadyNow());
         afterChange(account);
     }
 }
@@ -305,10 +305,10 @@
             const std::lock_guard lock(m_mutex);
             for (const std::string &name : m_ledger.active()) {
                 BudgetAccount &account = m_ledger.account(name);
-                account.expire(steadyNow());
+                account.expireRecall(steadyNow());
                 afterChange(account);
             }
-            urgent = m_ledger.urgent(steadyNow()) || !m_ledger.registered();
+            urgent = m_ledger.needsUrgentFlush(steadyNow()) || !m_ledger.registered();
             urgentInterval = std::max<Duration>(m_options.urgentInterval, m_options.urgentPerRouter * m_fleet.routers);
         }
         const Duration interval = urgent ? std::min(urgentInterval, m_options.flushInterval) : m_options.flushInterval;
@@ -337,7 +337,7 @@
         {
             const std::lock_guard lock(m_mutex);
             for (const auto &[name, ignored] : m_ledger.accounts()) {
-                m_ledger.account(name).recalled(true, steadyNow());
+                m_ledger.account(name).onPeerRecall(true, steadyNow());
             }
         }
         co_await flushOnce();
--- a/src/budget/budgetservice.h
+++ b/src/budget/budgetservice.h
@@ -60,7 +60,7 @@
     std::uint64_t appliedFlush() const;
 
     /// A peer asks for surplus. Returns how much goes back with the next flush.
-    Tokens recalled(std::string_view budget, std::string_view peer);
+    Tokens onPeerRecall(std::string_view budget, std::string_view peer);
 
     /// The number of routers has changed.
     void setRouters(std::size_t routers);
--- a/src/budget/nodeledger.cpp
+++ b/src/budget/nodeledger.cpp
@@ -32,10 +32,10 @@
     m_charges.push_back(std::move(charge));
 }
 
-bool NodeLedger::urgent(Instant now) const
+bool NodeLedger::needsUrgentFlush(Instant now) const
 {
     return std::any_of(m_active.begin(), m_active.end(), [this, now](const std::string &name) {
-        return m_accounts.find(name)->second.urgent(now);
+        return m_accounts.find(name)->second.needsUrgentFlush(now);
     });
 }
 
@@ -80,7 +80,7 @@
     std::erase_if(m_active, [&](const std::string &name) {
         BudgetAccount &account = m_accounts.find(name)->second;
         const bool inMotion = account.waiting() > 0 || account.reserved() > 0 || account.unsettled() > 0 || account.returning() > 0;
-        return !inMotion && !account.urgent(now) && !account.wantsDraw(fleet, now);
+        return !inMotion && !account.needsUrgentFlush(now) && !account.wantsDraw(fleet, now);
     });
 }
 
@@ -218,7 +218,7 @@
     m_closed = textField(plan.transaction.operations.front().fields, "state") == "closed";
     for (const BudgetUpdate &update : plan.budgetUpdates) {
         m_hasGrantRow.emplace(update.budget, true);
-        account(update.budget).confirm(update, now);
+        account(update.budget).onFlushApplied(update, now);
     }
     absl::flat_hash_set<std::string> billedIds;
     for (const Charge &charge : plan.charges) {
@@ -239,11 +239,11 @@
 void NodeLedger::withdraw(const TableVerdict &verdict, Instant now)
 {
     for (const BudgetUpdate &update : m_current->budgetUpdates) {
-        account(update.budget).withdrawPlan();
+        account(update.budget).onFlushRejected();
     }
     for (const TableObstacle &obstacle : verdict.obstacles) {
         if (obstacle.guard && obstacle.row.key.starts_with(s_budgetPrefix)) {
-            account(obstacle.row.key.substr(s_budgetPrefix.size())).drawRefused(parseBudgetRow(obstacle.row), now);
+            account(obstacle.row.key.substr(s_budgetPrefix.size())).onDrawRefused(parseBudgetRow(obstacle.row), now);
         }
     }
     m_superseded.push_back(*std::exchange(m_current, std::nullopt));
--- a/src/budget/nodeledger.h
+++ b/src/budget/nodeledger.h
@@ -81,7 +81,7 @@
     std::vector<std::string> budgetsToRead(const FleetView &fleet, Instant now);
 
     /// True when someone waits for a flush.
-    bool urgent(Instant now) const;
+    bool needsUrgentFlush(Instant now) const;
 
     /// Makes the next flush from the rows just read. Empty when there is nothing to do, a flush is on its way, or the node is fenced. A
     /// flush whose answer was lost is returned again as it was.
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -154,7 +154,7 @@
         onReport(peer, message.report());
         break;
     case wire::Envelope::kRecall:
-        m_budgets.recalled(message.recall().budget(), peer);
+        m_budgets.onPeerRecall(message.recall().budget(), peer);
         break;
     case wire::Envelope::kRelayRequest:
         m_relay.onRequest(peer, std::move(*message.mutable_relay_request()));
--- a/src/measure/capacity.cpp
+++ b/src/measure/capacity.cpp
@@ -103,7 +103,7 @@
     (void)ledger->flushAnswered(*table.transact(plan->transaction), s_now);
     for (int index = 0; index < budgets; ++index) {
         ledger->account(numbered("budget-of-team-", index))
-            .confirm({.budget = numbered("budget-of-team-", index), .draw = 1'000'000}, s_now);
+            .onFlushApplied({.budget = numbered("budget-of-team-", index), .draw = 1'000'000}, s_now);
     }
     return ledger;
 }
@@ -124,7 +124,7 @@
             (void)ledger->account(numbered("budget-of-team-", index * budgets / s_budgetsInMotion));
         }
         planning.push_back({static_cast<double>(budgets), microseconds([&] {
-                                (void)ledger->urgent(s_now);
+                                (void)ledger->needsUrgentFlush(s_now);
                                 (void)ledger->budgetsToRead({.routers = 330}, s_now);
                             })});
     }
--- a/src/measure/grantpolicy.cpp
+++ b/src/measure/grantpolicy.cpp
@@ -78,10 +78,10 @@
     if (!router.dead) {
         for (const std::string &name : router.ledger->active()) {
             BudgetAccount &account = router.ledger->account(name);
-            account.expire(m_simulation.now());
+            account.expireRecall(m_simulation.now());
             deliver(index, account);
         }
-        const bool urgent = router.ledger->urgent(m_simulation.now()) || !router.ledger->registered();
+        const bool urgent = router.ledger->needsUrgentFlush(m_simulation.now()) || !router.ledger->registered();
         const Duration interval = urgent ? m_options.urgentInterval : m_options.flushInterval;
         if (!router.flushing && m_simulation.now() - router.lastFlush >= interval) {
             flush(index);
@@ -152,7 +152,7 @@
     router.reachable = false;
     for (const std::string &name : router.ledger->active()) {
         BudgetAccount &account = router.ledger->account(name);
-        account.tableLost(m_simulation.now());
+        account.onTableUnreachable(m_simulation.now());
         deliver(index, account);
     }
 }
@@ -173,7 +173,7 @@
             refuse(request, outcome.failure);
         }
     }
-    if (account.takeRecall(m_simulation.now())) {
+    if (account.takeRecallRequest(m_simulation.now())) {
         recallPeers(index, account.budget());
     }
 }
@@ -188,8 +188,8 @@
             continue;
         }
         m_simulation.after(latency, [this, index, peer, budget] {
-            m_routers[peer].ledger->account(budget).recalled(m_routers[index].incarnation < m_routers[peer].incarnation,
-                                                             m_simulation.now());
+            m_routers[peer].ledger->account(budget).onPeerRecall(m_routers[index].incarnation < m_routers[peer].incarnation,
+                                                                 m_simulation.now());
         });
     }
 }
--- a/src/tests/budgetaccounttest.cpp
+++ b/src/tests/budgetaccounttest.cpp
@@ -22,7 +22,7 @@
 BudgetAccount holding(Tokens tokens, AccountPolicy policy = {})
 {
     BudgetAccount account("team", policy);
-    account.confirm({.budget = "team", .draw = tokens}, at(0));
+    account.onFlushApplied({.budget = "team", .draw = tokens}, at(0));
     return account;
 }
 
@@ -62,7 +62,7 @@
 {
     BudgetAccount account = holding(1000);
     account.reserve("large", 900, s_alone, at(1));
-    account.drawRefused({.free = 0}, at(2));
+    account.onDrawRefused({.free = 0}, at(2));
     BOOST_TEST((account.reserve("second", 500, s_alone, at(3)).decision == Decision::Waiting));
     account.settle("large", 100, at(50));
     const auto results = account.takeResults();
@@ -76,7 +76,7 @@
 {
     BudgetAccount account = holding(1000, {.refusalCacheTime = std::chrono::milliseconds(500)});
     account.reserve("large", 900, s_alone, at(1));
-    account.drawRefused({.free = 0}, at(2));
+    account.onDrawRefused({.free = 0}, at(2));
     account.reserve("second", 500, s_alone, at(3));
     account.settle("large", 890, at(50));
     const auto results = account.takeResults();
@@ -137,9 +137,9 @@
     account.reserve("a", 100, s_three, at(1));
     account.planFlush(BudgetRow{.free = 20}, s_three, at(2));
     BOOST_TEST(account.takeResults().empty());
-    BOOST_TEST(account.takeRecall(at(2)).value_or(0) == 100);
-    BOOST_TEST(!account.takeRecall(at(2)).has_value());
-    account.recallEnded(80, at(30));
+    BOOST_TEST(account.takeRecallRequest(at(2)).value_or(0) == 100);
+    BOOST_TEST(!account.takeRecallRequest(at(2)).has_value());
+    account.onRecallEnded(80, at(30));
     BOOST_TEST(account.planFlush(BudgetRow{.free = 100}, s_three, at(40)).draw == 100);
 }
 
@@ -148,7 +148,7 @@
     BudgetAccount account("team", {.refusalCacheTime = std::chrono::milliseconds(500)});
     account.reserve("a", 100, s_three, at(1));
     account.planFlush(BudgetRow{.free = 20}, s_three, at(2));
-    account.expire(at(1000));
+    account.expireRecall(at(1000));
     account.planFlush(BudgetRow{.free = 20}, s_three, at(1001));
     const auto results = account.takeResults();
     BOOST_REQUIRE(results.size() == 1);
@@ -162,12 +162,12 @@
 {
     BudgetAccount account = holding(1000);
     account.reserve("a", 300, s_three, at(1));
-    BOOST_TEST(account.recalled(true, at(2)) == 700);
+    BOOST_TEST(account.onPeerRecall(true, at(2)) == 700);
     const BudgetUpdate update = account.planFlush(std::nullopt, s_three, at(3));
     BOOST_TEST(update.returnAmount == 700);
     // On its way back it cannot be promised to anybody.
     BOOST_TEST(account.available() == 0);
-    account.confirm(update, at(4));
+    account.onFlushApplied(update, at(4));
     BOOST_TEST(account.holding() == 300);
 }
 
@@ -177,8 +177,8 @@
 {
     BudgetAccount account = holding(500);
     account.reserve("a", 800, s_three, at(1));
-    BOOST_TEST(account.recalled(false, at(2)) == 0);
-    BOOST_TEST(account.recalled(true, at(2)) == 500);
+    BOOST_TEST(account.onPeerRecall(false, at(2)) == 0);
+    BOOST_TEST(account.onPeerRecall(true, at(2)) == 500);
 }
 
 // Near the end each router's remainder is too small for any request, while together they would serve one. What cannot be used here must go
@@ -187,9 +187,9 @@
 {
     BudgetAccount account = holding(1000);
     account.reserve("running", 500, s_three, at(1));
-    account.drawRefused({.free = 10}, at(2));
+    account.onDrawRefused({.free = 10}, at(2));
     account.reserve("waiting", 900, s_three, at(3));
-    account.expire(at(1000));
+    account.expireRecall(at(1000));
     BOOST_TEST(account.planFlush(BudgetRow{.free = 10}, s_three, at(1001)).returnAmount == 500);
     BOOST_TEST(account.available() == 0);
     BOOST_TEST(account.waiting() == 1);
@@ -210,7 +210,7 @@
 BOOST_AUTO_TEST_CASE(withoutTheTableOnlyHoldingsAreSpent)
 {
     BudgetAccount account = holding(150);
-    account.tableLost(at(1));
+    account.onTableUnreachable(at(1));
     const FleetView cutOff{.routers = 3, .tableReachable = false};
     BOOST_TEST((account.reserve("a", 100, cutOff, at(2)).decision == Decision::Admitted));
     const auto result = account.reserve("b", 100, cutOff, at(3));
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -274,7 +274,7 @@
 {
     RouterProcess &process = m_routers[router % m_routers.size()];
     if (process.state == RouterState::Running) {
-        process.ledger->account(budgetName(budget)).recalled(true, m_now);
+        process.ledger->account(budgetName(budget)).onPeerRecall(true, m_now);
     }
 }
 
--- a/src/tests/nodeledgertest.cpp
+++ b/src/tests/nodeledgertest.cpp
@@ -153,7 +153,7 @@
     router.spend("a", 100, 40);
     router.ledger.beginClose();
     for (int round = 0; round < 5; ++round) {
-        router.ledger.account("team").recalled(true, s_start + std::chrono::hours(1));
+        router.ledger.account("team").onPeerRecall(true, s_start + std::chrono::hours(1));
         router.flush();
     }
     BOOST_TEST(router.ledger.closed());
