--- a/src/budget/budgetaccount.cpp
+++ b/src/budget/budgetaccount.cpp
@@ -29,22 +29,22 @@
     return m_policy.returnsSurplus && m_scarceUntil && now < *m_scarceUntil;
 }
 
-void BudgetAccount::noteScarcity(Instant now)
+void BudgetAccount::markScarce(Instant now)
 {
     m_scarceUntil = now + m_policy.scarcityDuration;
 }
 
-Tokens BudgetAccount::aim(Instant now) const
+Tokens BudgetAccount::desiredHolding(Instant now) const
 {
     if (scarce(now)) {
         return 0;
     }
-    const double ahead = m_demand.rate(now) * seconds(m_policy.holdingHorizon);
+    const double forFutureRequests = m_demand.rate(now) * seconds(m_policy.holdingHorizon);
     const double minimum = m_demand.averageBound() * m_policy.minimumHoldingRequests;
-    return static_cast<Tokens>(std::ceil(std::max(ahead, minimum)));
+    return static_cast<Tokens>(std::ceil(std::max(forFutureRequests, minimum)));
 }
 
-Tokens BudgetAccount::waitersNeed() const
+Tokens BudgetAccount::totalWaitingBound() const
 {
     Tokens need = 0;
     for (const Waiter &waiter : m_waiters) {
@@ -53,7 +53,7 @@
     return need;
 }
 
-bool BudgetAccount::refusalStands(Instant now) const
+bool BudgetAccount::refusalIsCached(Instant now) const
 {
     return m_refusal && m_refusal->finalAt && now - *m_refusal->finalAt < m_policy.refusalCacheTime;
 }
@@ -68,13 +68,13 @@
     if (!fleet.tableReachable) {
         return false;
     }
-    if (!refusalStands(now)) {
+    if (!refusalIsCached(now)) {
         return true;
     }
     return !m_refusal->closed && m_refusal->exists && available() + m_refusal->free >= bound;
 }
 
-Failure BudgetAccount::refusal(Tokens bound, const FleetView &fleet) const
+Failure BudgetAccount::refusalFailure(Tokens bound, const FleetView &fleet) const
 {
     if (m_refusal && !m_refusal->exists) {
         return {.kind = FailureKind::BudgetClosed, .detail = absl::StrCat("budget '", m_budget, "' does not exist")};
@@ -87,10 +87,10 @@
                 .detail = absl::StrCat("budget '", m_budget, "' needs ", bound, " tokens and more cannot be drawn now"),
                 .retryAfterMs = s_retryWhenReleasedMs};
     }
-    const bool reservationsOut = m_reserved > 0;
+    const bool hasReservations = m_reserved > 0;
     return {.kind = FailureKind::BudgetExhausted,
             .detail = absl::StrCat("budget '", m_budget, "' has too little left for a worst case of ", bound, " tokens"),
-            .retryAfterMs = reservationsOut ? s_retryWhenReleasedMs : s_retryAfterTopUpMs};
+            .retryAfterMs = hasReservations ? s_retryWhenReleasedMs : s_retryAfterTopUpMs};
 }
 
 ReservationResult BudgetAccount::reserve(std::string_view requestId, Tokens bound, const FleetView &fleet, Instant now)
@@ -106,7 +106,7 @@
         return result;
     }
     if (!mayStillAdmit(bound, fleet, now)) {
-        result.failure = refusal(bound, fleet);
+        result.failure = refusalFailure(bound, fleet);
         return result;
     }
     m_waiters.push_back({.requestId = result.requestId, .bound = bound});
@@ -147,7 +147,7 @@
     m_reservations.erase(found);
     m_demand.addUse(charged, now);
     admitWaiters();
-    refuseHopeless(m_lastFleet, now);
+    refuseUnadmittable(m_lastFleet, now);
     return charged;
 }
 
@@ -179,7 +179,7 @@
     }
 }
 
-void BudgetAccount::refuseHopeless(const FleetView &fleet, Instant now)
+void BudgetAccount::refuseUnadmittable(const FleetView &fleet, Instant now)
 {
     // A request that nothing can admit any more is answered now; holding it would only keep its caller from going elsewhere.
     for (auto waiter = m_waiters.begin(); waiter != m_waiters.end();) {
@@ -187,34 +187,34 @@
             ++waiter;
             continue;
         }
-        m_results.push_back({.requestId = waiter->requestId, .failure = refusal(waiter->bound, fleet)});
+        m_results.push_back({.requestId = waiter->requestId, .failure = refusalFailure(waiter->bound, fleet)});
         waiter = m_waiters.erase(waiter);
     }
 }
 
 bool BudgetAccount::needsUrgentFlush(Instant now) const
 {
-    const bool spareNeededElsewhere = scarce(now) && m_waiters.empty() && available() > 0;
-    return (!m_waiters.empty() && !m_recallUntil) || m_recalledByPeer > 0 || spareNeededElsewhere;
+    const bool surplusNeededElsewhere = scarce(now) && m_waiters.empty() && available() > 0;
+    return (!m_waiters.empty() && !m_recallDeadline) || m_recalledAmount > 0 || surplusNeededElsewhere;
 }
 
 bool BudgetAccount::wantsDraw(const FleetView &fleet, Instant now)
 {
     m_lastFleet = fleet;
-    if (m_recallUntil || refusalStands(now)) {
+    if (m_recallDeadline || refusalIsCached(now)) {
         return false;
     }
-    return !m_waiters.empty() || static_cast<double>(available()) < m_policy.refillThreshold * static_cast<double>(aim(now));
+    return !m_waiters.empty() || static_cast<double>(available()) < m_policy.refillThreshold * static_cast<double>(desiredHolding(now));
 }
 
 Tokens BudgetAccount::drawAmount(const BudgetRow &row, const FleetView &fleet, Instant now) const
 {
-    const Tokens missing = std::max<Tokens>(0, aim(now) - std::max<Tokens>(0, available()));
-    const auto drawers = static_cast<double>(std::max<std::size_t>(1, fleet.routers));
-    const auto share = static_cast<Tokens>(static_cast<double>(row.free) * m_policy.drawShareOfFree / drawers);
-    const Tokens ahead = std::min(missing, share);
-    const Tokens forWaiters = std::max<Tokens>(0, waitersNeed() - available());
-    const Tokens wanted = std::max(ahead, forWaiters);
+    const Tokens missing = std::max<Tokens>(0, desiredHolding(now) - std::max<Tokens>(0, available()));
+    const auto drawingRouters = static_cast<double>(std::max<std::size_t>(1, fleet.routers));
+    const auto share = static_cast<Tokens>(static_cast<double>(row.free) * m_policy.drawShareOfFree / drawingRouters);
+    const Tokens forFutureRequests = std::min(missing, share);
+    const Tokens forWaitingRequests = std::max<Tokens>(0, totalWaitingBound() - available());
+    const Tokens wanted = std::max(forFutureRequests, forWaitingRequests);
     if (wanted <= row.free) {
         return wanted;
     }
@@ -230,8 +230,8 @@
     m_lastFleet = fleet;
     BudgetUpdate update{.budget = m_budget, .settled = m_unsettled};
     if (row) {
-        const double plenty = m_policy.ampleRequests * m_demand.averageBound() * static_cast<double>(fleet.routers);
-        static_cast<double>(row->free) >= plenty ? m_scarceUntil.reset() : noteScarcity(now);
+        const double ampleTokens = m_policy.ampleRequests * m_demand.averageBound() * static_cast<double>(fleet.routers);
+        static_cast<double>(row->free) >= ampleTokens ? m_scarceUntil.reset() : markScarce(now);
     }
     if (row && wantsDraw(fleet, now)) {
         update.draw = row->closed || !row->exists ? 0 : drawAmount(*row, fleet, now);
@@ -241,13 +241,13 @@
     }
     // Near the end the table is the one place where remainders meet: what cannot admit a request here may, together with what others put
     // back.
-    const bool pools = scarce(now) && row && update.draw == 0;
-    if (update.draw == 0 && m_policy.returnsSurplus && (m_waiters.empty() || m_recalledByPeer > 0 || pools)) {
-        const auto keep = static_cast<Tokens>(m_policy.surplusFactor * static_cast<double>(aim(now)));
+    const bool returnsRemainder = scarce(now) && row && update.draw == 0;
+    if (update.draw == 0 && m_policy.returnsSurplus && (m_waiters.empty() || m_recalledAmount > 0 || returnsRemainder)) {
+        const auto keep = static_cast<Tokens>(m_policy.surplusFactor * static_cast<double>(desiredHolding(now)));
         const Tokens surplus = std::max<Tokens>(0, available() - keep);
-        update.returnAmount = std::clamp(std::max(surplus, m_recalledByPeer), Tokens{0}, std::max<Tokens>(0, available()));
+        update.returnAmount = std::clamp(std::max(surplus, m_recalledAmount), Tokens{0}, std::max<Tokens>(0, available()));
     }
-    m_recalledByPeer = 0;
+    m_recalledAmount = 0;
     m_returning = std::max(m_returning, update.returnAmount);
     return update;
 }
@@ -262,7 +262,7 @@
     }
     assert(m_holding >= 0 && m_unsettled >= 0 && available() >= 0);
     admitWaiters();
-    refuseHopeless(m_lastFleet, now);
+    refuseUnadmittable(m_lastFleet, now);
 }
 
 void BudgetAccount::onFlushRejected()
@@ -272,26 +272,26 @@
 
 void BudgetAccount::onDrawRefused(const BudgetRow &row, Instant now)
 {
-    const bool askedPeers = m_refusal && !m_refusal->finalAt && !m_recallUntil;
+    const bool recallHasEnded = m_refusal && !m_refusal->finalAt && !m_recallDeadline;
     m_refusal = TableRefusal{.free = row.free, .closed = row.closed, .exists = row.exists};
-    noteScarcity(now);
-    const bool askedLately = m_lastRecall && now - *m_lastRecall < m_policy.recallInterval;
+    markScarce(now);
+    const bool askedRecently = m_lastRecall && now - *m_lastRecall < m_policy.recallInterval;
     const bool peersMayHelp = m_policy.returnsSurplus && m_lastFleet.routers > 1 && !row.closed && row.exists;
-    if (peersMayHelp && !askedPeers && !askedLately) {
+    if (peersMayHelp && !recallHasEnded && !askedRecently) {
         m_recallWanted = true;
         m_lastRecall = now;
-        m_recallUntil = now + m_policy.recallTimeout;
+        m_recallDeadline = now + m_policy.recallTimeout;
         return;
     }
     m_refusal->finalAt = now;
-    refuseHopeless(m_lastFleet, now);
+    refuseUnadmittable(m_lastFleet, now);
 }
 
 void BudgetAccount::onTableUnreachable(Instant now)
 {
     m_lastFleet.tableReachable = false;
-    m_recallUntil.reset();
-    refuseHopeless(m_lastFleet, now);
+    m_recallDeadline.reset();
+    refuseUnadmittable(m_lastFleet, now);
 }
 
 std::optional<Tokens> BudgetAccount::takeRecallRequest(Instant)
@@ -299,40 +299,40 @@
     if (!std::exchange(m_recallWanted, false)) {
         return std::nullopt;
     }
-    return std::max<Tokens>(1, waitersNeed() - available());
+    return std::max<Tokens>(1, totalWaitingBound() - available());
 }
 
 void BudgetAccount::onRecallEnded(Tokens returned, Instant now)
 {
-    if (!m_recallUntil) {
+    if (!m_recallDeadline) {
         return;
     }
-    m_recallUntil.reset();
+    m_recallDeadline.reset();
     if (returned > 0 || !m_refusal) {
         // Still marked as refused but not final: the next flush reads the row once more, and its answer ends the matter.
         return;
     }
     m_refusal->finalAt = now;
-    refuseHopeless(m_lastFleet, now);
+    refuseUnadmittable(m_lastFleet, now);
 }
 
 Tokens BudgetAccount::onPeerRecall(bool peerHasPriority, Instant now)
 {
-    noteScarcity(now);
+    markScarce(now);
     // Two routers that each hold half of what either needs would both keep it and both refuse; the order between them lets one be served.
-    const bool needsItMore = !m_waiters.empty() && !peerHasPriority;
-    if (!m_policy.returnsSurplus || needsItMore) {
+    const bool keepsForOwnRequests = !m_waiters.empty() && !peerHasPriority;
+    if (!m_policy.returnsSurplus || keepsForOwnRequests) {
         return 0;
     }
     const auto keep = static_cast<Tokens>(m_demand.rate(now) * seconds(m_policy.recallRetention));
     const Tokens spare = std::max<Tokens>(0, available() - keep);
-    m_recalledByPeer = std::max(m_recalledByPeer, spare);
+    m_recalledAmount = std::max(m_recalledAmount, spare);
     return spare;
 }
 
 void BudgetAccount::expireRecall(Instant now)
 {
-    if (m_recallUntil && now >= *m_recallUntil) {
+    if (m_recallDeadline && now >= *m_recallDeadline) {
         onRecallEnded(1, now);
     }
 }
--- a/src/budget/budgetaccount.h
+++ b/src/budget/budgetaccount.h
@@ -211,15 +211,15 @@
         std::optional<Instant> finalAt;
     };
 
-    Tokens aim(Instant now) const;
+    Tokens desiredHolding(Instant now) const;
     bool scarce(Instant now) const;
-    void noteScarcity(Instant now);
-    Tokens waitersNeed() const;
+    void markScarce(Instant now);
+    Tokens totalWaitingBound() const;
     bool mayStillAdmit(Tokens bound, const FleetView &fleet, Instant now) const;
-    bool refusalStands(Instant now) const;
-    Failure refusal(Tokens bound, const FleetView &fleet) const;
+    bool refusalIsCached(Instant now) const;
+    Failure refusalFailure(Tokens bound, const FleetView &fleet) const;
     void admitWaiters();
-    void refuseHopeless(const FleetView &fleet, Instant now);
+    void refuseUnadmittable(const FleetView &fleet, Instant now);
     Tokens drawAmount(const BudgetRow &row, const FleetView &fleet, Instant now) const;
 
     std::string m_budget;
@@ -232,9 +232,9 @@
     Tokens m_reserved = 0;
     Tokens m_unsettled = 0;
     Tokens m_returning = 0;
-    Tokens m_recalledByPeer = 0;
+    Tokens m_recalledAmount = 0;
     bool m_recallWanted = false;
-    std::optional<Instant> m_recallUntil;
+    std::optional<Instant> m_recallDeadline;
     std::optional<Instant> m_lastRecall;
     std::optional<Instant> m_scarceUntil;
     std::optional<TableRefusal> m_refusal;
