--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -215,7 +215,7 @@
         logLine(Severity::Warning, "the platform's table is out of reach");
     }
     m_fleet.tableReachable = false;
-    for (const std::string &name : m_ledger.active()) {
+    for (const std::string &name : m_ledger.activeBudgets()) {
         BudgetAccount &account = m_ledger.account(name);
         account.onTableUnreachable(steadyNow());
         afterChange(account);
@@ -275,7 +275,7 @@
     if (!verdict.ok()) {
         {
             const std::lock_guard lock(m_mutex);
-            m_ledger.flushLost();
+            m_ledger.onFlushAnswerLost();
         }
         tableSilent();
         co_return;
@@ -285,7 +285,7 @@
     std::vector<Charge> billed;
     {
         const std::lock_guard lock(m_mutex);
-        billed = m_ledger.flushAnswered(*verdict, steadyNow());
+        billed = m_ledger.onFlushAnswered(*verdict, steadyNow());
         for (const BudgetUpdate &update : plan->budgetUpdates) {
             afterChange(m_ledger.account(update.budget));
         }
@@ -303,7 +303,7 @@
         Duration urgentInterval{};
         {
             const std::lock_guard lock(m_mutex);
-            for (const std::string &name : m_ledger.active()) {
+            for (const std::string &name : m_ledger.activeBudgets()) {
                 BudgetAccount &account = m_ledger.account(name);
                 account.expireRecall(steadyNow());
                 afterChange(account);
--- a/src/budget/nodeledger.cpp
+++ b/src/budget/nodeledger.cpp
@@ -182,7 +182,7 @@
         include(account, std::nullopt);
     });
     retireQuiet(fleet, now);
-    const bool heartbeatDue = now - m_appliedAt >= m_options.heartbeat;
+    const bool heartbeatDue = now - m_appliedAt >= m_options.heartbeatInterval;
     if (m_closed || (registered() && plan.budgetUpdates.empty() && m_charges.empty() && !heartbeatDue && !m_closing)) {
         return std::nullopt;
     }
@@ -249,7 +249,7 @@
     m_superseded.push_back(*std::exchange(m_current, std::nullopt));
 }
 
-std::vector<Charge> NodeLedger::flushAnswered(const TableVerdict &verdict, Instant now)
+std::vector<Charge> NodeLedger::onFlushAnswered(const TableVerdict &verdict, Instant now)
 {
     assert(m_current);
     m_inFlight = false;
@@ -276,7 +276,7 @@
     return {};
 }
 
-void NodeLedger::flushLost()
+void NodeLedger::onFlushAnswerLost()
 {
     m_inFlight = false;
 }
--- a/src/budget/nodeledger.h
+++ b/src/budget/nodeledger.h
@@ -53,7 +53,7 @@
         NodeIdentity identity;
         AccountPolicy policy;
         /// An idle router writes its row this often, so that its row's age means something.
-        Duration heartbeat = std::chrono::seconds(5);
+        Duration heartbeatInterval = std::chrono::seconds(5);
     };
 
     explicit NodeLedger(Options options);
@@ -63,7 +63,7 @@
 
     /// Budgets with something in motion: waiting, reserved or unsettled tokens, or a draw wanted. What is done often looks at these only; a
     /// router can hold tens of thousands of budgets, of which few move at a time.
-    const std::set<std::string, std::less<>> &active() const
+    const std::set<std::string, std::less<>> &activeBudgets() const
     {
         return m_active;
     }
@@ -88,10 +88,10 @@
     std::optional<FlushPlan> planFlush(const std::map<std::string, BudgetRow, std::less<>> &rows, const FleetView &fleet, Instant now);
 
     /// The table answered. Returns the charges that are now billed.
-    std::vector<Charge> flushAnswered(const TableVerdict &verdict, Instant now);
+    std::vector<Charge> onFlushAnswered(const TableVerdict &verdict, Instant now);
 
     /// No answer: it is unknown whether the flush took effect.
-    void flushLost();
+    void onFlushAnswerLost();
 
     /// The router ends in good order: once nothing is held any more, the last flush closes its row, so that no peer has to recover it.
     void beginClose()
--- a/src/measure/capacity.cpp
+++ b/src/measure/capacity.cpp
@@ -100,7 +100,7 @@
     auto ledger = std::make_unique<NodeLedger>(
         NodeLedger::Options{.identity = {.incarnation = "router~0123456789abcdef", .host = "host"}, .policy = {.returnsSurplus = false}});
     const auto plan = ledger->planFlush({}, {}, s_now);
-    (void)ledger->flushAnswered(*table.transact(plan->transaction), s_now);
+    (void)ledger->onFlushAnswered(*table.transact(plan->transaction), s_now);
     for (int index = 0; index < budgets; ++index) {
         ledger->account(numbered("budget-of-team-", index))
             .onFlushApplied({.budget = numbered("budget-of-team-", index), .draw = 1'000'000}, s_now);
@@ -149,7 +149,7 @@
         std::optional<FlushPlan> plan;
         const double planned = microseconds([&] {
             plan = ledger->planFlush({}, {}, s_now);
-            ledger->flushLost();
+            ledger->onFlushAnswerLost();
         });
         const std::string body = boost::json::serialize(toJson(plan->transaction));
         bytes.push_back({static_cast<double>(budgets), static_cast<double>(body.size() + plan->object.size())});
--- a/src/measure/grantpolicy.cpp
+++ b/src/measure/grantpolicy.cpp
@@ -76,7 +76,7 @@
 {
     Router &router = m_routers[index];
     if (!router.dead) {
-        for (const std::string &name : router.ledger->active()) {
+        for (const std::string &name : router.ledger->activeBudgets()) {
             BudgetAccount &account = router.ledger->account(name);
             account.expireRecall(m_simulation.now());
             deliver(index, account);
@@ -133,7 +133,7 @@
     }
     m_controlBytes += boost::json::serialize(toJson(plan->transaction)).size();
     (void)m_table.putObject(plan->objectKey, plan->object);
-    for (const Charge &charge : router.ledger->flushAnswered(*m_table.transact(plan->transaction), m_simulation.now())) {
+    for (const Charge &charge : router.ledger->onFlushAnswered(*m_table.transact(plan->transaction), m_simulation.now())) {
         m_witness.forget(charge.requestId);
     }
     for (const BudgetUpdate &update : plan->budgetUpdates) {
@@ -145,12 +145,12 @@
 {
     Router &router = m_routers[index];
     router.flushing = false;
-    router.ledger->flushLost();
+    router.ledger->onFlushAnswerLost();
     if (++router.silences < s_silencesUntilLost) {
         return;
     }
     router.reachable = false;
-    for (const std::string &name : router.ledger->active()) {
+    for (const std::string &name : router.ledger->activeBudgets()) {
         BudgetAccount &account = router.ledger->account(name);
         account.onTableUnreachable(m_simulation.now());
         deliver(index, account);
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -243,10 +243,10 @@
     }
     const auto verdict = send(plan->transaction, delivery);
     if (!verdict.ok()) {
-        ledger.flushLost();
+        ledger.onFlushAnswerLost();
         return;
     }
-    for (const Charge &charge : ledger.flushAnswered(*verdict, m_now)) {
+    for (const Charge &charge : ledger.onFlushAnswered(*verdict, m_now)) {
         for (Sidecar &sidecar : m_sidecars) {
             sidecar.table->forget(charge.requestId);
         }
--- a/src/tests/nodeledgertest.cpp
+++ b/src/tests/nodeledgertest.cpp
@@ -38,7 +38,7 @@
     {
         if (const auto next = plan()) {
             (void)table.putObject(next->objectKey, next->object);
-            (void)ledger.flushAnswered(*table.transact(next->transaction), s_start);
+            (void)ledger.onFlushAnswered(*table.transact(next->transaction), s_start);
         }
     }
 
@@ -77,10 +77,10 @@
     const auto sent = router.plan();
     (void)router.table.putObject(sent->objectKey, sent->object);
     (void)router.table.transact(sent->transaction);
-    router.ledger.flushLost();
+    router.ledger.onFlushAnswerLost();
     const auto again = router.plan();
     BOOST_TEST(again->flushId == sent->flushId);
-    const auto billed = router.ledger.flushAnswered(*router.table.transact(again->transaction), s_start);
+    const auto billed = router.ledger.onFlushAnswered(*router.table.transact(again->transaction), s_start);
     BOOST_REQUIRE(billed.size() == 1);
     BOOST_TEST(billed[0].requestId == "a");
     BOOST_TEST(router.field("consumed") == 40);
@@ -98,11 +98,11 @@
     router.spend("a", 100, 40);
     router.ledger.account("team").reserve("b", 500, s_alone, s_start);
     const auto late = router.plan();
-    router.ledger.flushLost();
+    router.ledger.onFlushAnswerLost();
     const Tokens free = router.field("free");
     (void)router.table.transact({.operations = topUpOperations("team", -free)});
     const auto refused = router.plan();
-    (void)router.ledger.flushAnswered(*router.table.transact(refused->transaction), s_start);
+    (void)router.ledger.onFlushAnswered(*router.table.transact(refused->transaction), s_start);
     (void)router.table.transact({.operations = topUpOperations("team", free)});
     (void)router.table.putObject(late->objectKey, late->object);
     BOOST_TEST(router.table.transact(late->transaction)->applied);
@@ -140,7 +140,7 @@
         const auto plan = router.plan();
         BOOST_REQUIRE(plan.has_value());
         BOOST_TEST(plan->transaction.operations.size() <= 100);
-        (void)router.ledger.flushAnswered(*router.table.transact(plan->transaction), s_start);
+        (void)router.ledger.onFlushAnswered(*router.table.transact(plan->transaction), s_start);
     }
     for (const auto &[budget, account] : router.ledger.accounts()) {
         BOOST_TEST(account.waiting() == 0);
