--- a/src/budget/nodeledger.cpp
+++ b/src/budget/nodeledger.cpp
@@ -44,13 +44,13 @@
     const bool settled = std::all_of(m_accounts.begin(), m_accounts.end(), [](const auto &entry) {
         return entry.second.unsettled() == 0 && entry.second.reserved() == 0;
     });
-    return settled && m_charges.empty() && !m_current;
+    return settled && m_charges.empty() && !m_pendingFlush;
 }
 
 template<typename Visit>
 void NodeLedger::forEachActive(Visit visit)
 {
-    auto name = m_active.upper_bound(m_roundRobin);
+    auto name = m_active.upper_bound(m_lastActiveVisited);
     for (std::size_t visited = 0; visited < m_active.size(); ++visited, ++name) {
         if (name == m_active.end()) {
             name = m_active.begin();
@@ -60,40 +60,40 @@
 }
 
 template<typename Visit>
-void NodeLedger::sweepQuiet(Visit visit)
+void NodeLedger::visitInactive(Visit visit)
 {
-    const std::size_t steps = std::min(s_sweptPerFlush, m_accounts.size());
-    auto entry = m_accounts.upper_bound(m_swept);
+    const std::size_t steps = std::min(s_inactivePerFlush, m_accounts.size());
+    auto entry = m_accounts.upper_bound(m_lastInactiveVisited);
     for (std::size_t step = 0; step < steps; ++step, ++entry) {
         if (entry == m_accounts.end()) {
             entry = m_accounts.begin();
         }
-        m_swept = entry->first;
+        m_lastInactiveVisited = entry->first;
         if (!m_active.contains(entry->first)) {
             visit(entry->second);
         }
     }
 }
 
-void NodeLedger::retireQuiet(const FleetView &fleet, Instant now)
+void NodeLedger::deactivateIdle(const FleetView &fleet, Instant now)
 {
     std::erase_if(m_active, [&](const std::string &name) {
         BudgetAccount &account = m_accounts.find(name)->second;
-        const bool inMotion = account.waiting() > 0 || account.reserved() > 0 || account.unsettled() > 0 || account.returning() > 0;
-        return !inMotion && !account.needsUrgentFlush(now) && !account.wantsDraw(fleet, now);
+        const bool hasPendingTokens = account.waiting() > 0 || account.reserved() > 0 || account.unsettled() > 0 || account.returning() > 0;
+        return !hasPendingTokens && !account.needsUrgentFlush(now) && !account.wantsDraw(fleet, now);
     });
 }
 
 std::vector<std::string> NodeLedger::budgetsToRead(const FleetView &fleet, Instant now)
 {
     std::vector<std::string> budgets;
-    if (m_current || m_fenced || m_closing || !registered()) {
+    if (m_pendingFlush || m_fenced || m_closing || !registered()) {
         return budgets;
     }
     // Those for which somebody waits go first: budgets that only want to hold more ahead would otherwise fill every flush.
-    for (const bool waitedFor : {true, false}) {
+    for (const bool hasWaitingRequests : {true, false}) {
         forEachActive([&](BudgetAccount &account) {
-            const bool chosen = (account.waiting() > 0) == waitedFor && account.wantsDraw(fleet, now);
+            const bool chosen = (account.waiting() > 0) == hasWaitingRequests && account.wantsDraw(fleet, now);
             if (chosen && budgets.size() < s_budgetsPerFlush) {
                 budgets.push_back(account.budget());
             }
@@ -109,9 +109,9 @@
            });
 }
 
-void NodeLedger::addClosing(FlushPlan &plan) const
+void NodeLedger::addGrantRowRemovals(FlushPlan &plan) const
 {
-    for (const auto &[budget, ignored] : m_hasGrantRow) {
+    for (const auto &[budget, ignored] : m_budgetsWithGrantRow) {
         if (plan.transaction.operations.size() < s_budgetsPerFlush * 4) {
             plan.transaction.operations.push_back(
                 {.kind = TableOperation::Kind::Remove, .key = grantKey(m_options.identity.incarnation, budget)});
@@ -119,11 +119,11 @@
     }
 }
 
-TableOperation NodeLedger::nodeOperation(const std::string &flushId, const std::string &lastPage, std::string_view state) const
+TableOperation NodeLedger::nodeOperation(const std::string &flushId, const std::string &newestPageKey, std::string_view state) const
 {
     boost::json::object fields{{"state", boost::json::string(state.data(), state.size())},
                                {"flush", flushId},
-                               {"ledger", lastPage},
+                               {"ledger", newestPageKey},
                                {"host", m_options.identity.host},
                                {"address", m_options.identity.linkAddress}};
     return putRow(nodeKey(m_options.identity.incarnation), std::move(fields), m_nodeVersion);
@@ -139,7 +139,7 @@
     operations.push_back(addToField(key, "granted", holdingChange, 0));
     operations.push_back(addToField(key, "consumed", update.settled, 0));
     const std::string grant = grantKey(m_options.identity.incarnation, update.budget);
-    if (m_hasGrantRow.contains(update.budget)) {
+    if (m_budgetsWithGrantRow.contains(update.budget)) {
         operations.push_back(addToField(grant, "unspent", holdingChange, 0));
     } else {
         operations.push_back(
@@ -154,9 +154,9 @@
     if (m_inFlight || m_fenced) {
         return std::nullopt;
     }
-    if (m_current) {
+    if (m_pendingFlush) {
         m_inFlight = true;
-        return m_current;
+        return m_pendingFlush;
     }
     FlushPlan plan{.flushId = absl::StrCat(m_nextFlush)};
     plan.transaction.operations.emplace_back();
@@ -170,18 +170,18 @@
     for (const auto &[budget, row] : rows) {
         include(account(budget), row);
     }
-    std::string last = m_roundRobin;
+    std::string last = m_lastActiveVisited;
     forEachActive([&](BudgetAccount &account) {
         if (!rows.contains(account.budget()) && plan.budgetUpdates.size() < s_budgetsPerFlush) {
             include(account, std::nullopt);
             last = account.budget();
         }
     });
-    m_roundRobin = last;
-    sweepQuiet([&](BudgetAccount &account) {
+    m_lastActiveVisited = last;
+    visitInactive([&](BudgetAccount &account) {
         include(account, std::nullopt);
     });
-    retireQuiet(fleet, now);
+    deactivateIdle(fleet, now);
     const bool heartbeatDue = now - m_appliedAt >= m_options.heartbeatInterval;
     if (m_closed || (registered() && plan.budgetUpdates.empty() && m_charges.empty() && !heartbeatDue && !m_closing)) {
         return std::nullopt;
@@ -196,28 +196,28 @@
     }
     if (!plan.charges.empty()) {
         plan.objectKey = ledgerKey(m_options.identity.incarnation, plan.flushId);
-        plan.object = serializeLedgerPage({.previous = m_lastPage, .charges = plan.charges});
+        plan.object = serializeLedgerPage({.previous = m_newestPageKey, .charges = plan.charges});
     }
-    const bool closes = m_closing && registered() && plan.budgetUpdates.empty() && plan.charges.empty() && holdsNothing();
-    if (closes) {
-        addClosing(plan);
+    const bool closesNode = m_closing && registered() && plan.budgetUpdates.empty() && plan.charges.empty() && holdsNothing();
+    if (closesNode) {
+        addGrantRowRemovals(plan);
     }
     plan.transaction.operations.front() =
-        nodeOperation(plan.flushId, plan.objectKey.empty() ? m_lastPage : plan.objectKey, closes ? "closed" : "live");
+        nodeOperation(plan.flushId, plan.objectKey.empty() ? m_newestPageKey : plan.objectKey, closesNode ? "closed" : "live");
     ++m_nextFlush;
-    m_current = std::move(plan);
+    m_pendingFlush = std::move(plan);
     m_inFlight = true;
-    return m_current;
+    return m_pendingFlush;
 }
 
-std::vector<Charge> NodeLedger::applied(const FlushPlan &plan, std::uint64_t nodeVersion, Instant now)
+std::vector<Charge> NodeLedger::completeFlush(const FlushPlan &plan, std::uint64_t nodeVersion, Instant now)
 {
     m_nodeVersion = nodeVersion;
     m_appliedAt = now;
     m_appliedFlush = std::stoull(plan.flushId);
     m_closed = textField(plan.transaction.operations.front().fields, "state") == "closed";
     for (const BudgetUpdate &update : plan.budgetUpdates) {
-        m_hasGrantRow.emplace(update.budget, true);
+        m_budgetsWithGrantRow.emplace(update.budget, true);
         account(update.budget).onFlushApplied(update, now);
     }
     absl::flat_hash_set<std::string> billedIds;
@@ -228,17 +228,17 @@
         return billedIds.contains(charge.requestId);
     });
     if (!plan.objectKey.empty()) {
-        m_lastPage = plan.objectKey;
+        m_newestPageKey = plan.objectKey;
     }
     std::vector<Charge> billed = plan.charges;
-    m_superseded.clear();
-    m_current.reset();
+    m_supersededFlushes.clear();
+    m_pendingFlush.reset();
     return billed;
 }
 
-void NodeLedger::withdraw(const TableVerdict &verdict, Instant now)
+void NodeLedger::rejectPendingFlush(const TableVerdict &verdict, Instant now)
 {
-    for (const BudgetUpdate &update : m_current->budgetUpdates) {
+    for (const BudgetUpdate &update : m_pendingFlush->budgetUpdates) {
         account(update.budget).onFlushRejected();
     }
     for (const TableObstacle &obstacle : verdict.obstacles) {
@@ -246,30 +246,30 @@
             account(obstacle.row.key.substr(s_budgetPrefix.size())).onDrawRefused(parseBudgetRow(obstacle.row), now);
         }
     }
-    m_superseded.push_back(*std::exchange(m_current, std::nullopt));
+    m_supersededFlushes.push_back(*std::exchange(m_pendingFlush, std::nullopt));
 }
 
 std::vector<Charge> NodeLedger::onFlushAnswered(const TableVerdict &verdict, Instant now)
 {
-    assert(m_current);
+    assert(m_pendingFlush);
     m_inFlight = false;
     if (verdict.applied) {
-        return applied(FlushPlan(*m_current), verdict.versions.front(), now);
+        return completeFlush(FlushPlan(*m_pendingFlush), verdict.versions.front(), now);
     }
     const auto nodeObstacle = std::find_if(verdict.obstacles.begin(), verdict.obstacles.end(), [](const TableObstacle &obstacle) {
         return obstacle.operation == 0;
     });
     if (nodeObstacle == verdict.obstacles.end()) {
-        withdraw(verdict, now);
+        rejectPendingFlush(verdict, now);
         return {};
     }
     // The node's row has moved on. Either a flush whose answer was lost did take effect, or another router has declared this one dead.
     const std::string flushId = textField(nodeObstacle->row.fields, "flush");
-    std::vector<FlushPlan> candidates = m_superseded;
-    candidates.push_back(*m_current);
+    std::vector<FlushPlan> candidates = m_supersededFlushes;
+    candidates.push_back(*m_pendingFlush);
     for (const FlushPlan &candidate : candidates) {
         if (candidate.flushId == flushId && textField(nodeObstacle->row.fields, "state") != "sealing") {
-            return applied(FlushPlan(candidate), nodeObstacle->row.version, now);
+            return completeFlush(FlushPlan(candidate), nodeObstacle->row.version, now);
         }
     }
     m_fenced = true;
--- a/src/budget/nodeledger.h
+++ b/src/budget/nodeledger.h
@@ -47,7 +47,7 @@
     static constexpr std::size_t s_budgetsPerFlush = 24;
 
     /// Accounts with nothing in motion that one flush looks at.
-    static constexpr std::size_t s_sweptPerFlush = 32;
+    static constexpr std::size_t s_inactivePerFlush = 32;
 
     struct Options {
         NodeIdentity identity;
@@ -144,29 +144,29 @@
     void forEachActive(Visit visit);
     /// Visits a few of the others, a different few each time: their surplus grows as their demand fades.
     template<typename Visit>
-    void sweepQuiet(Visit visit);
-    void retireQuiet(const FleetView &fleet, Instant now);
+    void visitInactive(Visit visit);
+    void deactivateIdle(const FleetView &fleet, Instant now);
     void addBudgetUpdate(FlushPlan &plan, const BudgetUpdate &update);
-    TableOperation nodeOperation(const std::string &flushId, const std::string &lastPage, std::string_view state) const;
+    TableOperation nodeOperation(const std::string &flushId, const std::string &newestPageKey, std::string_view state) const;
     bool holdsNothing() const;
-    void addClosing(FlushPlan &plan) const;
-    std::vector<Charge> applied(const FlushPlan &plan, std::uint64_t nodeVersion, Instant now);
-    void withdraw(const TableVerdict &verdict, Instant now);
+    void addGrantRowRemovals(FlushPlan &plan) const;
+    std::vector<Charge> completeFlush(const FlushPlan &plan, std::uint64_t nodeVersion, Instant now);
+    void rejectPendingFlush(const TableVerdict &verdict, Instant now);
 
     Options m_options;
     std::map<std::string, BudgetAccount, std::less<>> m_accounts;
     std::set<std::string, std::less<>> m_active;
-    std::string m_swept;
+    std::string m_lastInactiveVisited;
     /// Budgets for which a grant row exists in the table.
-    std::map<std::string, bool, std::less<>> m_hasGrantRow;
+    std::map<std::string, bool, std::less<>> m_budgetsWithGrantRow;
     std::vector<Charge> m_charges;
     /// The flush on its way, or to be sent again.
-    std::optional<FlushPlan> m_current;
+    std::optional<FlushPlan> m_pendingFlush;
     /// Earlier plans over the same node version that a delayed message could still apply.
-    std::vector<FlushPlan> m_superseded;
+    std::vector<FlushPlan> m_supersededFlushes;
     /// Newest page of this incarnation's ledger that the table knows.
-    std::string m_lastPage;
-    std::string m_roundRobin;
+    std::string m_newestPageKey;
+    std::string m_lastActiveVisited;
     Instant m_appliedAt{};
     std::uint64_t m_nodeVersion = 0;
     std::uint64_t m_nextFlush = 1;
