--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -84,7 +84,7 @@
     }
 }
 
-asio::awaitable<absl::Status> BudgetService::reserve(std::string budget, std::string requestId, Tokens bound, Duration patience)
+asio::awaitable<absl::Status> BudgetService::reserve(std::string budget, std::string requestId, Tokens bound, Duration timeout)
 {
     auto waiter = std::make_shared<Waiter>(co_await asio::this_coro::executor);
     {
@@ -103,7 +103,7 @@
         m_waiters.emplace(requestId, waiter);
         wakeFlush();
     }
-    waiter->timer.expires_after(patience);
+    waiter->timer.expires_after(timeout);
     co_await waiter->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     const std::lock_guard lock(m_mutex);
     if (!waiter->result) {
@@ -172,7 +172,7 @@
     return m_ledger.nextFlush();
 }
 
-void BudgetService::setRouters(std::size_t routers)
+void BudgetService::setRouterCount(std::size_t routers)
 {
     const std::lock_guard lock(m_mutex);
     m_fleet.routers = std::max<std::size_t>(1, routers);
@@ -184,10 +184,10 @@
     return m_ledger.fenced();
 }
 
-std::vector<BudgetService::Row> BudgetService::rows() const
+std::vector<BudgetService::HoldingSummary> BudgetService::holdingSummaries() const
 {
     const std::lock_guard lock(m_mutex);
-    std::vector<Row> rows;
+    std::vector<HoldingSummary> rows;
     for (const auto &[name, account] : m_ledger.accounts()) {
         rows.push_back({.budget = name,
                         .holding = account.holding(),
@@ -300,7 +300,7 @@
     Instant lastFlush{};
     while (!m_returning) {
         bool urgent = false;
-        Duration urgentInterval{};
+        Duration urgentFlushInterval{};
         {
             const std::lock_guard lock(m_mutex);
             for (const std::string &name : m_ledger.activeBudgets()) {
@@ -309,9 +309,10 @@
                 afterChange(account);
             }
             urgent = m_ledger.needsUrgentFlush(steadyNow()) || !m_ledger.registered();
-            urgentInterval = std::max<Duration>(m_options.urgentInterval, m_options.urgentPerRouter * m_fleet.routers);
+            urgentFlushInterval =
+                std::max<Duration>(m_options.urgentFlushInterval, m_options.urgentFlushIntervalPerRouter * m_fleet.routers);
         }
-        const Duration interval = urgent ? std::min(urgentInterval, m_options.flushInterval) : m_options.flushInterval;
+        const Duration interval = urgent ? std::min(urgentFlushInterval, m_options.flushInterval) : m_options.flushInterval;
         const Instant due = lastFlush + interval;
         if (steadyNow() < due) {
             m_flushTimer.expires_after(std::min<Duration>(due - steadyNow(), std::chrono::milliseconds(100)));
@@ -323,7 +324,7 @@
     }
 }
 
-asio::awaitable<void> BudgetService::finish(Duration limit)
+asio::awaitable<void> BudgetService::returnHoldings(Duration limit)
 {
     const Instant end = steadyNow() + limit;
     m_returning = true;
--- a/src/budget/budgetservice.h
+++ b/src/budget/budgetservice.h
@@ -26,9 +26,9 @@
         AccountPolicy policy;
         Duration flushInterval = std::chrono::seconds(1);
         /// Shortest time between two flushes when someone waits for one.
-        Duration urgentInterval = std::chrono::milliseconds(20);
+        Duration urgentFlushInterval = std::chrono::milliseconds(20);
         /// And at least this for each router of the fleet, so that the table's load does not grow with their number.
-        Duration urgentPerRouter = std::chrono::milliseconds(2);
+        Duration urgentFlushIntervalPerRouter = std::chrono::milliseconds(2);
     };
 
     /// Told which requests the table now bills, so that their sidecars can forget them.
@@ -42,7 +42,7 @@
     void setRecallHandler(RecallHandler handler);
 
     /// Reserves the worst case of a request, waiting while it may still be admitted. Refusals carry their failure; all mean not run.
-    asio::awaitable<absl::Status> reserve(std::string budget, std::string requestId, Tokens bound, Duration patience);
+    asio::awaitable<absl::Status> reserve(std::string budget, std::string requestId, Tokens bound, Duration timeout);
 
     /// Reserves at once for a peer's request, or declines. Gives the earliest flush that can bill it.
     std::optional<std::uint64_t> reserveForPeer(std::string_view budget, std::string_view requestId, Tokens bound);
@@ -63,19 +63,19 @@
     Tokens onPeerRecall(std::string_view budget, std::string_view peer);
 
     /// The number of routers has changed.
-    void setRouters(std::size_t routers);
+    void setRouterCount(std::size_t routers);
 
     /// The flush loop; runs until stop().
     asio::awaitable<void> run();
 
     /// Flushes until nothing is left, returning all holdings, or the time is up.
-    asio::awaitable<void> finish(Duration limit);
+    asio::awaitable<void> returnHoldings(Duration limit);
 
     /// True once this incarnation was declared dead.
     bool fenced() const;
 
     /// One line of the operators' view.
-    struct Row {
+    struct HoldingSummary {
         std::string budget;
         Tokens holding = 0;
         Tokens reserved = 0;
@@ -84,7 +84,7 @@
     };
 
     /// What this router holds.
-    std::vector<Row> rows() const;
+    std::vector<HoldingSummary> holdingSummaries() const;
 
     /// Flushes that the table applied, and tries that got no answer.
     std::uint64_t flushes() const
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -322,7 +322,7 @@
                     }
                 }
             }
-            m_budgets.setRouters(routers);
+            m_budgets.setRouterCount(routers);
         }
         co_await pause(s_peerPoll);
     }
@@ -409,7 +409,7 @@
         co_await pause(s_drainPoll);
     }
     m_callerServer->close();
-    co_await m_budgets.finish(s_returnLimit);
+    co_await m_budgets.returnHoldings(s_returnLimit);
     logLine(Severity::Info, "drained", {{"unfinished", static_cast<std::int64_t>(m_driver.inFlight())}});
     co_await pause(s_drainPoll);
     m_pool.stop();
@@ -427,7 +427,7 @@
     status["configuration_version"] = static_cast<std::int64_t>(current == nullptr ? 0 : current->version());
     status["requests_in_flight"] = static_cast<std::int64_t>(m_driver.inFlight());
     boost::json::array budgets;
-    for (const BudgetService::Row &row : m_budgets.rows()) {
+    for (const BudgetService::HoldingSummary &row : m_budgets.holdingSummaries()) {
         budgets.emplace_back(boost::json::object{{"budget", row.budget},
                                                  {"holding", row.holding},
                                                  {"reserved", row.reserved},
@@ -450,7 +450,7 @@
 
 std::string Router::metricsText()
 {
-    for (const BudgetService::Row &row : m_budgets.rows()) {
+    for (const BudgetService::HoldingSummary &row : m_budgets.holdingSummaries()) {
         m_metrics.gauge("bamboohold_budget_holding_tokens", {.name = "budget", .value = row.budget}, row.holding);
         m_metrics.gauge("bamboohold_budget_reserved_tokens", {.name = "budget", .value = row.budget}, row.reserved);
     }
