--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -15,14 +15,14 @@
 namespace {
 
 /// Calls without an answer after which the table counts as out of reach.
-constexpr int s_silencesUntilLost = 2;
-constexpr Duration s_finishPoll = std::chrono::milliseconds(20);
+constexpr int s_failedCallsUntilUnreachable = 2;
+constexpr Duration s_returnPollInterval = std::chrono::milliseconds(20);
 
 }
 
 /// A request waiting for tokens. Shared by its coroutine and the table through which its outcome finds it.
-struct BudgetService::Waiter {
-    explicit Waiter(const asio::any_io_executor &executor)
+struct BudgetService::PendingReservation {
+    explicit PendingReservation(const asio::any_io_executor &executor)
         : timer(executor)
     {
     }
@@ -50,32 +50,32 @@
     m_recall = std::move(handler);
 }
 
-void BudgetService::wakeFlush()
+void BudgetService::triggerFlush()
 {
     asio::post(m_loop, [this] {
         m_flushTimer.cancel();
     });
 }
 
-void BudgetService::deliver(std::vector<ReservationResult> results)
+void BudgetService::deliverResults(std::vector<ReservationResult> results)
 {
     for (ReservationResult &result : results) {
-        const auto found = m_waiters.find(result.requestId);
-        if (found == m_waiters.end()) {
+        const auto found = m_pendingReservations.find(result.requestId);
+        if (found == m_pendingReservations.end()) {
             continue;
         }
-        const std::shared_ptr<Waiter> waiter = found->second;
-        waiter->result = std::move(result);
-        asio::post(waiter->timer.get_executor(), [waiter] {
-            waiter->timer.cancel();
+        const std::shared_ptr<PendingReservation> pending = found->second;
+        pending->result = std::move(result);
+        asio::post(pending->timer.get_executor(), [pending] {
+            pending->timer.cancel();
         });
-        m_waiters.erase(found);
+        m_pendingReservations.erase(found);
     }
 }
 
-void BudgetService::afterChange(BudgetAccount &account)
+void BudgetService::processAccountChange(BudgetAccount &account)
 {
-    deliver(account.takeResults());
+    deliverResults(account.takeResults());
     if (const auto need = account.takeRecallRequest(steadyNow()); need && m_recall) {
         // Outside the lock: the handler takes the link's.
         asio::post(m_loop, [this, budget = account.budget(), amount = *need] {
@@ -86,7 +86,7 @@
 
 asio::awaitable<absl::Status> BudgetService::reserve(std::string budget, std::string requestId, Tokens bound, Duration timeout)
 {
-    auto waiter = std::make_shared<Waiter>(co_await asio::this_coro::executor);
+    auto pending = std::make_shared<PendingReservation>(co_await asio::this_coro::executor);
     {
         const std::lock_guard lock(m_mutex);
         if (m_ledger.fenced()) {
@@ -100,20 +100,20 @@
         if (result.decision == ReservationResult::Decision::Refused) {
             co_return toStatus(result.failure);
         }
-        m_waiters.emplace(requestId, waiter);
-        wakeFlush();
+        m_pendingReservations.emplace(requestId, pending);
+        triggerFlush();
     }
-    waiter->timer.expires_after(timeout);
-    co_await waiter->timer.async_wait(asio::as_tuple(asio::use_awaitable));
+    pending->timer.expires_after(timeout);
+    co_await pending->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     const std::lock_guard lock(m_mutex);
-    if (!waiter->result) {
-        m_waiters.erase(requestId);
+    if (!pending->result) {
+        m_pendingReservations.erase(requestId);
         if (m_ledger.account(budget).cancelWaiting(requestId)) {
             co_return failed(FailureKind::DeadlineExceeded, "the deadline passed while the request waited for tokens");
         }
     }
-    if (waiter->result && waiter->result->decision == ReservationResult::Decision::Refused) {
-        co_return toStatus(waiter->result->failure);
+    if (pending->result && pending->result->decision == ReservationResult::Decision::Refused) {
+        co_return toStatus(pending->result->failure);
     }
     co_return absl::OkStatus();
 }
@@ -121,7 +121,7 @@
 std::optional<std::uint64_t> BudgetService::reserveForPeer(std::string_view budget, std::string_view requestId, Tokens bound)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_ledger.fenced() || m_returning || !m_ledger.account(budget).reserveForPeer(requestId, bound)) {
+    if (m_ledger.fenced() || m_shuttingDown || !m_ledger.account(budget).reserveForPeer(requestId, bound)) {
         return std::nullopt;
     }
     return m_ledger.nextFlush();
@@ -132,7 +132,7 @@
     const std::lock_guard lock(m_mutex);
     BudgetAccount &account = m_ledger.account(budget);
     account.lowerReservation(requestId, bound);
-    afterChange(account);
+    processAccountChange(account);
 }
 
 Tokens BudgetService::settle(Charge charge, Tokens used)
@@ -142,7 +142,7 @@
     charge.tokens = account.settle(charge.requestId, used, steadyNow());
     const Tokens charged = charge.tokens;
     m_ledger.addCharge(std::move(charge));
-    afterChange(account);
+    processAccountChange(account);
     return charged;
 }
 
@@ -155,7 +155,7 @@
     }
     const Tokens spare = m_ledger.account(budget).onPeerRecall(peer < m_options.identity.incarnation, steadyNow());
     if (spare > 0) {
-        wakeFlush();
+        triggerFlush();
     }
     return spare;
 }
@@ -198,16 +198,16 @@
     return rows;
 }
 
-void BudgetService::tableAnswered()
+void BudgetService::onTableCallSucceeded()
 {
-    m_silences = 0;
+    m_failedTableCalls = 0;
     const std::lock_guard lock(m_mutex);
     m_fleet.tableReachable = true;
 }
 
-void BudgetService::tableSilent()
+void BudgetService::onTableCallFailed()
 {
-    if (++m_silences < s_silencesUntilLost) {
+    if (++m_failedTableCalls < s_failedCallsUntilUnreachable) {
         return;
     }
     const std::lock_guard lock(m_mutex);
@@ -218,7 +218,7 @@
     for (const std::string &name : m_ledger.activeBudgets()) {
         BudgetAccount &account = m_ledger.account(name);
         account.onTableUnreachable(steadyNow());
-        afterChange(account);
+        processAccountChange(account);
     }
 }
 
@@ -238,7 +238,7 @@
     if (!read.ok()) {
         co_return false;
     }
-    tableAnswered();
+    onTableCallSucceeded();
     for (const TableRow &row : *read) {
         rows.emplace(row.key.substr(s_budgetPrefix.size()), parseBudgetRow(row));
     }
@@ -250,7 +250,7 @@
     std::map<std::string, BudgetRow, std::less<>> rows;
     const bool read = co_await readRows(rows);
     if (!read) {
-        tableSilent();
+        onTableCallFailed();
         co_return;
     }
     std::optional<FlushPlan> plan;
@@ -258,7 +258,7 @@
         const std::lock_guard lock(m_mutex);
         plan = m_ledger.planFlush(rows, m_fleet, steadyNow());
         for (const auto &[budget, row] : rows) {
-            afterChange(m_ledger.account(budget));
+            processAccountChange(m_ledger.account(budget));
         }
     }
     if (!plan) {
@@ -277,17 +277,17 @@
             const std::lock_guard lock(m_mutex);
             m_ledger.onFlushAnswerLost();
         }
-        tableSilent();
+        onTableCallFailed();
         co_return;
     }
     ++m_flushes;
-    tableAnswered();
+    onTableCallSucceeded();
     std::vector<Charge> billed;
     {
         const std::lock_guard lock(m_mutex);
         billed = m_ledger.onFlushAnswered(*verdict, steadyNow());
         for (const BudgetUpdate &update : plan->budgetUpdates) {
-            afterChange(m_ledger.account(update.budget));
+            processAccountChange(m_ledger.account(update.budget));
         }
     }
     if (!billed.empty() && m_billed) {
@@ -298,7 +298,7 @@
 asio::awaitable<void> BudgetService::run()
 {
     Instant lastFlush{};
-    while (!m_returning) {
+    while (!m_shuttingDown) {
         bool urgent = false;
         Duration urgentFlushInterval{};
         {
@@ -306,7 +306,7 @@
             for (const std::string &name : m_ledger.activeBudgets()) {
                 BudgetAccount &account = m_ledger.account(name);
                 account.expireRecall(steadyNow());
-                afterChange(account);
+                processAccountChange(account);
             }
             urgent = m_ledger.needsUrgentFlush(steadyNow()) || !m_ledger.registered();
             urgentFlushInterval =
@@ -327,14 +327,14 @@
 asio::awaitable<void> BudgetService::returnHoldings(Duration limit)
 {
     const Instant end = steadyNow() + limit;
-    m_returning = true;
+    m_shuttingDown = true;
     {
         const std::lock_guard lock(m_mutex);
         m_ledger.beginClose();
     }
     asio::steady_timer timer(m_loop);
-    bool left = true;
-    while (left && steadyNow() < end) {
+    bool returning = true;
+    while (returning && steadyNow() < end) {
         {
             const std::lock_guard lock(m_mutex);
             for (const auto &[name, ignored] : m_ledger.accounts()) {
@@ -344,9 +344,9 @@
         co_await flushOnce();
         {
             const std::lock_guard lock(m_mutex);
-            left = !m_ledger.fenced() && !m_ledger.closed();
+            returning = !m_ledger.fenced() && !m_ledger.closed();
         }
-        timer.expires_after(s_finishPoll);
+        timer.expires_after(s_returnPollInterval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
 }
--- a/src/budget/budgetservice.h
+++ b/src/budget/budgetservice.h
@@ -93,15 +93,15 @@
     }
 
 private:
-    struct Waiter;
+    struct PendingReservation;
 
     asio::awaitable<void> flushOnce();
     asio::awaitable<bool> readRows(std::map<std::string, BudgetRow, std::less<>> &rows);
-    void tableAnswered();
-    void tableSilent();
-    void deliver(std::vector<ReservationResult> results);
-    void afterChange(BudgetAccount &account);
-    void wakeFlush();
+    void onTableCallSucceeded();
+    void onTableCallFailed();
+    void deliverResults(std::vector<ReservationResult> results);
+    void processAccountChange(BudgetAccount &account);
+    void triggerFlush();
 
     asio::any_io_executor m_loop;
     PlatformClient &m_platform;
@@ -112,10 +112,10 @@
     mutable std::mutex m_mutex;
     NodeLedger m_ledger;
     FleetView m_fleet;
-    absl::flat_hash_map<std::string, std::shared_ptr<Waiter>> m_waiters;
+    absl::flat_hash_map<std::string, std::shared_ptr<PendingReservation>> m_pendingReservations;
     std::uint64_t m_flushes = 0;
-    int m_silences = 0;
-    bool m_returning = false;
+    int m_failedTableCalls = 0;
+    bool m_shuttingDown = false;
 };
 
 }
