--- a/src/budget/sponsorship.cpp
+++ b/src/budget/sponsorship.cpp
@@ -54,10 +54,10 @@
     std::optional<wire::SponsorAnswer> answer;
 };
 
-Sponsorship::Sponsorship(asio::any_io_executor loop, BudgetService &budgets, HelperSource helpers, Options options)
+Sponsorship::Sponsorship(asio::any_io_executor loop, BudgetService &budgets, PeerSource peers, Options options)
     : m_loop(std::move(loop))
     , m_budgets(budgets)
-    , m_helpers(std::move(helpers))
+    , m_peerSource(std::move(peers))
     , m_options(options)
 {
 }
@@ -67,11 +67,11 @@
     m_link = link;
 }
 
-asio::awaitable<std::optional<Sponsorship::Sponsor>> Sponsorship::ask(Need need)
+asio::awaitable<std::optional<Sponsorship::Sponsor>> Sponsorship::findSponsor(UnfundedRequest unfunded)
 {
-    const std::vector<std::string> helpers = m_helpers();
-    for (const std::string &peer : helpers) {
-        auto sponsor = co_await askOne(peer, need);
+    const std::vector<std::string> peers = m_peerSource();
+    for (const std::string &peer : peers) {
+        auto sponsor = co_await askPeer(peer, unfunded);
         if (sponsor) {
             co_return sponsor;
         }
@@ -79,29 +79,29 @@
     co_return std::nullopt;
 }
 
-asio::awaitable<std::optional<Sponsorship::Sponsor>> Sponsorship::askOne(std::string peer, Need need)
+asio::awaitable<std::optional<Sponsorship::Sponsor>> Sponsorship::askPeer(std::string peer, UnfundedRequest unfunded)
 {
     auto asking = std::make_shared<Asking>(co_await asio::this_coro::executor);
     asking->peer = peer;
     {
         const std::lock_guard lock(m_mutex);
-        m_asking.insert_or_assign(need.requestId, asking);
+        m_asking.insert_or_assign(unfunded.requestId, asking);
     }
     wire::Envelope envelope;
     wire::SponsorRequest &request = *envelope.mutable_sponsor_request();
-    request.set_request_id(need.requestId);
-    request.set_budget(need.budget);
-    request.set_team(need.team);
-    request.set_bound(need.bound);
-    request.set_over_in_ms(inMilliseconds(need.overIn));
-    asking->timer.expires_after(m_options.answerTime);
+    request.set_request_id(unfunded.requestId);
+    request.set_budget(unfunded.budget);
+    request.set_team(unfunded.team);
+    request.set_bound(unfunded.bound);
+    request.set_over_in_ms(inMilliseconds(unfunded.endsWithin));
+    asking->timer.expires_after(m_options.answerTimeout);
     m_link->send(peer, envelope);
     co_await asking->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     std::optional<Sponsor> sponsor;
     bool answered = false;
     {
         const std::lock_guard lock(m_mutex);
-        m_asking.erase(need.requestId);
+        m_asking.erase(unfunded.requestId);
         answered = asking->answer.has_value();
         if (answered && asking->answer->granted()) {
             sponsor = Sponsor{.payer = peer, .earliestFlush = asking->answer->earliest_flush()};
@@ -110,7 +110,7 @@
     if (!answered) {
         // The peer may have reserved all the same; this request will not run on its account.
         wire::Envelope release;
-        release.mutable_sponsored_end()->set_request_id(need.requestId);
+        release.mutable_sponsored_end()->set_request_id(unfunded.requestId);
         release.mutable_sponsored_end()->set_not_run(true);
         m_link->send(peer, release);
     }
@@ -121,11 +121,11 @@
 {
     const auto earliestFlush = m_budgets.reserveForPeer(request.budget(), request.request_id(), request.bound());
     if (earliestFlush) {
-        const Instant overAt = steadyNow() + std::chrono::milliseconds(request.over_in_ms());
+        const Instant endsBy = steadyNow() + std::chrono::milliseconds(request.over_in_ms());
         const std::lock_guard lock(m_mutex);
         m_sponsored.insert_or_assign(
             request.request_id(),
-            Sponsored{.budget = request.budget(), .team = request.team(), .bound = request.bound(), .overAt = overAt});
+            Sponsored{.budget = request.budget(), .team = request.team(), .bound = request.bound(), .endsBy = endsBy});
     }
     wire::Envelope envelope;
     envelope.mutable_sponsor_answer()->set_request_id(request.request_id());
@@ -181,7 +181,7 @@
     m_budgets.settle(std::move(charge), message.not_run() ? 0 : end.charged);
 }
 
-void Sponsorship::ended(std::string_view payer, std::string_view requestId, const RequestCourse &course)
+void Sponsorship::reportEnd(std::string_view payer, std::string_view requestId, const RequestCourse &course)
 {
     // Without a count from the sidecar this router knows no more than the payer will hear from there.
     const bool notRun = course.outcome() == Outcome::NotRun;
@@ -199,7 +199,7 @@
     m_link->send(payer, envelope);
 }
 
-asio::awaitable<void> Sponsorship::expire()
+asio::awaitable<void> Sponsorship::settleOverdueRuns()
 {
     asio::steady_timer timer(m_loop);
     while (true) {
@@ -209,7 +209,7 @@
         {
             const std::lock_guard lock(m_mutex);
             for (const auto &[requestId, sponsored] : m_sponsored) {
-                if (steadyNow() >= sponsored.overAt + m_options.grace) {
+                if (steadyNow() >= sponsored.endsBy + m_options.endReportGrace) {
                     overdue.push_back(requestId);
                 }
             }
--- a/src/budget/sponsorship.h
+++ b/src/budget/sponsorship.h
@@ -27,18 +27,18 @@
 public:
     struct Options {
         /// Time a peer has to answer.
-        Duration answerTime = std::chrono::milliseconds(500);
+        Duration answerTimeout = std::chrono::milliseconds(500);
         /// Time that the ends of a run have to arrive after it is over.
-        Duration grace = std::chrono::seconds(60);
+        Duration endReportGrace = std::chrono::seconds(60);
     };
 
     /// A request that needs a sponsor.
-    struct Need {
+    struct UnfundedRequest {
         std::string requestId;
         std::string budget;
         std::string team;
         Tokens bound = 0;
-        Duration overIn{};
+        Duration endsWithin{};
     };
 
     /// A peer that reserved.
@@ -47,25 +47,25 @@
         std::uint64_t earliestFlush = 0;
     };
 
-    using HelperSource = std::function<std::vector<std::string>()>;
+    using PeerSource = std::function<std::vector<std::string>()>;
 
-    Sponsorship(asio::any_io_executor loop, BudgetService &budgets, HelperSource helpers, Options options);
+    Sponsorship(asio::any_io_executor loop, BudgetService &budgets, PeerSource peers, Options options);
 
     /// The link to send on; set before the first request.
     void setLink(LinkHub *link);
 
     /// Asks peers one after the other; empty when none can.
-    asio::awaitable<std::optional<Sponsor>> ask(Need need);
+    asio::awaitable<std::optional<Sponsor>> findSponsor(UnfundedRequest unfunded);
 
     /// The router that asked tells the payer how the request ended, where it knows.
-    void ended(std::string_view payer, std::string_view requestId, const RequestCourse &course);
+    void reportEnd(std::string_view payer, std::string_view requestId, const RequestCourse &course);
 
     void onRequest(std::string_view peer, const wire::SponsorRequest &request);
     void onAnswer(std::string_view peer, const wire::SponsorAnswer &answer);
     void onEnd(const wire::SponsoredEnd &end);
 
     /// Charges the worst case of runs that nobody reported. Runs for as long as the process.
-    asio::awaitable<void> expire();
+    asio::awaitable<void> settleOverdueRuns();
 
 private:
     struct Asking;
@@ -74,15 +74,15 @@
         std::string budget;
         std::string team;
         Tokens bound = 0;
-        Instant overAt;
+        Instant endsBy;
     };
 
-    asio::awaitable<std::optional<Sponsor>> askOne(std::string peer, Need need);
+    asio::awaitable<std::optional<Sponsor>> askPeer(std::string peer, UnfundedRequest unfunded);
     std::optional<Sponsored> take(const std::string &requestId);
 
     asio::any_io_executor m_loop;
     BudgetService &m_budgets;
-    HelperSource m_helpers;
+    PeerSource m_peerSource;
     Options m_options;
     LinkHub *m_link = nullptr;
     std::mutex m_mutex;
--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -213,12 +213,12 @@
     if (reserved.ok() || toFailure(reserved).kind != FailureKind::BudgetUnreachable) {
         co_return reserved;
     }
-    Sponsorship::Need need{.requestId = request.requestId,
-                           .budget = request.budget,
-                           .team = request.team,
-                           .bound = request.bound,
-                           .overIn = request.deadline - steadyNow() + m_options.targetSilence};
-    const auto sponsor = co_await m_sponsors.ask(std::move(need));
+    Sponsorship::UnfundedRequest need{.requestId = request.requestId,
+                                      .budget = request.budget,
+                                      .team = request.team,
+                                      .bound = request.bound,
+                                      .endsWithin = request.deadline - steadyNow() + m_options.targetSilence};
+    const auto sponsor = co_await m_sponsors.findSponsor(std::move(need));
     if (!sponsor) {
         co_return reserved;
     }
@@ -429,7 +429,7 @@
         return;
     }
     if (!journey.payer.empty()) {
-        m_sponsors.ended(journey.payer, request.requestId, course);
+        m_sponsors.reportEnd(journey.payer, request.requestId, course);
         return;
     }
     Charge charge{.requestId = request.requestId,
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -129,7 +129,7 @@
     asio::co_spawn(loop, m_budgets.run(), asio::detached);
     asio::co_spawn(loop, watchForDeadRouters(), asio::detached);
     asio::co_spawn(loop, watchForFencing(), asio::detached);
-    asio::co_spawn(loop, m_sponsors.expire(), asio::detached);
+    asio::co_spawn(loop, m_sponsors.settleOverdueRuns(), asio::detached);
     logLine(Severity::Info, "router is up", {{"incarnation", m_identity.incarnation}});
     return absl::OkStatus();
 }
