--- a/src/budget/sponsorship.cpp
+++ b/src/budget/sponsorship.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr Duration s_expiryPoll = std::chrono::seconds(5);
+constexpr Duration s_overduePollInterval = std::chrono::seconds(5);
 
 std::int64_t inMilliseconds(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-Outcome outcomeOf(RunEnd end)
+Outcome outcomeForRunEnd(RunEnd end)
 {
     switch (end) {
     case RunEnd::Complete:
@@ -35,7 +35,7 @@
     return Outcome::FailedAfterRunning;
 }
 
-RunEnd endOf(Outcome outcome)
+RunEnd runEndForOutcome(Outcome outcome)
 {
     return outcome == Outcome::Answered ? RunEnd::Complete : RunEnd::FailedAfterRunning;
 }
@@ -43,8 +43,8 @@
 }
 
 /// A request for which a peer was asked. Shared by its coroutine and the table through which the answer finds it.
-struct Sponsorship::Asking {
-    explicit Asking(const asio::any_io_executor &loop)
+struct Sponsorship::PendingQuery {
+    explicit PendingQuery(const asio::any_io_executor &loop)
         : timer(loop)
     {
     }
@@ -81,11 +81,11 @@
 
 asio::awaitable<std::optional<Sponsorship::Sponsor>> Sponsorship::askPeer(std::string peer, UnfundedRequest unfunded)
 {
-    auto asking = std::make_shared<Asking>(co_await asio::this_coro::executor);
-    asking->peer = peer;
+    auto query = std::make_shared<PendingQuery>(co_await asio::this_coro::executor);
+    query->peer = peer;
     {
         const std::lock_guard lock(m_mutex);
-        m_asking.insert_or_assign(unfunded.requestId, asking);
+        m_pendingQueries.insert_or_assign(unfunded.requestId, query);
     }
     wire::Envelope envelope;
     wire::SponsorRequest &request = *envelope.mutable_sponsor_request();
@@ -94,17 +94,17 @@
     request.set_team(unfunded.team);
     request.set_bound(unfunded.bound);
     request.set_over_in_ms(inMilliseconds(unfunded.endsWithin));
-    asking->timer.expires_after(m_options.answerTimeout);
+    query->timer.expires_after(m_options.answerTimeout);
     m_link->send(peer, envelope);
-    co_await asking->timer.async_wait(asio::as_tuple(asio::use_awaitable));
+    co_await query->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     std::optional<Sponsor> sponsor;
     bool answered = false;
     {
         const std::lock_guard lock(m_mutex);
-        m_asking.erase(unfunded.requestId);
-        answered = asking->answer.has_value();
-        if (answered && asking->answer->granted()) {
-            sponsor = Sponsor{.payer = peer, .earliestFlush = asking->answer->earliest_flush()};
+        m_pendingQueries.erase(unfunded.requestId);
+        answered = query->answer.has_value();
+        if (answered && query->answer->granted()) {
+            sponsor = Sponsor{.payer = peer, .earliestFlush = query->answer->earliest_flush()};
         }
     }
     if (!answered) {
@@ -123,9 +123,9 @@
     if (earliestFlush) {
         const Instant endsBy = steadyNow() + std::chrono::milliseconds(request.over_in_ms());
         const std::lock_guard lock(m_mutex);
-        m_sponsored.insert_or_assign(
+        m_sponsoredRuns.insert_or_assign(
             request.request_id(),
-            Sponsored{.budget = request.budget(), .team = request.team(), .bound = request.bound(), .endsBy = endsBy});
+            SponsoredRun{.budget = request.budget(), .team = request.team(), .bound = request.bound(), .endsBy = endsBy});
     }
     wire::Envelope envelope;
     envelope.mutable_sponsor_answer()->set_request_id(request.request_id());
@@ -137,31 +137,31 @@
 void Sponsorship::onAnswer(std::string_view peer, const wire::SponsorAnswer &answer)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_asking.find(answer.request_id());
-    if (found == m_asking.end() || found->second->peer != peer) {
+    const auto found = m_pendingQueries.find(answer.request_id());
+    if (found == m_pendingQueries.end() || found->second->peer != peer) {
         return;
     }
     found->second->answer = answer;
-    asio::post(found->second->timer.get_executor(), [asking = found->second] {
-        asking->timer.cancel();
+    asio::post(found->second->timer.get_executor(), [query = found->second] {
+        query->timer.cancel();
     });
 }
 
-std::optional<Sponsorship::Sponsored> Sponsorship::take(const std::string &requestId)
+std::optional<Sponsorship::SponsoredRun> Sponsorship::takeSponsoredRun(const std::string &requestId)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_sponsored.find(requestId);
-    if (found == m_sponsored.end()) {
+    const auto found = m_sponsoredRuns.find(requestId);
+    if (found == m_sponsoredRuns.end()) {
         return std::nullopt;
     }
-    Sponsored sponsored = std::move(found->second);
-    m_sponsored.erase(found);
+    SponsoredRun sponsored = std::move(found->second);
+    m_sponsoredRuns.erase(found);
     return sponsored;
 }
 
 void Sponsorship::onEnd(const wire::SponsoredEnd &message)
 {
-    const auto sponsored = take(message.request_id());
+    const auto sponsored = takeSponsoredRun(message.request_id());
     if (!sponsored) {
         return;
     }
@@ -171,7 +171,7 @@
                   .budget = sponsored->budget,
                   .target = message.target(),
                   .attempt = message.attempt(),
-                  .outcome = message.not_run() ? Outcome::NotRun : outcomeOf(end.end),
+                  .outcome = message.not_run() ? Outcome::NotRun : outcomeForRunEnd(end.end),
                   .estimated = !message.not_run() && !end.usage,
                   .chargedAtMs = wallClockMs()};
     if (end.usage) {
@@ -194,7 +194,7 @@
     message.set_target(course.target());
     message.set_attempt(course.attempt());
     message.set_not_run(notRun);
-    const AnswerFrame::End end{.end = endOf(course.outcome()), .usage = course.usage(), .charged = course.charged().value_or(0)};
+    const AnswerFrame::End end{.end = runEndForOutcome(course.outcome()), .usage = course.usage(), .charged = course.charged().value_or(0)};
     *message.mutable_end() = toWire(requestId, {.content = end}).end();
     m_link->send(payer, envelope);
 }
@@ -203,19 +203,19 @@
 {
     asio::steady_timer timer(m_loop);
     while (true) {
-        timer.expires_after(s_expiryPoll);
+        timer.expires_after(s_overduePollInterval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         std::vector<std::string> overdue;
         {
             const std::lock_guard lock(m_mutex);
-            for (const auto &[requestId, sponsored] : m_sponsored) {
+            for (const auto &[requestId, sponsored] : m_sponsoredRuns) {
                 if (steadyNow() >= sponsored.endsBy + m_options.endReportGrace) {
                     overdue.push_back(requestId);
                 }
             }
         }
         for (const std::string &requestId : overdue) {
-            if (const auto sponsored = take(requestId)) {
+            if (const auto sponsored = takeSponsoredRun(requestId)) {
                 Charge charge{.requestId = requestId, .team = sponsored->team, .budget = sponsored->budget, .outcome = Outcome::Unknown};
                 charge.estimated = true;
                 charge.chargedAtMs = wallClockMs();
--- a/src/budget/sponsorship.h
+++ b/src/budget/sponsorship.h
@@ -68,9 +68,9 @@
     asio::awaitable<void> settleOverdueRuns();
 
 private:
-    struct Asking;
+    struct PendingQuery;
 
-    struct Sponsored {
+    struct SponsoredRun {
         std::string budget;
         std::string team;
         Tokens bound = 0;
@@ -78,7 +78,7 @@
     };
 
     asio::awaitable<std::optional<Sponsor>> askPeer(std::string peer, UnfundedRequest unfunded);
-    std::optional<Sponsored> take(const std::string &requestId);
+    std::optional<SponsoredRun> takeSponsoredRun(const std::string &requestId);
 
     asio::any_io_executor m_loop;
     BudgetService &m_budgets;
@@ -86,8 +86,8 @@
     Options m_options;
     LinkHub *m_link = nullptr;
     std::mutex m_mutex;
-    std::map<std::string, std::shared_ptr<Asking>> m_asking;
-    std::map<std::string, Sponsored> m_sponsored;
+    std::map<std::string, std::shared_ptr<PendingQuery>> m_pendingQueries;
+    std::map<std::string, SponsoredRun> m_sponsoredRuns;
 };
 
 }
