--- a/src/tests/budgetaccounttest.cpp
+++ b/src/tests/budgetaccounttest.cpp
@@ -10,8 +10,8 @@
 
 using Decision = ReservationResult::Decision;
 
-constexpr FleetView s_alone{.routers = 1};
-constexpr FleetView s_three{.routers = 3};
+constexpr FleetView s_singleRouter{.routers = 1};
+constexpr FleetView s_threeRouters{.routers = 3};
 
 Instant at(std::int64_t milliseconds)
 {
@@ -19,7 +19,7 @@
 }
 
 /// An account that holds so many tokens.
-BudgetAccount holding(Tokens tokens, AccountPolicy policy = {})
+BudgetAccount accountHolding(Tokens tokens, AccountPolicy policy = {})
 {
     BudgetAccount account("team", policy);
     account.onFlushApplied({.budget = "team", .draw = tokens}, at(0));
@@ -30,8 +30,8 @@
 
 BOOST_AUTO_TEST_CASE(reservesWithinHoldingAndChargesWhatWasUsed)
 {
-    BudgetAccount account = holding(1000);
-    BOOST_TEST((account.reserve("a", 600, s_alone, at(1)).decision == Decision::Admitted));
+    BudgetAccount account = accountHolding(1000);
+    BOOST_TEST((account.reserve("a", 600, s_singleRouter, at(1)).decision == Decision::Admitted));
     BOOST_TEST(account.available() == 400);
     account.lowerReservation("a", 500);
     account.lowerReservation("a", 900);
@@ -47,12 +47,12 @@
         Tokens used;
         Tokens charged;
     };
-    for (const Case &one : {Case{0, 0}, Case{299, 299}, Case{300, 300}, Case{5000, 300}, Case{-7, 0}}) {
-        BudgetAccount account = holding(1000);
-        account.reserve("a", 300, s_alone, at(1));
-        BOOST_TEST(account.settle("a", one.used, at(2)) == one.charged);
-        BOOST_TEST(account.settle("a", one.used, at(3)) == 0);
-        BOOST_TEST(account.unsettled() == one.charged);
+    for (const Case &example : {Case{0, 0}, Case{299, 299}, Case{300, 300}, Case{5000, 300}, Case{-7, 0}}) {
+        BudgetAccount account = accountHolding(1000);
+        account.reserve("a", 300, s_singleRouter, at(1));
+        BOOST_TEST(account.settle("a", example.used, at(2)) == example.charged);
+        BOOST_TEST(account.settle("a", example.used, at(3)) == 0);
+        BOOST_TEST(account.unsettled() == example.charged);
     }
 }
 
@@ -60,10 +60,10 @@
 // out, a second request comes, the first ends having used little. Cause: worst cases are several times what requests use.
 BOOST_AUTO_TEST_CASE(waitsForAReservationInFlightThatCanStillAdmitIt)
 {
-    BudgetAccount account = holding(1000);
-    account.reserve("large", 900, s_alone, at(1));
+    BudgetAccount account = accountHolding(1000);
+    account.reserve("large", 900, s_singleRouter, at(1));
     account.onDrawRefused({.free = 0}, at(2));
-    BOOST_TEST((account.reserve("second", 500, s_alone, at(3)).decision == Decision::Waiting));
+    BOOST_TEST((account.reserve("second", 500, s_singleRouter, at(3)).decision == Decision::Waiting));
     account.settle("large", 100, at(50));
     const auto results = account.takeResults();
     BOOST_REQUIRE(results.size() == 1);
@@ -74,10 +74,10 @@
 // nearly all of its worst case. Cause: nothing in flight can admit it any more, so holding it back would only keep it from going elsewhere.
 BOOST_AUTO_TEST_CASE(refusesAtOnceWhenNothingInFlightCanAdmitIt)
 {
-    BudgetAccount account = holding(1000, {.refusalCacheTime = std::chrono::milliseconds(500)});
-    account.reserve("large", 900, s_alone, at(1));
+    BudgetAccount account = accountHolding(1000, {.refusalCacheTime = std::chrono::milliseconds(500)});
+    account.reserve("large", 900, s_singleRouter, at(1));
     account.onDrawRefused({.free = 0}, at(2));
-    account.reserve("second", 500, s_alone, at(3));
+    account.reserve("second", 500, s_singleRouter, at(3));
     account.settle("large", 890, at(50));
     const auto results = account.takeResults();
     BOOST_REQUIRE(results.size() == 1);
@@ -87,22 +87,22 @@
     BOOST_TEST((results[0].failure.ran == Ran::No));
 }
 
-BOOST_AUTO_TEST_CASE(refusalNamesItsReason)
+BOOST_AUTO_TEST_CASE(refusalReportsItsReason)
 {
     struct Case {
         BudgetRow row;
         FailureKind kind;
     };
-    for (const Case &one : {Case{{.free = 10}, FailureKind::BudgetExhausted},
-                            Case{{.free = 900, .closed = true}, FailureKind::BudgetClosed},
-                            Case{{.exists = false}, FailureKind::BudgetClosed}}) {
+    for (const Case &example : {Case{{.free = 10}, FailureKind::BudgetExhausted},
+                                Case{{.free = 900, .closed = true}, FailureKind::BudgetClosed},
+                                Case{{.exists = false}, FailureKind::BudgetClosed}}) {
         BudgetAccount account("team", {});
-        BOOST_TEST((account.reserve("a", 100, s_alone, at(1)).decision == Decision::Waiting));
-        const BudgetUpdate update = account.planFlush(one.row, s_alone, at(2));
+        BOOST_TEST((account.reserve("a", 100, s_singleRouter, at(1)).decision == Decision::Waiting));
+        const BudgetUpdate update = account.planFlush(example.row, s_singleRouter, at(2));
         BOOST_TEST(update.draw == 0);
         const auto results = account.takeResults();
         BOOST_REQUIRE(results.size() == 1);
-        BOOST_TEST((results[0].failure.kind == one.kind));
+        BOOST_TEST((results[0].failure.kind == example.kind));
     }
 }
 
@@ -115,17 +115,17 @@
         Tokens highest;
     };
     // Plenty: several requests ahead. Little: the waiting request alone, so that the rest stays for others. Too little: nothing.
-    for (const Case &one : {Case{1'000'000, 3, 400, 400},
-                            Case{600, 3, 100, 100},
-                            Case{100, 3, 100, 100},
-                            Case{99, 3, 0, 0},
-                            Case{1600, 2, 400, 400},
-                            Case{1599, 2, 100, 100}}) {
+    for (const Case &example : {Case{1'000'000, 3, 400, 400},
+                                Case{600, 3, 100, 100},
+                                Case{100, 3, 100, 100},
+                                Case{99, 3, 0, 0},
+                                Case{1600, 2, 400, 400},
+                                Case{1599, 2, 100, 100}}) {
         BudgetAccount account("team", {});
-        account.reserve("a", 100, {.routers = one.routers}, at(1));
-        const BudgetUpdate update = account.planFlush(BudgetRow{.free = one.free}, {.routers = one.routers}, at(2));
-        BOOST_TEST(update.draw >= one.lowest);
-        BOOST_TEST(update.draw <= one.highest);
+        account.reserve("a", 100, {.routers = example.routers}, at(1));
+        const BudgetUpdate update = account.planFlush(BudgetRow{.free = example.free}, {.routers = example.routers}, at(2));
+        BOOST_TEST(update.draw >= example.lowest);
+        BOOST_TEST(update.draw <= example.highest);
     }
 }
 
@@ -134,36 +134,36 @@
 BOOST_AUTO_TEST_CASE(asksPeersBeforeItRefuses)
 {
     BudgetAccount account("team", {});
-    account.reserve("a", 100, s_three, at(1));
-    account.planFlush(BudgetRow{.free = 20}, s_three, at(2));
+    account.reserve("a", 100, s_threeRouters, at(1));
+    account.planFlush(BudgetRow{.free = 20}, s_threeRouters, at(2));
     BOOST_TEST(account.takeResults().empty());
     BOOST_TEST(account.takeRecallRequest(at(2)).value_or(0) == 100);
     BOOST_TEST(!account.takeRecallRequest(at(2)).has_value());
     account.onRecallEnded(80, at(30));
-    BOOST_TEST(account.planFlush(BudgetRow{.free = 100}, s_three, at(40)).draw == 100);
+    BOOST_TEST(account.planFlush(BudgetRow{.free = 100}, s_threeRouters, at(40)).draw == 100);
 }
 
 BOOST_AUTO_TEST_CASE(refusesWhenPeersHaveNothingEither)
 {
     BudgetAccount account("team", {.refusalCacheTime = std::chrono::milliseconds(500)});
-    account.reserve("a", 100, s_three, at(1));
-    account.planFlush(BudgetRow{.free = 20}, s_three, at(2));
+    account.reserve("a", 100, s_threeRouters, at(1));
+    account.planFlush(BudgetRow{.free = 20}, s_threeRouters, at(2));
     account.expireRecall(at(1000));
-    account.planFlush(BudgetRow{.free = 20}, s_three, at(1001));
+    account.planFlush(BudgetRow{.free = 20}, s_threeRouters, at(1001));
     const auto results = account.takeResults();
     BOOST_REQUIRE(results.size() == 1);
     BOOST_TEST((results[0].decision == Decision::Refused));
     // Remembered for a moment, then asked anew, so that a top-up is found.
-    BOOST_TEST((account.reserve("b", 100, s_three, at(1100)).decision == Decision::Refused));
-    BOOST_TEST((account.reserve("c", 100, s_three, at(1600)).decision == Decision::Waiting));
+    BOOST_TEST((account.reserve("b", 100, s_threeRouters, at(1100)).decision == Decision::Refused));
+    BOOST_TEST((account.reserve("c", 100, s_threeRouters, at(1600)).decision == Decision::Waiting));
 }
 
 BOOST_AUTO_TEST_CASE(givesRecalledSurplusBackAndKeepsWhatIsReserved)
 {
-    BudgetAccount account = holding(1000);
-    account.reserve("a", 300, s_three, at(1));
+    BudgetAccount account = accountHolding(1000);
+    account.reserve("a", 300, s_threeRouters, at(1));
     BOOST_TEST(account.onPeerRecall(true, at(2)) == 700);
-    const BudgetUpdate update = account.planFlush(std::nullopt, s_three, at(3));
+    const BudgetUpdate update = account.planFlush(std::nullopt, s_threeRouters, at(3));
     BOOST_TEST(update.returnAmount == 700);
     // On its way back it cannot be promised to anybody.
     BOOST_TEST(account.available() == 0);
@@ -173,47 +173,47 @@
 
 // A user would see two routers that both refuse although together they hold enough. Order: each needs 800, each holds 500, each recalls the
 // other. Cause: a router with waiting requests keeps what it has; the fixed order between routers makes one give way.
-BOOST_AUTO_TEST_CASE(ofTwoThatWaitOneGivesWay)
+BOOST_AUTO_TEST_CASE(ofTwoWaitingRoutersOneReturnsItsHolding)
 {
-    BudgetAccount account = holding(500);
-    account.reserve("a", 800, s_three, at(1));
+    BudgetAccount account = accountHolding(500);
+    account.reserve("a", 800, s_threeRouters, at(1));
     BOOST_TEST(account.onPeerRecall(false, at(2)) == 0);
     BOOST_TEST(account.onPeerRecall(true, at(2)) == 500);
 }
 
 // Near the end each router's remainder is too small for any request, while together they would serve one. What cannot be used here must go
 // back although somebody waits here.
-BOOST_AUTO_TEST_CASE(remaindersMeetInTheTable)
+BOOST_AUTO_TEST_CASE(returnsARemainderTooSmallForAnyWaitingRequest)
 {
-    BudgetAccount account = holding(1000);
-    account.reserve("running", 500, s_three, at(1));
+    BudgetAccount account = accountHolding(1000);
+    account.reserve("running", 500, s_threeRouters, at(1));
     account.onDrawRefused({.free = 10}, at(2));
-    account.reserve("waiting", 900, s_three, at(3));
+    account.reserve("waiting", 900, s_threeRouters, at(3));
     account.expireRecall(at(1000));
-    BOOST_TEST(account.planFlush(BudgetRow{.free = 10}, s_three, at(1001)).returnAmount == 500);
+    BOOST_TEST(account.planFlush(BudgetRow{.free = 10}, s_threeRouters, at(1001)).returnAmount == 500);
     BOOST_TEST(account.available() == 0);
     BOOST_TEST(account.waiting() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(sponsorsOnlyFromWhatNobodyHereWaitsFor)
+BOOST_AUTO_TEST_CASE(reservesForPeersOnlyWhileNoOwnRequestWaits)
 {
-    BudgetAccount account = holding(1000);
+    BudgetAccount account = accountHolding(1000);
     BOOST_TEST(account.reserveForPeer("peer's", 600));
     BOOST_TEST(!account.reserveForPeer("peer's", 100));
     BOOST_TEST(!account.reserveForPeer("another", 500));
-    BOOST_TEST((account.reserve("own", 900, s_three, at(1)).decision == Decision::Waiting));
+    BOOST_TEST((account.reserve("own", 900, s_threeRouters, at(1)).decision == Decision::Waiting));
     BOOST_TEST(!account.reserveForPeer("small", 10));
     BOOST_TEST(account.settle("peer's", 200, at(2)) == 200);
     BOOST_TEST(account.unsettled() == 200);
 }
 
-BOOST_AUTO_TEST_CASE(withoutTheTableOnlyHoldingsAreSpent)
+BOOST_AUTO_TEST_CASE(spendsOnlyItsHoldingWhileTheTableIsUnreachable)
 {
-    BudgetAccount account = holding(150);
+    BudgetAccount account = accountHolding(150);
     account.onTableUnreachable(at(1));
-    const FleetView cutOff{.routers = 3, .tableReachable = false};
-    BOOST_TEST((account.reserve("a", 100, cutOff, at(2)).decision == Decision::Admitted));
-    const auto result = account.reserve("b", 100, cutOff, at(3));
+    const FleetView tableUnreachable{.routers = 3, .tableReachable = false};
+    BOOST_TEST((account.reserve("a", 100, tableUnreachable, at(2)).decision == Decision::Admitted));
+    const auto result = account.reserve("b", 100, tableUnreachable, at(3));
     BOOST_TEST((result.decision == Decision::Waiting));
     account.settle("a", 90, at(4));
     const auto results = account.takeResults();
--- a/src/tests/nodeledgertest.cpp
+++ b/src/tests/nodeledgertest.cpp
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr Instant s_start{std::chrono::hours(1)};
-constexpr FleetView s_alone{.routers = 1};
+constexpr FleetView s_singleRouter{.routers = 1};
 
-struct OneRouter {
+struct SingleRouterFixture {
     MemoryTable table;
     NodeLedger ledger{{.identity = {.incarnation = "router~1", .host = "host", .linkAddress = "127.0.0.1:1"}}};
 
-    explicit OneRouter(Tokens prepaid)
+    explicit SingleRouterFixture(Tokens prepaid)
     {
         (void)table.transact({.operations = {putRow(budgetKey("team"), newBudgetFields(prepaid), 0)}});
         flush();
@@ -28,10 +28,10 @@
     std::optional<FlushPlan> plan()
     {
         std::map<std::string, BudgetRow, std::less<>> rows;
-        for (const std::string &budget : ledger.budgetsToRead(s_alone, s_start)) {
+        for (const std::string &budget : ledger.budgetsToRead(s_singleRouter, s_start)) {
             rows.emplace(budget, parseBudgetRow(*table.read(budgetKey(budget))));
         }
-        return ledger.planFlush(rows, s_alone, s_start);
+        return ledger.planFlush(rows, s_singleRouter, s_start);
     }
 
     void flush()
@@ -44,7 +44,7 @@
 
     void spend(const std::string &request, Tokens bound, Tokens used)
     {
-        ledger.account("team").reserve(request, bound, s_alone, s_start);
+        ledger.account("team").reserve(request, bound, s_singleRouter, s_start);
         flush();
         const Tokens charged = ledger.account("team").settle(request, used, s_start);
         ledger.addCharge({.requestId = request, .budget = "team", .tokens = charged});
@@ -60,7 +60,7 @@
 
 BOOST_AUTO_TEST_CASE(drawsReservesSettlesAndBalances)
 {
-    OneRouter router(10'000);
+    SingleRouterFixture router(10'000);
     router.spend("a", 100, 40);
     router.flush();
     BOOST_TEST(router.field("consumed") == 40);
@@ -70,9 +70,9 @@
 
 // A team would be billed twice. Order: the flush takes effect, its answer is lost, the router sends again, finds its row moved on. Cause: a
 // lost answer says nothing about the effect; the flush id in the router's own row does.
-BOOST_AUTO_TEST_CASE(lostAnswerIsResolvedByTheRow)
+BOOST_AUTO_TEST_CASE(resolvesALostAnswerByTheFlushIdInItsRow)
 {
-    OneRouter router(10'000);
+    SingleRouterFixture router(10'000);
     router.spend("a", 100, 40);
     const auto sent = router.plan();
     (void)router.table.putObject(sent->objectKey, sent->object);
@@ -92,11 +92,11 @@
 // A team would be billed twice or its grant lost. Order: a flush is held up in the network, its second copy is refused because another
 // router took the last free tokens, a new flush is planned, and then the first copy arrives. Cause: a plan that was refused once can still
 // take effect later.
-BOOST_AUTO_TEST_CASE(anEarlierPlanThatArrivesLateIsRecognised)
+BOOST_AUTO_TEST_CASE(recognisesASupersededFlushThatIsAppliedLate)
 {
-    OneRouter router(1'000);
+    SingleRouterFixture router(1'000);
     router.spend("a", 100, 40);
-    router.ledger.account("team").reserve("b", 500, s_alone, s_start);
+    router.ledger.account("team").reserve("b", 500, s_singleRouter, s_start);
     const auto late = router.plan();
     router.ledger.onFlushAnswerLost();
     const Tokens free = router.field("free");
@@ -115,9 +115,9 @@
 }
 
 // A router that was paused and declared dead wakes and settles. Its flush must change nothing: its grants are in other hands.
-BOOST_AUTO_TEST_CASE(aFlushAfterDeclarationChangesNothingAndFences)
+BOOST_AUTO_TEST_CASE(flushAfterBeingDeclaredDeadChangesNothingAndFences)
 {
-    OneRouter router(10'000);
+    SingleRouterFixture router(10'000);
     router.spend("a", 100, 40);
     TableRow row = *router.table.read(nodeKey("router~1"));
     row.fields["state"] = "sealing";
@@ -128,13 +128,13 @@
     BOOST_TEST(!router.plan().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(manyBudgetsTakeTurnsInBoundedTransactions)
+BOOST_AUTO_TEST_CASE(spreadsManyBudgetsOverBoundedTransactions)
 {
-    OneRouter router(10'000);
+    SingleRouterFixture router(10'000);
     for (int index = 0; index < 60; ++index) {
         const std::string budget = "budget-" + std::to_string(index);
         (void)router.table.transact({.operations = {putRow(budgetKey(budget), newBudgetFields(1000), 0)}});
-        router.ledger.account(budget).reserve("request-" + std::to_string(index), 10, s_alone, s_start);
+        router.ledger.account(budget).reserve("request-" + std::to_string(index), 10, s_singleRouter, s_start);
     }
     for (int round = 0; round < 3; ++round) {
         const auto plan = router.plan();
@@ -149,7 +149,7 @@
 
 BOOST_AUTO_TEST_CASE(endsInGoodOrder)
 {
-    OneRouter router(10'000);
+    SingleRouterFixture router(10'000);
     router.spend("a", 100, 40);
     router.ledger.beginClose();
     for (int round = 0; round < 5; ++round) {
