--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -79,14 +79,17 @@
     return found == m_routers.end() || found->state == RouterState::Dead ? nullptr : &*found;
 }
 
-void FakeFleet::ask(std::size_t router, std::size_t budget, Tokens bound, Tokens truth, std::size_t target)
+void FakeFleet::submitRequest(std::size_t router, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target)
 {
     RouterProcess &process = m_routers[router % m_routers.size()];
     if (process.state != RouterState::Running || process.ledger->fenced()) {
         return;
     }
-    const Asked asked{
-        .requestId = absl::StrCat("request-", m_nextId++), .budget = budgetName(budget), .bound = bound, .truth = truth, .target = target};
+    const Asked asked{.requestId = absl::StrCat("request-", m_nextId++),
+                      .budget = budgetName(budget),
+                      .bound = bound,
+                      .actualTokens = actualTokens,
+                      .target = target};
     const auto result = process.ledger->account(asked.budget).reserve(asked.requestId, bound, {.routers = m_routers.size()}, m_now);
     if (result.decision == ReservationResult::Decision::Admitted) {
         dispatch(process, process, asked);
@@ -95,13 +98,17 @@
     }
 }
 
-void FakeFleet::askSponsored(std::size_t front, std::size_t payer, std::size_t budget, Tokens bound, Tokens truth, std::size_t target)
+void FakeFleet::submitSponsoredRequest(
+    std::size_t front, std::size_t payer, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target)
 {
     RouterProcess &asking = m_routers[front % m_routers.size()];
     RouterProcess &paying = m_routers[payer % m_routers.size()];
     const bool able = asking.state == RouterState::Running && paying.state == RouterState::Running && !paying.ledger->fenced();
-    const Asked asked{
-        .requestId = absl::StrCat("request-", m_nextId++), .budget = budgetName(budget), .bound = bound, .truth = truth, .target = target};
+    const Asked asked{.requestId = absl::StrCat("request-", m_nextId++),
+                      .budget = budgetName(budget),
+                      .bound = bound,
+                      .actualTokens = actualTokens,
+                      .target = target};
     if (able && paying.ledger->account(asked.budget).reserveForPeer(asked.requestId, bound)) {
         dispatch(asking, paying, asked);
     }
@@ -133,7 +140,7 @@
                       .target = asked.target % m_options.targets,
                       .sidecar = sidecar.incarnation,
                       .bound = asked.bound,
-                      .truth = std::min(asked.truth, asked.bound)});
+                      .actualTokens = std::min(asked.actualTokens, asked.bound)});
 }
 
 void FakeFleet::processResults(RouterProcess &router)
@@ -189,7 +196,7 @@
     }
     Run &run = *running[index % running.size()];
     run.running = false;
-    const std::optional<TokenUsage> usage = reported ? std::optional(TokenUsage{.prompt = 0, .output = run.truth}) : std::nullopt;
+    const std::optional<TokenUsage> usage = reported ? std::optional(TokenUsage{.prompt = 0, .output = run.actualTokens}) : std::nullopt;
     const Tokens charged = m_sidecars[run.target].table->finish(run.requestId, RunEnd::Complete, usage);
     deliverEnd(run, charged, reported);
 }
@@ -207,10 +214,10 @@
 {
     const absl::Status lost = failed(FailureKind::TableUnreachable, "lost", Ran::Unknown);
     switch (delivery) {
-    case Delivery::LostBefore:
+    case Delivery::RequestLost:
         return lost;
-    case Delivery::Late:
-        m_late.push_back(transaction);
+    case Delivery::Delayed:
+        m_delayed.push_back(transaction);
         return lost;
     case Delivery::AnswerLost:
         (void)m_table.transact(transaction);
@@ -254,11 +261,11 @@
     processResults(process);
 }
 
-void FakeFleet::deliverLate()
+void FakeFleet::deliverDelayed()
 {
-    if (!m_late.empty()) {
-        (void)m_table.transact(m_late.front());
-        m_late.pop_front();
+    if (!m_delayed.empty()) {
+        (void)m_table.transact(m_delayed.front());
+        m_delayed.pop_front();
     }
 }
 
@@ -292,7 +299,7 @@
     m_routers[router % m_routers.size()].state = RouterState::Paused;
 }
 
-void FakeFleet::wake(std::size_t router)
+void FakeFleet::resume(std::size_t router)
 {
     RouterProcess &process = m_routers[router % m_routers.size()];
     process.state = RouterState::Running;
@@ -302,7 +309,7 @@
     }
 }
 
-void FakeFleet::killSidecar(std::size_t target)
+void FakeFleet::replaceSidecar(std::size_t target)
 {
     const std::size_t slot = target % m_options.targets;
     for (Run &run : m_runs) {
@@ -319,12 +326,12 @@
     startSidecar(slot);
 }
 
-void FakeFleet::cutSidecar(std::size_t target, bool cut)
+void FakeFleet::setSidecarCut(std::size_t target, bool cut)
 {
     m_sidecars[target % m_options.targets].cut = cut;
 }
 
-void FakeFleet::passTime(Duration duration)
+void FakeFleet::advanceTime(Duration duration)
 {
     m_now += duration;
 }
@@ -397,7 +404,7 @@
     }
     switch (m_reclamation->phase()) {
     case Reclamation::Phase::Probing:
-        passTime(std::chrono::seconds(6));
+        advanceTime(std::chrono::seconds(6));
         askWitnesses();
         m_reclamation->probeEnded();
         break;
@@ -423,17 +430,17 @@
     }
 }
 
-void FakeFleet::settleDown()
+void FakeFleet::runToCompletion()
 {
     constexpr int s_rounds = 200;
     for (std::size_t target = 0; target < m_options.targets; ++target) {
-        cutSidecar(target, false);
+        setSidecarCut(target, false);
     }
     for (std::size_t router = 0; router < m_routers.size(); ++router) {
-        wake(router);
+        resume(router);
     }
-    while (!m_late.empty()) {
-        deliverLate();
+    while (!m_delayed.empty()) {
+        deliverDelayed();
     }
     m_reclamation.reset();
     for (int round = 0; round < s_rounds; ++round) {
@@ -467,7 +474,7 @@
     return lines;
 }
 
-std::string FakeFleet::brokenInvariant() const
+std::string FakeFleet::invariantViolation() const
 {
     absl::flat_hash_map<std::string, Tokens> granted;
     absl::flat_hash_map<std::string, Tokens> billed;
@@ -483,7 +490,7 @@
         }
     }
     for (const Run &run : m_runs) {
-        ran[run.budget] += run.truth;
+        ran[run.budget] += run.actualTokens;
     }
     for (const auto &[budget, prepaid] : m_prepaid) {
         const TableRow row = *m_table.read(budgetKey(budget));
@@ -506,7 +513,7 @@
     return {};
 }
 
-std::string FakeFleet::unbilledRun() const
+std::string FakeFleet::billingViolation() const
 {
     absl::flat_hash_map<std::string, Tokens> charged;
     for (const Charge &charge : ledgerLines()) {
@@ -521,7 +528,7 @@
             const TableRow node = *m_table.read(nodeKey(run.router));
             return absl::StrCat(run.requestId, " of ", run.router, " (", textField(node.fields, "state"), ") was never billed");
         }
-        if (found != charged.end() && found->second < run.truth) {
+        if (found != charged.end() && found->second < run.actualTokens) {
             return absl::StrCat(run.requestId, " was billed less than it ran");
         }
     }
--- a/src/tests/fakefleet.h
+++ b/src/tests/fakefleet.h
@@ -16,10 +16,10 @@
 /// What happens to a transaction on its way.
 enum class Delivery {
     Answered,
-    LostBefore,
+    RequestLost,
     AnswerLost,
     /// Lost now, and applied at some later step.
-    Late,
+    Delayed,
 };
 
 /// Routers, sidecars, engines and the table, all in one place and driven step by step: decision objects with the smallest fakes around
@@ -36,31 +36,32 @@
 
     explicit FakeFleet(Options options);
 
-    void ask(std::size_t router, std::size_t budget, Tokens bound, Tokens truth, std::size_t target);
+    void submitRequest(std::size_t router, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target);
     /// A request at one router that another router's grant pays for.
-    void askSponsored(std::size_t front, std::size_t payer, std::size_t budget, Tokens bound, Tokens truth, std::size_t target);
+    void
+    submitSponsoredRequest(std::size_t front, std::size_t payer, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target);
     void finishRun(std::size_t index, bool reported);
     void flush(std::size_t router, Delivery delivery);
-    void deliverLate();
+    void deliverDelayed();
     void topUp(std::size_t budget, Tokens amount);
     void recall(std::size_t router, std::size_t budget);
     void kill(std::size_t router);
     void pause(std::size_t router);
-    void wake(std::size_t router);
-    void killSidecar(std::size_t target);
-    void cutSidecar(std::size_t target, bool cut);
+    void resume(std::size_t router);
+    void replaceSidecar(std::size_t target);
+    void setSidecarCut(std::size_t target, bool cut);
     /// Takes the next step of recovering a silent router; reclaimer is the router that does the work.
     void reclaimStep(std::size_t reclaimer, Delivery delivery);
-    void passTime(Duration duration);
+    void advanceTime(Duration duration);
 
     /// Ends all runs, brings all messages home, recovers all dead routers.
-    void settleDown();
+    void runToCompletion();
 
     /// Empty while everything holds, else what does not.
-    std::string brokenInvariant() const;
+    std::string invariantViolation() const;
 
     /// After settleDown(): empty when every run has exactly one charge of at least its true cost, or its router's grants are held.
-    std::string unbilledRun() const;
+    std::string billingViolation() const;
 
     Tokens consumed(std::size_t budget) const;
     Tokens free(std::size_t budget) const;
@@ -85,7 +86,7 @@
         std::string requestId;
         std::string budget;
         Tokens bound = 0;
-        Tokens truth = 0;
+        Tokens actualTokens = 0;
         std::size_t target = 0;
     };
 
@@ -105,7 +106,7 @@
         std::size_t target = 0;
         std::string sidecar;
         Tokens bound = 0;
-        Tokens truth = 0;
+        Tokens actualTokens = 0;
         bool running = true;
         bool sidecarLost = false;
     };
@@ -138,7 +139,7 @@
     std::vector<RouterProcess> m_gone;
     std::vector<Sidecar> m_sidecars;
     std::vector<Run> m_runs;
-    std::deque<TableTransaction> m_late;
+    std::deque<TableTransaction> m_delayed;
     std::unique_ptr<Reclamation> m_reclamation;
     std::string m_reclaimed;
     int m_sealingSteps = 0;
--- a/src/tests/fleetpropertytest.cpp
+++ b/src/tests/fleetpropertytest.cpp
@@ -15,13 +15,14 @@
     std::size_t first = 0;
     std::size_t second = 0;
     Tokens amount = 0;
-    Tokens truth = 0;
+    Tokens actualTokens = 0;
 };
 
 /// Shows a step in a counterexample.
 std::ostream &operator<<(std::ostream &stream, const Step &step)
 {
-    return stream << "{" << step.kind << ", " << step.first << ", " << step.second << ", " << step.amount << ", " << step.truth << "}";
+    return stream << "{" << step.kind << ", " << step.first << ", " << step.second << ", " << step.amount << ", " << step.actualTokens
+                  << "}";
 }
 
 constexpr int s_kinds = 15;
@@ -33,7 +34,7 @@
     case 0:
     case 1:
     case 2:
-        fleet.ask(step.first, step.second, step.amount, step.truth, step.first + step.second);
+        fleet.submitRequest(step.first, step.second, step.amount, step.actualTokens, step.first + step.second);
         break;
     case 3:
         fleet.finishRun(step.first, step.second % 4 != 0);
@@ -45,10 +46,10 @@
         fleet.flush(step.first, delivery);
         break;
     case 6:
-        fleet.deliverLate();
+        fleet.deliverDelayed();
         break;
     case 7:
-        fleet.topUp(step.second, step.truth - 200);
+        fleet.topUp(step.second, step.actualTokens - 200);
         break;
     case 8:
         fleet.recall(step.first, step.second);
@@ -57,19 +58,19 @@
         step.second % 3 == 0 ? fleet.kill(step.first) : fleet.pause(step.first);
         break;
     case 10:
-        fleet.wake(step.first);
+        fleet.resume(step.first);
         break;
     case 11:
-        step.amount % 4 == 0 ? fleet.killSidecar(step.second) : fleet.cutSidecar(step.second, step.first % 2 == 0);
+        step.amount % 4 == 0 ? fleet.replaceSidecar(step.second) : fleet.setSidecarCut(step.second, step.first % 2 == 0);
         break;
     case 13:
-        fleet.askSponsored(step.first, step.first + 1, step.second, step.amount, step.truth, step.second);
+        fleet.submitSponsoredRequest(step.first, step.first + 1, step.second, step.amount, step.actualTokens, step.second);
         break;
     case 12:
         fleet.reclaimStep(step.first, step.second % 3 == 0 ? delivery : Delivery::Answered);
         break;
     default:
-        fleet.passTime(std::chrono::milliseconds(step.amount));
+        fleet.advanceTime(std::chrono::milliseconds(step.amount));
         break;
     }
 }
@@ -80,7 +81,7 @@
                                 rc::gen::set(&Step::first, rc::gen::inRange<std::size_t>(0, 12)),
                                 rc::gen::set(&Step::second, rc::gen::inRange<std::size_t>(0, 12)),
                                 rc::gen::set(&Step::amount, rc::gen::inRange<Tokens>(1, 600)),
-                                rc::gen::set(&Step::truth, rc::gen::inRange<Tokens>(0, 600)));
+                                rc::gen::set(&Step::actualTokens, rc::gen::inRange<Tokens>(0, 600)));
 }
 
 }
@@ -95,13 +96,13 @@
         FakeFleet fleet({});
         for (const Step &step : steps) {
             take(fleet, step);
-            RC_ASSERT(fleet.brokenInvariant() == "");
+            RC_ASSERT(fleet.invariantViolation() == "");
         }
         RC_CLASSIFY(fleet.runs() >= 10, "ten runs or more");
-        fleet.settleDown();
+        fleet.runToCompletion();
         RC_CLASSIFY(fleet.closedIncarnations() > 0, "a router was recovered");
-        RC_ASSERT(fleet.brokenInvariant() == "");
-        RC_ASSERT(fleet.unbilledRun() == "");
+        RC_ASSERT(fleet.invariantViolation() == "");
+        RC_ASSERT(fleet.billingViolation() == "");
     });
     BOOST_TEST(holds);
 }
--- a/src/tests/reclamationtest.cpp
+++ b/src/tests/reclamationtest.cpp
@@ -19,7 +19,7 @@
 FakeFleet withOneRun(bool finished)
 {
     FakeFleet fleet({.prepaid = {50'000, 800}});
-    fleet.ask(0, 0, 300, 120, 0);
+    fleet.submitRequest(0, 0, 300, 120, 0);
     fleet.flush(0, Delivery::Answered);
     if (finished) {
         fleet.finishRun(0, true);
@@ -39,7 +39,7 @@
     reclaim(fleet);
     BOOST_TEST(fleet.consumed(0) == 120);
     BOOST_TEST(fleet.closedIncarnations() == 1);
-    BOOST_TEST(fleet.brokenInvariant() == "");
+    BOOST_TEST(fleet.invariantViolation() == "");
 }
 
 // The router had settled and died before its sidecar was told. The run must not be billed a second time.
@@ -51,7 +51,7 @@
     reclaim(fleet);
     BOOST_TEST(fleet.consumed(0) == 120);
     BOOST_TEST(fleet.closedIncarnations() == 1);
-    BOOST_TEST(fleet.brokenInvariant() == "");
+    BOOST_TEST(fleet.invariantViolation() == "");
 }
 
 BOOST_AUTO_TEST_CASE(waitsForRunsStillGoing)
@@ -72,11 +72,11 @@
     FakeFleet fleet = withOneRun(true);
     const Tokens free = fleet.free(0);
     fleet.kill(0);
-    fleet.cutSidecar(1, true);
+    fleet.setSidecarCut(1, true);
     reclaim(fleet);
     BOOST_TEST(fleet.free(0) == free);
     BOOST_TEST(fleet.closedIncarnations() == 0);
-    fleet.cutSidecar(1, false);
+    fleet.setSidecarCut(1, false);
     reclaim(fleet);
     BOOST_TEST(fleet.closedIncarnations() == 1);
     BOOST_TEST(fleet.free(0) > free);
@@ -88,10 +88,10 @@
     FakeFleet fleet = withOneRun(true);
     const Tokens free = fleet.free(0);
     fleet.kill(0);
-    fleet.killSidecar(0);
+    fleet.replaceSidecar(0);
     reclaim(fleet, 30);
     BOOST_TEST(fleet.free(0) == free);
-    BOOST_TEST(fleet.brokenInvariant() == "");
+    BOOST_TEST(fleet.invariantViolation() == "");
 }
 
 // A router paused past its being declared dead wakes with a grant it believes in. Its next request must not run.
@@ -101,24 +101,24 @@
     fleet.pause(0);
     reclaim(fleet);
     BOOST_TEST(fleet.closedIncarnations() == 1);
-    fleet.wake(0);
+    fleet.resume(0);
     for (int request = 0; request < 20; ++request) {
-        fleet.ask(0, 0, 50, 50, 0);
+        fleet.submitRequest(0, 0, 50, 50, 0);
         fleet.finishRun(0, true);
         fleet.flush(0, Delivery::Answered);
     }
-    BOOST_TEST(fleet.brokenInvariant() == "");
+    BOOST_TEST(fleet.invariantViolation() == "");
 }
 
 BOOST_AUTO_TEST_CASE(everyLostAnswerOfTheReclaimerIsResolved)
 {
-    for (const Delivery delivery : {Delivery::LostBefore, Delivery::AnswerLost, Delivery::Late}) {
+    for (const Delivery delivery : {Delivery::RequestLost, Delivery::AnswerLost, Delivery::Delayed}) {
         FakeFleet fleet = withOneRun(true);
         fleet.kill(0);
         for (int step = 0; step < 12; ++step) {
             fleet.reclaimStep(1, step % 2 == 0 ? delivery : Delivery::Answered);
-            fleet.deliverLate();
-            BOOST_TEST(fleet.brokenInvariant() == "");
+            fleet.deliverDelayed();
+            BOOST_TEST(fleet.invariantViolation() == "");
         }
         reclaim(fleet, 24);
         BOOST_TEST(fleet.closedIncarnations() == 1);
