--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr int s_sealingPatience = 3;
+constexpr int s_maxSealingSteps = 3;
 
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-std::vector<TableRow> FakeFleet::rowsUnder(std::string_view prefix) const
+std::vector<TableRow> FakeFleet::rowsWithPrefix(std::string_view prefix) const
 {
     return m_table.scan(prefix).value();
 }
@@ -62,7 +62,7 @@
 {
     std::vector<std::string> live;
     std::vector<std::string> dead;
-    for (const TableRow &row : rowsUnder(s_nodePrefix)) {
+    for (const TableRow &row : rowsWithPrefix(s_nodePrefix)) {
         (textField(row.fields, "state") == "live" ? live : dead).push_back(row.key.substr(s_nodePrefix.size()));
     }
     Sidecar &sidecar = m_sidecars[target];
@@ -85,62 +85,63 @@
     if (process.state != RouterState::Running || process.ledger->fenced()) {
         return;
     }
-    const Asked asked{.requestId = absl::StrCat("request-", m_nextId++),
-                      .budget = budgetName(budget),
-                      .bound = bound,
-                      .actualTokens = actualTokens,
-                      .target = target};
-    const auto result = process.ledger->account(asked.budget).reserve(asked.requestId, bound, {.routers = m_routers.size()}, m_now);
+    const SubmittedRequest submitted{.requestId = absl::StrCat("request-", m_nextId++),
+                                     .budget = budgetName(budget),
+                                     .bound = bound,
+                                     .actualTokens = actualTokens,
+                                     .target = target};
+    const auto result = process.ledger->account(submitted.budget).reserve(submitted.requestId, bound, {.routers = m_routers.size()}, m_now);
     if (result.decision == ReservationResult::Decision::Admitted) {
-        dispatch(process, process, asked);
+        dispatch(process, process, submitted);
     } else if (result.decision == ReservationResult::Decision::Waiting) {
-        process.waiting.emplace(asked.requestId, asked);
+        process.waiting.emplace(submitted.requestId, submitted);
     }
 }
 
 void FakeFleet::submitSponsoredRequest(
-    std::size_t front, std::size_t payer, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target)
+    std::size_t receiver, std::size_t payer, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target)
 {
-    RouterProcess &asking = m_routers[front % m_routers.size()];
-    RouterProcess &paying = m_routers[payer % m_routers.size()];
-    const bool able = asking.state == RouterState::Running && paying.state == RouterState::Running && !paying.ledger->fenced();
-    const Asked asked{.requestId = absl::StrCat("request-", m_nextId++),
-                      .budget = budgetName(budget),
-                      .bound = bound,
-                      .actualTokens = actualTokens,
-                      .target = target};
-    if (able && paying.ledger->account(asked.budget).reserveForPeer(asked.requestId, bound)) {
-        dispatch(asking, paying, asked);
+    RouterProcess &receivingRouter = m_routers[receiver % m_routers.size()];
+    RouterProcess &payingRouter = m_routers[payer % m_routers.size()];
+    const bool able =
+        receivingRouter.state == RouterState::Running && payingRouter.state == RouterState::Running && !payingRouter.ledger->fenced();
+    const SubmittedRequest submitted{.requestId = absl::StrCat("request-", m_nextId++),
+                                     .budget = budgetName(budget),
+                                     .bound = bound,
+                                     .actualTokens = actualTokens,
+                                     .target = target};
+    if (able && payingRouter.ledger->account(submitted.budget).reserveForPeer(submitted.requestId, bound)) {
+        dispatch(receivingRouter, payingRouter, submitted);
     }
 }
 
-void FakeFleet::dispatch(RouterProcess &front, RouterProcess &payer, const Asked &asked)
+void FakeFleet::dispatch(RouterProcess &receiver, RouterProcess &payer, const SubmittedRequest &submitted)
 {
     ++m_admitted;
-    Sidecar &sidecar = m_sidecars[asked.target % m_options.targets];
-    const auto refusal = sidecar.table->admit({.requestId = asked.requestId,
+    Sidecar &sidecar = m_sidecars[submitted.target % m_options.targets];
+    const auto refusal = sidecar.table->admit({.requestId = submitted.requestId,
                                                .attempt = 1,
-                                               .router = front.incarnation,
+                                               .router = receiver.incarnation,
                                                .payer = payer.incarnation,
                                                .targetIncarnation = sidecar.incarnation,
                                                .team = "team",
-                                               .budget = asked.budget,
-                                               .bound = asked.bound,
+                                               .budget = submitted.budget,
+                                               .bound = submitted.bound,
                                                .earliestFlush = payer.ledger->nextFlush(),
                                                .expiresIn = std::chrono::seconds(1)},
                                               m_now);
     if (refusal) {
-        payer.ledger->account(asked.budget).settle(asked.requestId, 0, m_now);
+        payer.ledger->account(submitted.budget).settle(submitted.requestId, 0, m_now);
         processResults(payer);
         return;
     }
-    m_runs.push_back({.requestId = asked.requestId,
+    m_runs.push_back({.requestId = submitted.requestId,
                       .router = payer.incarnation,
-                      .budget = asked.budget,
-                      .target = asked.target % m_options.targets,
+                      .budget = submitted.budget,
+                      .target = submitted.target % m_options.targets,
                       .sidecar = sidecar.incarnation,
-                      .bound = asked.bound,
-                      .actualTokens = std::min(asked.actualTokens, asked.bound)});
+                      .bound = submitted.bound,
+                      .actualTokens = std::min(submitted.actualTokens, submitted.bound)});
 }
 
 void FakeFleet::processResults(RouterProcess &router)
@@ -151,16 +152,16 @@
             if (found == router.waiting.end()) {
                 continue;
             }
-            const Asked asked = found->second;
+            const SubmittedRequest submitted = found->second;
             router.waiting.erase(found);
             if (result.decision == ReservationResult::Decision::Admitted) {
-                dispatch(router, router, asked);
+                dispatch(router, router, submitted);
             }
         }
     }
 }
 
-void FakeFleet::settleAt(RouterProcess &router, const Charge &charge, Tokens charged)
+void FakeFleet::settleCharge(RouterProcess &router, const Charge &charge, Tokens charged)
 {
     Charge line = charge;
     line.tokens = router.ledger->account(charge.budget).settle(charge.requestId, charged, m_now);
@@ -168,7 +169,7 @@
     processResults(router);
 }
 
-void FakeFleet::deliverEnd(const Run &run, Tokens charged, bool reported)
+void FakeFleet::deliverRunEnd(const Run &run, Tokens charged, bool reported)
 {
     RouterProcess *router = findRouter(run.router);
     if (router == nullptr) {
@@ -180,7 +181,7 @@
         router->inbox.emplace_back(charge, charged);
         return;
     }
-    settleAt(*router, charge, charged);
+    settleCharge(*router, charge, charged);
 }
 
 void FakeFleet::finishRun(std::size_t index, bool reported)
@@ -198,7 +199,7 @@
     run.running = false;
     const std::optional<TokenUsage> usage = reported ? std::optional(TokenUsage{.prompt = 0, .output = run.actualTokens}) : std::nullopt;
     const Tokens charged = m_sidecars[run.target].table->finish(run.requestId, RunEnd::Complete, usage);
-    deliverEnd(run, charged, reported);
+    deliverRunEnd(run, charged, reported);
 }
 
 std::map<std::string, BudgetRow, std::less<>> FakeFleet::readRows(const std::vector<std::string> &budgets)
@@ -290,7 +291,7 @@
     const std::size_t slot = router % m_routers.size();
     m_routers[slot].waiting.clear();
     m_routers[slot].state = RouterState::Dead;
-    m_gone.push_back(std::move(m_routers[slot]));
+    m_killedRouters.push_back(std::move(m_routers[slot]));
     startRouter(slot);
 }
 
@@ -304,7 +305,7 @@
     RouterProcess &process = m_routers[router % m_routers.size()];
     process.state = RouterState::Running;
     while (!process.inbox.empty()) {
-        settleAt(process, process.inbox.front().first, process.inbox.front().second);
+        settleCharge(process, process.inbox.front().first, process.inbox.front().second);
         process.inbox.pop_front();
     }
 }
@@ -320,7 +321,7 @@
         if (run.running) {
             // The router loses contact and charges its worst case.
             run.running = false;
-            deliverEnd(run, run.bound, false);
+            deliverRunEnd(run, run.bound, false);
         }
     }
     startSidecar(slot);
@@ -336,7 +337,7 @@
     m_now += duration;
 }
 
-void FakeFleet::askWitnesses()
+void FakeFleet::querySidecars()
 {
     const std::uint64_t epoch = m_reclamation->epoch();
     for (std::size_t target = 0; target < m_sidecars.size(); ++target) {
@@ -344,14 +345,15 @@
         if (sidecar.cut) {
             continue;
         }
-        const SealVerdict verdict = epoch == 0 ? sidecar.table->probe(m_reclaimed, m_now) : sidecar.table->seal(m_reclaimed);
+        const SealVerdict verdict =
+            epoch == 0 ? sidecar.table->probe(m_reclaimedIncarnation, m_now) : sidecar.table->seal(m_reclaimedIncarnation);
         m_reclamation->onWitness({.target = targetName(target), .epoch = epoch, .verdict = verdict});
     }
 }
 
 void FakeFleet::closeStep(Delivery delivery)
 {
-    const TableRow row = *m_table.read(nodeKey(m_reclaimed));
+    const TableRow row = *m_table.read(nodeKey(m_reclaimedIncarnation));
     absl::flat_hash_set<std::string> billed;
     for (std::string key = textField(row.fields, "ledger"); !key.empty();) {
         const auto page = parseLedgerPage(*m_table.readObject(key));
@@ -361,7 +363,7 @@
         key = page->previous;
     }
     m_reclamation->setBilled(std::move(billed));
-    m_reclamation->setGrants(*m_table.scan(absl::StrCat("grant/", m_reclaimed, "/")));
+    m_reclamation->setGrants(*m_table.scan(absl::StrCat("grant/", m_reclaimedIncarnation, "/")));
     const ClosingStep step = m_reclamation->nextClosingStep();
     if (!step.objectKey.empty()) {
         (void)m_table.putObject(step.objectKey, step.object);
@@ -373,17 +375,17 @@
 void FakeFleet::reclaimStep(std::size_t reclaimer, Delivery delivery)
 {
     if (m_reclamation == nullptr) {
-        for (const TableRow &row : rowsUnder(s_nodePrefix)) {
+        for (const TableRow &row : rowsWithPrefix(s_nodePrefix)) {
             const std::string incarnation = row.key.substr(s_nodePrefix.size());
             RouterProcess *router = findRouter(incarnation);
             const bool silent = router == nullptr || router->state == RouterState::Paused;
             if (!silent || textField(row.fields, "state") == "closed") {
                 continue;
             }
-            if (incarnation <= m_reclaimed) {
+            if (incarnation <= m_reclaimedIncarnation) {
                 continue;
             }
-            m_reclaimed = incarnation;
+            m_reclaimedIncarnation = incarnation;
             m_sealingSteps = 0;
             std::vector<std::string> targets;
             for (std::size_t target = 0; target < m_options.targets; ++target) {
@@ -399,13 +401,13 @@
         }
     }
     if (m_reclamation == nullptr) {
-        m_reclaimed.clear();
+        m_reclaimedIncarnation.clear();
         return;
     }
     switch (m_reclamation->phase()) {
     case Reclamation::Phase::Probing:
         advanceTime(std::chrono::seconds(6));
-        askWitnesses();
+        querySidecars();
         m_reclamation->probeEnded();
         break;
     case Reclamation::Phase::Declaring: {
@@ -414,9 +416,9 @@
         break;
     }
     case Reclamation::Phase::Sealing:
-        askWitnesses();
+        querySidecars();
         // One whose witnesses are missing must not keep the others from being recovered.
-        if (m_reclamation->phase() == Reclamation::Phase::Sealing && ++m_sealingSteps >= s_sealingPatience) {
+        if (m_reclamation->phase() == Reclamation::Phase::Sealing && ++m_sealingSteps >= s_maxSealingSteps) {
             m_reclamation.reset();
         }
         break;
@@ -432,7 +434,7 @@
 
 void FakeFleet::runToCompletion()
 {
-    constexpr int s_rounds = 200;
+    constexpr int s_maxRounds = 200;
     for (std::size_t target = 0; target < m_options.targets; ++target) {
         setSidecarCut(target, false);
     }
@@ -443,7 +445,7 @@
         deliverDelayed();
     }
     m_reclamation.reset();
-    for (int round = 0; round < s_rounds; ++round) {
+    for (int round = 0; round < s_maxRounds; ++round) {
         for (std::size_t left = m_runs.size(); left > 0; --left) {
             finishRun(0, true);
         }
@@ -461,10 +463,10 @@
     }
 }
 
-std::vector<Charge> FakeFleet::ledgerLines() const
+std::vector<Charge> FakeFleet::ledgerCharges() const
 {
     std::vector<Charge> lines;
-    for (const TableRow &node : rowsUnder(s_nodePrefix)) {
+    for (const TableRow &node : rowsWithPrefix(s_nodePrefix)) {
         for (std::string key = textField(node.fields, "ledger"); !key.empty();) {
             const auto page = parseLedgerPage(*m_table.readObject(key));
             lines.insert(lines.end(), page->charges.begin(), page->charges.end());
@@ -480,10 +482,10 @@
     absl::flat_hash_map<std::string, Tokens> billed;
     absl::flat_hash_map<std::string, Tokens> ran;
     absl::flat_hash_map<std::string, int> lines;
-    for (const TableRow &grant : rowsUnder(s_grantPrefix)) {
+    for (const TableRow &grant : rowsWithPrefix(s_grantPrefix)) {
         granted[textField(grant.fields, "budget")] += integerField(grant.fields, "unspent");
     }
-    for (const Charge &charge : ledgerLines()) {
+    for (const Charge &charge : ledgerCharges()) {
         billed[charge.budget] += charge.tokens;
         if (++lines[charge.requestId] > 1) {
             return absl::StrCat(charge.requestId, " is billed twice");
@@ -516,7 +518,7 @@
 std::string FakeFleet::billingViolation() const
 {
     absl::flat_hash_map<std::string, Tokens> charged;
-    for (const Charge &charge : ledgerLines()) {
+    for (const Charge &charge : ledgerCharges()) {
         charged[charge.requestId] = charge.tokens;
     }
     for (const Run &run : m_runs) {
@@ -548,7 +550,7 @@
 std::size_t FakeFleet::closedIncarnations() const
 {
     std::size_t closed = 0;
-    for (const TableRow &node : rowsUnder(s_nodePrefix)) {
+    for (const TableRow &node : rowsWithPrefix(s_nodePrefix)) {
         closed += textField(node.fields, "state") == "closed" ? 1 : 0;
     }
     return closed;
--- a/src/tests/fakefleet.h
+++ b/src/tests/fakefleet.h
@@ -38,8 +38,8 @@
 
     void submitRequest(std::size_t router, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target);
     /// A request at one router that another router's grant pays for.
-    void
-    submitSponsoredRequest(std::size_t front, std::size_t payer, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target);
+    void submitSponsoredRequest(
+        std::size_t receiver, std::size_t payer, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target);
     void finishRun(std::size_t index, bool reported);
     void flush(std::size_t router, Delivery delivery);
     void deliverDelayed();
@@ -82,7 +82,7 @@
         Dead,
     };
 
-    struct Asked {
+    struct SubmittedRequest {
         std::string requestId;
         std::string budget;
         Tokens bound = 0;
@@ -96,7 +96,7 @@
         RouterState state = RouterState::Running;
         /// What was sent to it while it was paused.
         std::deque<std::pair<Charge, Tokens>> inbox;
-        std::map<std::string, Asked> waiting;
+        std::map<std::string, SubmittedRequest> waiting;
     };
 
     struct Run {
@@ -117,31 +117,31 @@
         bool cut = false;
     };
 
-    std::vector<TableRow> rowsUnder(std::string_view prefix) const;
+    std::vector<TableRow> rowsWithPrefix(std::string_view prefix) const;
     std::string budgetName(std::size_t budget) const;
     std::string targetName(std::size_t target) const;
     void startRouter(std::size_t slot);
     void startSidecar(std::size_t target);
     RouterProcess *findRouter(const std::string &incarnation);
-    void dispatch(RouterProcess &front, RouterProcess &payer, const Asked &asked);
+    void dispatch(RouterProcess &receiver, RouterProcess &payer, const SubmittedRequest &submitted);
     void processResults(RouterProcess &router);
-    void deliverEnd(const Run &run, Tokens charged, bool reported);
-    void settleAt(RouterProcess &router, const Charge &charge, Tokens charged);
+    void deliverRunEnd(const Run &run, Tokens charged, bool reported);
+    void settleCharge(RouterProcess &router, const Charge &charge, Tokens charged);
     absl::StatusOr<TableVerdict> send(const TableTransaction &transaction, Delivery delivery);
-    void askWitnesses();
+    void querySidecars();
     void closeStep(Delivery delivery);
     std::map<std::string, BudgetRow, std::less<>> readRows(const std::vector<std::string> &budgets);
-    std::vector<Charge> ledgerLines() const;
+    std::vector<Charge> ledgerCharges() const;
 
     Options m_options;
     MemoryTable m_table;
     std::vector<RouterProcess> m_routers;
-    std::vector<RouterProcess> m_gone;
+    std::vector<RouterProcess> m_killedRouters;
     std::vector<Sidecar> m_sidecars;
     std::vector<Run> m_runs;
     std::deque<TableTransaction> m_delayed;
     std::unique_ptr<Reclamation> m_reclamation;
-    std::string m_reclaimed;
+    std::string m_reclaimedIncarnation;
     int m_sealingSteps = 0;
     std::map<std::string, Tokens> m_prepaid;
     Instant m_now{};
