--- a/src/tests/fleetpropertytest.cpp
+++ b/src/tests/fleetpropertytest.cpp
@@ -25,9 +25,9 @@
                   << "}";
 }
 
-constexpr int s_kinds = 15;
+constexpr int s_stepKinds = 15;
 
-void take(FakeFleet &fleet, const Step &step)
+void applyStep(FakeFleet &fleet, const Step &step)
 {
     const auto delivery = static_cast<Delivery>(step.second % 4);
     switch (step.kind) {
@@ -75,9 +75,9 @@
     }
 }
 
-rc::Gen<Step> anyStep()
+rc::Gen<Step> arbitraryStep()
 {
-    return rc::gen::build<Step>(rc::gen::set(&Step::kind, rc::gen::inRange(0, s_kinds)),
+    return rc::gen::build<Step>(rc::gen::set(&Step::kind, rc::gen::inRange(0, s_stepKinds)),
                                 rc::gen::set(&Step::first, rc::gen::inRange<std::size_t>(0, 12)),
                                 rc::gen::set(&Step::second, rc::gen::inRange<std::size_t>(0, 12)),
                                 rc::gen::set(&Step::amount, rc::gen::inRange<Tokens>(1, 600)),
@@ -89,13 +89,13 @@
 // What a user would see if this failed: a budget that ends up spent beyond what was paid, or a request on the bill twice or not at all.
 // Routers die, pause and wake, sidecars are cut off or replaced, the table loses and delays answers, operators top up and take out,
 // reclaimers race and stop half way, in any order. Cause looked for: any interleaving in which two parties believe in the same token.
-BOOST_AUTO_TEST_CASE(noHistoryOverspendsOrBillsTwice)
+BOOST_AUTO_TEST_CASE(randomHistoriesNeverOverspendOrBillTwice)
 {
     const bool holds = rc::check([] {
-        const auto steps = *rc::gen::resize(rc::kNominalSize, rc::gen::container<std::vector<Step>>(120, anyStep()));
+        const auto steps = *rc::gen::resize(rc::kNominalSize, rc::gen::container<std::vector<Step>>(120, arbitraryStep()));
         FakeFleet fleet({});
         for (const Step &step : steps) {
-            take(fleet, step);
+            applyStep(fleet, step);
             RC_ASSERT(fleet.invariantViolation() == "");
         }
         RC_CLASSIFY(fleet.runs() >= 10, "ten runs or more");
