--- a/src/budget/budgetrows.h
+++ b/src/budget/budgetrows.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <string_view>
 
-/// Keys and fields of the rows in which budgets last. A budget's row always satisfies prepaid == free + granted + consumed; `granted` is
-/// the sum of `unspent` over its grant rows.
+/// Keys and fields of the table rows that store budgets. In every budget row, prepaid == free + granted + consumed, and `granted` is the
+/// sum of `unspent` over the budget's grant rows. All amounts are in tokens.
 namespace bamboohold {
 
 inline constexpr std::string_view s_budgetPrefix = "budget/";
@@ -15,29 +15,30 @@
 inline constexpr std::string_view s_nodePrefix = "node/";
 inline constexpr std::string_view s_ledgerPrefix = "ledger/";
 
-/// Row of a budget: prepaid, free, granted, consumed, state ("open" or "closed").
+/// Key of a budget's row. Fields: prepaid, free, granted, consumed, state ("open" or "closed").
 std::string budgetKey(std::string_view budget);
 
-/// Row of what one router incarnation holds of a budget: unspent, budget, holder.
+/// Key of the row with the tokens of a budget that one router incarnation holds. Fields: unspent, budget, holder.
 std::string grantKey(std::string_view incarnation, std::string_view budget);
 
-/// Row of a router incarnation: state ("live", "sealing", "closed"), flush, sequence, host, address.
+/// Key of a router incarnation's row. Fields: state ("live", "sealing" or "closed"), flush, ledger, host, address; from sealing on also
+/// epoch and reclaimer.
 std::string nodeKey(std::string_view incarnation);
 
-/// Name of the flush that wrote a ledger page, from the page's key.
+/// Returns the id of the flush that wrote the ledger page stored under this key.
 std::string flushIdOfLedgerKey(std::string_view key);
 
-/// Object with the charges of one flush.
+/// Object key of the ledger page with the charges of one flush.
 std::string ledgerKey(std::string_view incarnation, std::string_view flushId);
 
-/// Reads a budget's row; a row of version 0 gives one that does not exist.
+/// Parses a budget's row. Version 0 means that the budget does not exist.
 BudgetRow parseBudgetRow(const TableRow &row);
 
-/// The fields of a new budget's row.
+/// Returns the fields of a new budget's row, in which all prepaid tokens are free.
 boost::json::object newBudgetFields(Tokens prepaid);
 
-/// The operations that pay more tokens into a budget (or, with a negative amount, take free ones out), guarded so that no granted token is
-/// taken.
+/// Returns the operations that add prepaid tokens to a budget or, if the amount is negative, remove free ones. The transaction is rejected
+/// if the budget has fewer free tokens than that, so tokens granted to routers are never removed.
 std::vector<TableOperation> topUpOperations(std::string_view budget, Tokens amount);
 
 }
--- a/src/budget/charge.h
+++ b/src/budget/charge.h
@@ -10,7 +10,7 @@
 
 namespace bamboohold {
 
-/// The closed set of ends of a request, as callers and the ledger see them.
+/// How a request ended, as reported to callers and stored in the ledger. The values are exhaustive.
 enum class Outcome {
     Answered,
     NotRun,
@@ -18,10 +18,10 @@
     Unknown,
 };
 
-/// The stable name of an outcome: "answered", "not_run", "failed_after_running" or "unknown".
+/// Returns the stable name of an outcome: "answered", "not_run", "failed_after_running" or "unknown".
 std::string_view outcomeName(Outcome outcome);
 
-/// The one line of the ledger that bills a request.
+/// The single ledger entry that bills a request.
 struct Charge {
     std::string requestId;
     std::string team;
@@ -31,15 +31,16 @@
     Outcome outcome = Outcome::Answered;
     Tokens promptTokens = 0;
     Tokens outputTokens = 0;
-    /// What the budget pays. Equals prompt plus output when the engine reported them, else the reserved worst case.
+    /// Tokens charged to the budget: prompt plus output tokens if the engine reported them, otherwise the reserved worst case.
     Tokens tokens = 0;
-    /// True when the engine gave no count and the worst case was charged.
+    /// True if the engine reported no token counts and the worst case was charged.
     bool estimated = false;
-    /// Wall-clock milliseconds since 1970, for people.
+    /// Wall-clock time in milliseconds since the Unix epoch. For display only; nothing is decided by it.
     std::int64_t chargedAtMs = 0;
 };
 
-/// JSON forms in the ledger's batch objects.
+/// Convert a charge to and from its JSON form in a ledger page. Reading never fails: missing fields are read as empty, 0 or false, and an
+/// unknown outcome as Answered.
 boost::json::object toJson(const Charge &charge);
 Charge chargeFromJson(const boost::json::object &object);
 
--- a/src/budget/ledgerpage.cpp
+++ b/src/budget/ledgerpage.cpp
@@ -22,12 +22,12 @@
     boost::json::error_code error;
     const boost::json::value value = boost::json::parse({json.data(), json.size()}, error);
     if (error || !value.is_object() || !value.get_object().contains("charges") || !value.get_object().at("charges").is_array()) {
-        return failed(FailureKind::InvalidDocument, "a ledger page needs a list 'charges'");
+        return failed(FailureKind::InvalidDocument, "ledger page: 'charges' is missing or not a list");
     }
     LedgerPage page{.previous = textField(value.get_object(), "previous")};
     for (const boost::json::value &line : value.get_object().at("charges").get_array()) {
         if (!line.is_object()) {
-            return failed(FailureKind::InvalidDocument, "a ledger line must be an object");
+            return failed(FailureKind::InvalidDocument, "ledger page: every entry of 'charges' must be an object");
         }
         page.charges.push_back(chargeFromJson(line.get_object()));
     }
--- a/src/budget/ledgerreader.h
+++ b/src/budget/ledgerreader.h
@@ -9,11 +9,11 @@
 
 namespace bamboohold {
 
-/// Takes one line of the ledger.
+/// Called once for each charge in the ledger.
 using ChargeVisitor = std::function<void(const Charge &charge)>;
 
-/// Walks every incarnation's chain of ledger pages, newest first within a chain. A missing page is an error: the ledger would be incomplete
-/// unseen.
+/// Visits all charges in the ledger, incarnation by incarnation, each from its newest page to its oldest. Fails if a page is missing or
+/// invalid, because the ledger would otherwise be incomplete without anyone noticing.
 asio::awaitable<absl::Status> visitLedger(PlatformClient &platform, ChargeVisitor visitor);
 
 }
