--- a/src/budget/budgetaccount.cpp
+++ b/src/budget/budgetaccount.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// When to come back after a refusal that tokens returned by other requests or routers may lift.
+/// Retry-after time of a refusal that can end as soon as other requests or routers return tokens.
 constexpr std::int64_t s_retryWhenReleasedMs = 2'000;
-/// When to come back after a refusal that only a top-up can lift.
+/// Retry-after time of a refusal that only a top-up can end.
 constexpr std::int64_t s_retryAfterTopUpMs = 30'000;
 
 }
@@ -165,8 +165,8 @@
 
 void BudgetAccount::admitWaiters()
 {
-    // First fit, not first come: near the end of a budget a large request must not keep the last tokens from small ones that they would
-    // serve.
+    // First fit instead of first come, first served: near the end of a budget, a large request must not block smaller ones that the last
+    // tokens would still cover.
     for (auto waiter = m_waiters.begin(); waiter != m_waiters.end();) {
         if (available() < waiter->bound) {
             ++waiter;
@@ -181,7 +181,7 @@
 
 void BudgetAccount::refuseUnadmittable(const FleetView &fleet, Instant now)
 {
-    // A request that nothing can admit any more is answered now; holding it would only keep its caller from going elsewhere.
+    // Refuse as soon as nothing can admit the request any more: letting it wait would only delay its caller from trying elsewhere.
     for (auto waiter = m_waiters.begin(); waiter != m_waiters.end();) {
         if (mayStillAdmit(waiter->bound, fleet, now)) {
             ++waiter;
@@ -218,7 +218,7 @@
     if (wanted <= row.free) {
         return wanted;
     }
-    // Not all waiters can be served: take what is left only when it admits at least one of them.
+    // Not all waiting requests can be served: take the rest only if it admits at least one of them.
     const bool admitsSomeone = std::any_of(m_waiters.begin(), m_waiters.end(), [&](const Waiter &waiter) {
         return waiter.bound <= available() + row.free;
     });
@@ -239,8 +239,8 @@
             onDrawRefused(*row, now);
         }
     }
-    // Near the end the table is the one place where remainders meet: what cannot admit a request here may, together with what others put
-    // back.
+    // Near the end of a budget, only the table can combine what is left at different routers: tokens that are too few to admit a request
+    // here may suffice together with those that other routers return.
     const bool returnsRemainder = scarce(now) && row && update.draw == 0;
     if (update.draw == 0 && m_policy.returnsSurplus && (m_waiters.empty() || m_recalledAmount > 0 || returnsRemainder)) {
         const auto keep = static_cast<Tokens>(m_policy.surplusFactor * static_cast<double>(desiredHolding(now)));
@@ -309,7 +309,7 @@
     }
     m_recallDeadline.reset();
     if (returned > 0 || !m_refusal) {
-        // Still marked as refused but not final: the next flush reads the row once more, and its answer ends the matter.
+        // The refusal stays recorded but not final: the next flush reads the row again and decides.
         return;
     }
     m_refusal->finalAt = now;
@@ -319,7 +319,8 @@
 Tokens BudgetAccount::onPeerRecall(bool peerHasPriority, Instant now)
 {
     markScarce(now);
-    // Two routers that each hold half of what either needs would both keep it and both refuse; the order between them lets one be served.
+    // Two routers that each hold half of what both need would otherwise keep their tokens and both refuse. The fixed order between them
+    // lets one be served.
     const bool keepsForOwnRequests = !m_waiters.empty() && !peerHasPriority;
     if (!m_policy.returnsSurplus || keepsForOwnRequests) {
         return 0;
--- a/src/budget/budgetaccount.h
+++ b/src/budget/budgetaccount.h
@@ -14,68 +14,73 @@
 
 namespace bamboohold {
 
-/// How a router sizes what it holds of a budget.
+/// Determines how many tokens of a budget a router holds, and when it draws, returns and recalls them.
 struct AccountPolicy {
-    /// A router aims to hold this much of its own demand, so that it can go on while the table is out of reach.
+    /// A router tries to hold enough tokens for its own demand over this time, so that it can keep serving requests while the table is
+    /// unreachable.
     Duration holdingHorizon = std::chrono::minutes(15);
-    /// A draw takes at most this share of what is free, divided by the number of routers that draw.
+    /// A draw made ahead of demand takes at most this share of the free tokens, divided by the number of routers.
     double drawShareOfFree = 0.5;
-    /// A router draws again when it holds less than this part of its aim. High, so that a table that goes away finds the routers provided
-    /// for.
+    /// A router draws again when its available tokens fall below this fraction of its desired holding. The fraction is high so that routers
+    /// are well supplied when the table becomes unreachable.
     double refillThreshold = 0.9;
-    /// A draw covers at least this many requests of the average bound.
+    /// The desired holding covers at least this many requests of average worst case.
     double minimumHoldingRequests = 4;
-    /// Holdings above this multiple of the aim go back to the table.
+    /// Available tokens above this multiple of the desired holding are returned to the table.
     double surplusFactor = 2;
-    /// For this long after the table had too little, and no peer had any either, requests are refused without asking again.
+    /// After the table had too few tokens and peers could not help either, requests are refused for this long without asking the table
+    /// again.
     Duration refusalCacheTime = std::chrono::milliseconds(20);
-    /// A recall that peers have not answered ends after this.
+    /// A recall that peers have not answered ends after this time.
     Duration recallTimeout = std::chrono::milliseconds(250);
-    /// Peers are asked at most this often for one budget.
+    /// Minimum time between two recalls of the same budget.
     Duration recallInterval = std::chrono::milliseconds(500);
-    /// For this long after the table had too little, or a peer asked, nothing is held ahead: what one router has no use for now goes
-    /// straight back.
+    /// For this long after the table had too few tokens, or after a peer recalled some, the budget counts as scarce: the router holds no
+    /// tokens in advance and immediately returns those it does not need.
     Duration scarcityDuration = std::chrono::seconds(5);
-    /// A budget with free tokens for this many average requests per router is not scarce any more.
+    /// A budget is no longer scarce once it has free tokens for this many average requests per router.
     double ampleRequests = 8;
-    /// After a recall a router keeps this much of its own demand.
+    /// When a peer recalls tokens, a router keeps enough for its own demand over this time.
     Duration recallRetention = std::chrono::milliseconds(200);
-    /// False: holdings are never given back and never recalled (the measured baseline).
+    /// If false, tokens are neither returned nor recalled. Used as the baseline in measurements.
     bool returnsSurplus = true;
-    /// False: requests are refused instead of waiting for reservations in flight (for comparison).
+    /// If false, requests are refused instead of waiting for reservations in flight to end. Used for comparison in measurements.
     bool waitsForReleases = true;
 };
 
-/// What a router knows of the fleet around it when it plans a flush.
+/// What a router knows about the rest of the fleet when it plans a flush.
 struct FleetView {
-    /// Routers that may draw on the same budgets, itself included.
+    /// Number of routers that may draw on the same budgets, including this one.
     std::size_t routers = 1;
-    /// False once the table has been out of reach, directly and through peers, for several tries.
+    /// False after several attempts in a row failed to reach the table both directly and through peers.
     bool tableReachable = true;
 };
 
-/// A budget's row as the table last showed it.
+/// A budget's row as it was last read from the table.
 struct BudgetRow {
     Tokens free = 0;
     bool closed = false;
     bool exists = true;
 };
 
-/// The change one flush makes to one budget.
+/// The change that one flush makes to one budget, in tokens.
 struct BudgetUpdate {
     std::string budget;
+    /// Charges to move from granted to consumed.
     Tokens settled = 0;
+    /// Tokens to move from the budget's free tokens to this router's grant.
     Tokens draw = 0;
+    /// Tokens to move from the grant back to the free ones.
     Tokens returnAmount = 0;
 
-    /// True when the flush need not mention the budget.
+    /// Returns true if the flush changes nothing in this budget.
     bool empty() const
     {
         return settled == 0 && draw == 0 && returnAmount == 0;
     }
 };
 
-/// What became of a request that asked for, or waited for, tokens.
+/// The result of a reservation: immediate, or delivered later if the request had to wait for tokens.
 struct ReservationResult {
     enum class Decision {
         Admitted,
@@ -85,107 +90,113 @@
 
     std::string requestId;
     Decision decision = Decision::Refused;
-    /// Set when refused.
+    /// Set only if the request was refused.
     Failure failure;
 };
 
-/// What one router holds of one budget: a grant out of the table's row, reservations against it, and charges not yet in the table.
+/// The tokens of one budget that one router holds: tokens granted by the table, reservations against them, and charges that are not yet in
+/// the table.
 ///
-/// Pure: time comes in as an argument, effects go out as FlushPart and ReservationOutcome. NodeLedger owns the accounts and carries their
-/// flushes.
+/// Does no I/O and reads no clock: the time is an argument, and effects are returned as BudgetUpdate and ReservationResult. NodeLedger owns
+/// the accounts and sends their updates.
 ///
-/// Invariant after each call: available() + reserved() + unsettled() + returning() == holding(), and none is negative. Holding is money
-/// that the table has already moved out of the budget's free amount, so nothing that a router does between two contacts with the table can
-/// overspend.
+/// Invariant after each call: available() + reserved() + unsettled() + returning() == holding(), and none of them is negative. The table
+/// has already subtracted the holding from the budget's free tokens, so a router cannot overspend the budget between two accesses to the
+/// table.
 class BudgetAccount
 {
 public:
     BudgetAccount(std::string budget, AccountPolicy policy);
 
-    /// Asks for the worst case of a request. Waiting requests get their verdict from takeOutcomes().
+    /// Reserves the worst case of a request, in tokens. If the request has to wait, takeResults() returns its final result later.
     ReservationResult reserve(std::string_view requestId, Tokens bound, const FleetView &fleet, Instant now);
 
-    /// Reserves for a request of a peer that cannot draw. At once or not at all, and only from what this router has no waiting request for.
-    /// The run is this router's in every respect, so that its recovery needs to know nothing of the peer.
+    /// Reserves tokens for a request of a peer that cannot draw on the table itself. Never waits: returns false if tokens are short, a
+    /// request of this router is waiting, or the request has a reservation already. The run then counts as this router's own in every
+    /// respect, so that recovering this router requires no knowledge of the peer.
     bool reserveForPeer(std::string_view requestId, Tokens bound);
 
-    /// Lowers a reservation once a tighter bound is known; a higher one is ignored.
+    /// Lowers a reservation after a tighter bound has become known. A higher bound is ignored.
     void lowerReservation(std::string_view requestId, Tokens bound);
 
-    /// Ends a reservation with what was used. Returns the tokens charged: never more than were reserved; 0 for an unknown request.
+    /// Ends a reservation and charges the tokens used, at most the number reserved. Returns the tokens charged, 0 for an unknown request.
     Tokens settle(std::string_view requestId, Tokens used, Instant now);
 
-    /// Withdraws a waiting request, for example because its caller hung up. False when it was not waiting.
+    /// Removes a waiting request, for example because its caller disconnected. Returns false if the request was not waiting.
     bool cancelWaiting(std::string_view requestId);
 
-    /// True when the account wants tokens from the table now.
+    /// Returns true if the account should draw tokens from the table now.
     bool wantsDraw(const FleetView &fleet, Instant now);
 
-    /// True when someone waits for the next flush.
+    /// Returns true if the next flush should not wait for its regular interval, because requests, a recalling peer or other routers need
+    /// its effect.
     bool needsUrgentFlush(Instant now) const;
 
-    /// Fills in what the next flush should do. The row is the budget's, read just before; none when it was not read.
+    /// Returns what the next flush should change in this budget. `row` is the budget's row, read just before, or empty if it was not read;
+    /// without it nothing is drawn.
     BudgetUpdate planFlush(const std::optional<BudgetRow> &row, const FleetView &fleet, Instant now);
 
-    /// The table applied the part.
+    /// Call after the table has applied the update.
     void onFlushApplied(const BudgetUpdate &update, Instant now);
 
-    /// The table certainly did not and will not apply any planned part.
+    /// Call after the table has rejected a planned update and it is certain that no delayed copy of it will be applied: the tokens that it
+    /// would have returned become available again.
     void onFlushRejected();
 
-    /// The table has too little: the budget holds this much free.
+    /// Call when the table has too few tokens for a draw. `row` shows how many are free.
     void onDrawRefused(const BudgetRow &row, Instant now);
 
-    /// The table cannot be reached: requests that hoped for a draw are refused, unless reservations in flight can still admit them.
+    /// Call when the table is unreachable. Refuses the waiting requests that depend on a draw; those that reservations in flight may still
+    /// admit keep waiting.
     void onTableUnreachable(Instant now);
 
-    /// The tokens to ask of peers, once per need; empty when there is nothing to ask.
+    /// Returns the number of tokens to recall from peers, once per recall; empty if there is nothing to recall.
     std::optional<Tokens> takeRecallRequest(Instant now);
 
-    /// All peers answered a recall, or its window passed.
+    /// Call when all peers have answered a recall or it timed out. `returned` is the number of tokens that they give back.
     void onRecallEnded(Tokens returned, Instant now);
 
-    /// A peer needs tokens: surplus goes back with the next flush. Returns how much that will be. A router with waiting requests of its own
-    /// gives only to a peer that goes first in the fleet's fixed order.
+    /// Call when a peer recalls tokens. Returns how many will be returned with the next flush. A router with waiting requests of its own
+    /// returns tokens only to a peer that precedes it in the fixed order of routers.
     Tokens onPeerRecall(bool peerHasPriority, Instant now);
 
-    /// Ends what has taken too long. Call now and then, and before takeOutcomes().
+    /// Ends a recall that has timed out. Call periodically, and before takeResults().
     void expireRecall(Instant now);
 
-    /// Verdicts of waiting requests since the last call.
+    /// Returns the results of waiting requests since the last call.
     std::vector<ReservationResult> takeResults();
 
-    /// The grant row's unspent amount as the table last confirmed it.
+    /// Tokens in this router's grant row, as last confirmed by the table.
     Tokens holding() const
     {
         return m_holding;
     }
 
-    /// Worst cases of requests in flight.
+    /// Sum of the worst cases of requests in flight.
     Tokens reserved() const
     {
         return m_reserved;
     }
 
-    /// Charges not yet in the table.
+    /// Tokens charged but not yet written to the table.
     Tokens unsettled() const
     {
         return m_unsettled;
     }
 
-    /// Amount a flush in flight gives back.
+    /// Tokens that a flush in flight returns to the table.
     Tokens returning() const
     {
         return m_returning;
     }
 
-    /// Tokens that a new request could reserve.
+    /// Tokens that a new request can reserve.
     Tokens available() const
     {
         return m_holding - m_reserved - m_unsettled - m_returning;
     }
 
-    /// Requests waiting for tokens.
+    /// Number of requests waiting for tokens.
     std::size_t waiting() const
     {
         return m_waiters.size();
@@ -207,7 +218,7 @@
         Tokens free = 0;
         bool closed = false;
         bool exists = true;
-        /// When peers had been asked as well and the answer became final; empty while a recall may still help.
+        /// When the refusal became final, after peers had been asked as well; empty while a recall may still help.
         std::optional<Instant> finalAt;
     };
 
