--- a/src/budget/nodeledger.cpp
+++ b/src/budget/nodeledger.cpp
@@ -90,7 +90,7 @@
     if (m_pendingFlush || m_fenced || m_closing || !registered()) {
         return budgets;
     }
-    // Those for which somebody waits go first: budgets that only want to hold more ahead would otherwise fill every flush.
+    // Budgets with waiting requests come first: otherwise those that only want to hold more in advance could fill every flush.
     for (const bool hasWaitingRequests : {true, false}) {
         forEachActive([&](BudgetAccount &account) {
             const bool chosen = (account.waiting() > 0) == hasWaitingRequests && account.wantsDraw(fleet, now);
@@ -134,7 +134,8 @@
     auto &operations = plan.transaction.operations;
     const std::string key = budgetKey(update.budget);
     const Tokens holdingChange = update.draw - update.returnAmount - update.settled;
-    // The guard on free is what keeps a budget from being granted twice, whatever this router believed when it planned the draw.
+    // The lower bound of 0 on the free tokens prevents granting the same tokens twice, whatever this router assumed when it planned the
+    // draw.
     operations.push_back(addToField(key, "free", update.returnAmount - update.draw, 0));
     operations.push_back(addToField(key, "granted", holdingChange, 0));
     operations.push_back(addToField(key, "consumed", update.settled, 0));
@@ -263,7 +264,8 @@
         rejectPendingFlush(verdict, now);
         return {};
     }
-    // The node's row has moved on. Either a flush whose answer was lost did take effect, or another router has declared this one dead.
+    // The node's row has another version: either an earlier flush whose answer was lost did take effect, or another router has declared
+    // this one dead.
     const std::string flushId = textField(nodeObstacle->row.fields, "flush");
     std::vector<FlushPlan> candidates = m_supersededFlushes;
     candidates.push_back(*m_pendingFlush);
--- a/src/budget/nodeledger.h
+++ b/src/budget/nodeledger.h
@@ -14,17 +14,18 @@
 
 namespace bamboohold {
 
-/// Who a router is for as long as its process lives. A restarted router is a new incarnation.
+/// Identifies a router process for its lifetime. A restarted router is a new incarnation.
 struct NodeIdentity {
     std::string incarnation;
     std::string host;
-    /// Where peers reach its link, as address:port.
+    /// Address at which peers reach its link, as address:port.
     std::string linkAddress;
 };
 
-/// One flush on its way: the object to store first, then the transaction that makes it count.
+/// A flush to be sent: store the object first, then send the transaction that makes it take effect.
 struct FlushPlan {
     std::string flushId;
+    /// Empty if the flush bills nothing, so that there is no object to store.
     std::string objectKey;
     std::string object;
     TableTransaction transaction;
@@ -32,68 +33,70 @@
     std::vector<Charge> charges;
 };
 
-/// All budgets of one router, and the single flush that carries their draws, settlements and returns to the table.
+/// All budget accounts of one router, and the single flush that writes their draws, charges and returned tokens to the table.
 ///
-/// One transaction per node and interval: the node's own row, written over its expected version, makes the flush exactly-once and fences a
-/// router that was declared dead; budget rows change by guarded additions, which commute, so routers do not conflict on a hot budget.
+/// Each flush is one transaction. It replaces the node's own row only at the expected version, so a flush takes effect exactly once, and a
+/// router that was declared dead cannot write any more. Budget rows are changed by guarded additions, which commute, so that routers do not
+/// conflict on a heavily used budget.
 ///
-/// Pure. The driver stores the plan's object, sends its transaction and reports what came back. A lost answer is never guessed at: the same
-/// transaction is sent again until the table answers, and an earlier plan that turns out to have been applied is recognised by its flush id
-/// in the node's row.
+/// Does no I/O. The caller stores the plan's object, sends its transaction and reports the answer. If an answer is lost, nothing is assumed
+/// about its effect: the same transaction is sent again until the table answers, and an earlier plan that was applied after all is
+/// recognised by its flush id in the node's row.
 class NodeLedger
 {
 public:
-    /// Budgets in one flush; each costs four row operations, and transactional tables take about a hundred in one transaction.
+    /// Most budgets in one flush. Each takes four row operations, and transactional tables accept about a hundred per transaction.
     static constexpr std::size_t s_budgetsPerFlush = 24;
 
-    /// Accounts with nothing in motion that one flush looks at.
+    /// Most inactive accounts that one flush visits.
     static constexpr std::size_t s_inactivePerFlush = 32;
 
     struct Options {
         NodeIdentity identity;
         AccountPolicy policy;
-        /// An idle router writes its row this often, so that its row's age means something.
+        /// An idle router writes its row at this interval, so that the age of the row shows whether the router is alive.
         Duration heartbeatInterval = std::chrono::seconds(5);
     };
 
     explicit NodeLedger(Options options);
 
-    /// The account of a budget, opened on first use.
+    /// Returns the account of a budget, created on first use, and marks it as active.
     BudgetAccount &account(std::string_view budget);
 
-    /// Budgets with something in motion: waiting, reserved or unsettled tokens, or a draw wanted. What is done often looks at these only; a
-    /// router can hold tens of thousands of budgets, of which few move at a time.
+    /// Budgets with waiting requests, with reserved, unsettled or returning tokens, or in need of a draw or an urgent flush. Frequent
+    /// operations visit only these: a router can hold tens of thousands of budgets, of which few are active at a time.
     const std::set<std::string, std::less<>> &activeBudgets() const
     {
         return m_active;
     }
 
-    /// All accounts, in name order.
+    /// All accounts, sorted by budget name.
     const std::map<std::string, BudgetAccount, std::less<>> &accounts() const
     {
         return m_accounts;
     }
 
-    /// Adds a settled request's line to the next flush. The tokens were charged by the account's settle().
+    /// Adds the charge of a settled request to the next flush. BudgetAccount::settle() must have charged its tokens before.
     void addCharge(Charge charge);
 
-    /// Budgets whose rows should be read before the next flush is planned, because they want a draw.
+    /// Returns the budgets whose rows should be read before the next flush is planned, because they need a draw.
     std::vector<std::string> budgetsToRead(const FleetView &fleet, Instant now);
 
-    /// True when someone waits for a flush.
+    /// Returns true if an active account needs a flush before the regular interval has passed.
     bool needsUrgentFlush(Instant now) const;
 
-    /// Makes the next flush from the rows just read. Empty when there is nothing to do, a flush is on its way, or the node is fenced. A
-    /// flush whose answer was lost is returned again as it was.
+    /// Plans the next flush from the rows just read. Empty if there is nothing to write, a flush is in flight, or the node is fenced. A
+    /// flush whose answer was lost is returned again unchanged.
     std::optional<FlushPlan> planFlush(const std::map<std::string, BudgetRow, std::less<>> &rows, const FleetView &fleet, Instant now);
 
-    /// The table answered. Returns the charges that are now billed.
+    /// Call with the answer of the table to the flush in flight. Returns the charges that are now billed.
     std::vector<Charge> onFlushAnswered(const TableVerdict &verdict, Instant now);
 
-    /// No answer: it is unknown whether the flush took effect.
+    /// Call if no answer arrived, so that it is unknown whether the flush took effect.
     void onFlushAnswerLost();
 
-    /// The router ends in good order: once nothing is held any more, the last flush closes its row, so that no peer has to recover it.
+    /// Starts an orderly shutdown: once nothing is held any more, the last flush closes the node's row, so that no peer has to recover this
+    /// router.
     void beginClose()
     {
         m_closing = true;
@@ -105,7 +108,7 @@
         return m_closed;
     }
 
-    /// Number of the newest flush that the table applied.
+    /// Number of the newest flush that the table has applied.
     std::uint64_t appliedFlush() const
     {
         return m_appliedFlush;
@@ -123,26 +126,28 @@
         return m_nextFlush;
     }
 
-    /// True when the table knows this incarnation.
+    /// True if the table has a row for this incarnation.
     bool registered() const
     {
         return m_nodeVersion != 0;
     }
 
-    /// True when every charge is in the table and no flush is on its way.
+    /// True if nothing is reserved, every charge is in the table and no flush is pending.
     bool idle() const;
 
-    /// The incarnation this ledger belongs to.
+    /// The incarnation that this ledger belongs to.
     const NodeIdentity &identity() const
     {
         return m_options.identity;
     }
 
 private:
-    /// Visits the active accounts, beginning after the one that the last flush ended with, so that a long list of budgets takes turns.
+    /// Visits the active accounts, starting after the last one included in a flush, so that all of them get their turn when there are more
+    /// than fit into one flush.
     template<typename Visit>
     void forEachActive(Visit visit);
-    /// Visits a few of the others, a different few each time: their surplus grows as their demand fades.
+    /// Visits the next few inactive accounts, continuing where the last call stopped. They have to be visited because their surplus grows
+    /// as their demand decays.
     template<typename Visit>
     void visitInactive(Visit visit);
     void deactivateIdle(const FleetView &fleet, Instant now);
@@ -157,14 +162,14 @@
     std::map<std::string, BudgetAccount, std::less<>> m_accounts;
     std::set<std::string, std::less<>> m_active;
     std::string m_lastInactiveVisited;
-    /// Budgets for which a grant row exists in the table.
+    /// Budgets for which this incarnation's grant row exists in the table.
     std::map<std::string, bool, std::less<>> m_budgetsWithGrantRow;
     std::vector<Charge> m_charges;
-    /// The flush on its way, or to be sent again.
+    /// The flush that is in flight or has to be sent again.
     std::optional<FlushPlan> m_pendingFlush;
-    /// Earlier plans over the same node version that a delayed message could still apply.
+    /// Rejected plans for the same version of the node's row, which the table could still apply if a delayed message arrives.
     std::vector<FlushPlan> m_supersededFlushes;
-    /// Newest page of this incarnation's ledger that the table knows.
+    /// Object key of the newest page in this incarnation's list of ledger pages that the table knows.
     std::string m_newestPageKey;
     std::string m_lastActiveVisited;
     Instant m_appliedAt{};
