--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-/// Calls without an answer after which the table counts as out of reach.
+/// After this many failed calls in a row the table counts as unreachable.
 constexpr int s_failedCallsUntilUnreachable = 2;
 constexpr Duration s_returnPollInterval = std::chrono::milliseconds(20);
 
 }
 
-/// A request waiting for tokens. Shared by its coroutine and the table through which its outcome finds it.
+/// A request waiting for tokens. Shared by the coroutine that waits and by the map through which the result is delivered to it.
 struct BudgetService::PendingReservation {
     explicit PendingReservation(const asio::any_io_executor &executor)
         : timer(executor)
@@ -77,7 +77,7 @@
 {
     deliverResults(account.takeResults());
     if (const auto need = account.takeRecallRequest(steadyNow()); need && m_recall) {
-        // Outside the lock: the handler takes the link's.
+        // Posted so that it runs without m_mutex: the handler takes a lock of the link.
         asio::post(m_loop, [this, budget = account.budget(), amount = *need] {
             m_recall(budget, amount);
         });
@@ -212,7 +212,7 @@
     }
     const std::lock_guard lock(m_mutex);
     if (m_fleet.tableReachable) {
-        logLine(Severity::Warning, "the platform's table is out of reach");
+        logLine(Severity::Warning, "the platform's table is unreachable");
     }
     m_fleet.tableReachable = false;
     for (const std::string &name : m_ledger.activeBudgets()) {
--- a/src/budget/budgetservice.h
+++ b/src/budget/budgetservice.h
@@ -15,9 +15,10 @@
 
 namespace bamboohold {
 
-/// Drives a router's NodeLedger: reservations from any loop, and the flush loop on the platform's loop.
+/// Runs a router's NodeLedger: takes reservations on any event loop and flushes on the event loop of the platform client.
 ///
-/// Lock: m_mutex guards the ledger and the waiting requests; it is never held across a wait, and nothing else is locked under it.
+/// Locking: m_mutex protects the ledger and the pending reservations. It is never held across a suspension point, and no other lock is
+/// taken while it is held.
 class BudgetService
 {
 public:
@@ -25,15 +26,16 @@
         NodeIdentity identity;
         AccountPolicy policy;
         Duration flushInterval = std::chrono::seconds(1);
-        /// Shortest time between two flushes when someone waits for one.
+        /// Minimum time between two flushes when one is urgent.
         Duration urgentFlushInterval = std::chrono::milliseconds(20);
-        /// And at least this for each router of the fleet, so that the table's load does not grow with their number.
+        /// The minimum is at least this time multiplied by the number of routers, so that the load on the table does not grow with the
+        /// fleet.
         Duration urgentFlushIntervalPerRouter = std::chrono::milliseconds(2);
     };
 
-    /// Told which requests the table now bills, so that their sidecars can forget them.
+    /// Called with the charges that the table now bills, so that sidecars can forget these requests.
     using BilledHandler = std::function<void(const std::vector<Charge> &billed)>;
-    /// Asks all peers to return what they can spare of a budget.
+    /// Called to ask all peers to return the tokens of a budget that they can spare.
     using RecallHandler = std::function<void(const std::string &budget, Tokens need)>;
 
     BudgetService(asio::any_io_executor platformLoop, PlatformClient &platform, Options options);
@@ -41,40 +43,43 @@
     void setBilledHandler(BilledHandler handler);
     void setRecallHandler(RecallHandler handler);
 
-    /// Reserves the worst case of a request, waiting while it may still be admitted. Refusals carry their failure; all mean not run.
+    /// Reserves the worst case of a request and waits up to the timeout while the request may still be admitted. Every error means that the
+    /// request was not run: the account's reason for a refusal, DeadlineExceeded after the timeout, or Fenced if this router was declared
+    /// dead.
     asio::awaitable<absl::Status> reserve(std::string budget, std::string requestId, Tokens bound, Duration timeout);
 
-    /// Reserves at once for a peer's request, or declines. Gives the earliest flush that can bill it.
+    /// Reserves tokens for a peer's request without waiting. Returns the number of the earliest flush that can bill the request, or nothing
+    /// if the reservation is declined.
     std::optional<std::uint64_t> reserveForPeer(std::string_view budget, std::string_view requestId, Tokens bound);
 
     /// Lowers a reservation.
     void lowerReservation(std::string_view budget, std::string_view requestId, Tokens bound);
 
-    /// Ends a reservation with the tokens used, and bills them on the line given. Returns what was charged.
+    /// Ends a reservation with the number of tokens used and adds the charge to the ledger. Returns the tokens charged.
     Tokens settle(Charge charge, Tokens used);
 
     /// Number of the earliest flush that can bill a request dispatched now.
     std::uint64_t nextFlush() const;
 
-    /// Number of the newest flush that the table applied.
+    /// Number of the newest flush that the table has applied.
     std::uint64_t appliedFlush() const;
 
-    /// A peer asks for surplus. Returns how much goes back with the next flush.
+    /// Call when a peer recalls tokens. Returns how many will be returned with the next flush.
     Tokens onPeerRecall(std::string_view budget, std::string_view peer);
 
-    /// The number of routers has changed.
+    /// Sets the number of routers in the fleet, including this one; at least 1 is assumed.
     void setRouterCount(std::size_t routers);
 
-    /// The flush loop; runs until stop().
+    /// Flushes periodically until returnHoldings() is called.
     asio::awaitable<void> run();
 
-    /// Flushes until nothing is left, returning all holdings, or the time is up.
+    /// Shuts down: flushes until all holdings are returned and the row is closed, or the time limit has passed.
     asio::awaitable<void> returnHoldings(Duration limit);
 
     /// True once this incarnation was declared dead.
     bool fenced() const;
 
-    /// One line of the operators' view.
+    /// The tokens of one budget, for the operators' status page and the metrics.
     struct HoldingSummary {
         std::string budget;
         Tokens holding = 0;
@@ -83,10 +88,10 @@
         std::size_t waiting = 0;
     };
 
-    /// What this router holds.
+    /// Returns the tokens that this router holds, by budget.
     std::vector<HoldingSummary> holdingSummaries() const;
 
-    /// Flushes that the table applied, and tries that got no answer.
+    /// Number of flushes that the table has answered.
     std::uint64_t flushes() const
     {
         return m_flushes;
