--- a/src/budget/sponsorship.cpp
+++ b/src/budget/sponsorship.cpp
@@ -42,7 +42,7 @@
 
 }
 
-/// A request for which a peer was asked. Shared by its coroutine and the table through which the answer finds it.
+/// A request sent to a peer. Shared by the coroutine that waits and by the map through which the answer is delivered to it.
 struct Sponsorship::PendingQuery {
     explicit PendingQuery(const asio::any_io_executor &loop)
         : timer(loop)
@@ -108,7 +108,7 @@
         }
     }
     if (!answered) {
-        // The peer may have reserved all the same; this request will not run on its account.
+        // The peer may have reserved tokens although its answer did not arrive. Release them: this request will not run on its account.
         wire::Envelope release;
         release.mutable_sponsored_end()->set_request_id(unfunded.requestId);
         release.mutable_sponsored_end()->set_not_run(true);
@@ -183,7 +183,7 @@
 
 void Sponsorship::reportEnd(std::string_view payer, std::string_view requestId, const RequestCourse &course)
 {
-    // Without a count from the sidecar this router knows no more than the payer will hear from there.
+    // Without a charge from the sidecar, this router knows nothing that the payer does not hear from the sidecar itself.
     const bool notRun = course.outcome() == Outcome::NotRun;
     if (!notRun && !course.charged()) {
         return;
--- a/src/budget/sponsorship.h
+++ b/src/budget/sponsorship.h
@@ -15,56 +15,61 @@
 
 namespace bamboohold {
 
-/// Reservations that one router makes for another's requests while the table is out of reach.
+/// Lets a router reserve tokens at a peer for its own requests while the table is unreachable.
 ///
-/// No token changes hands: the run is paid, billed and, if need be, recovered as the sponsor's own, so a sponsored request adds no fact
-/// that a recovery would have to find. The sidecar tells the sponsor how the run ended, and so does the router that asked; the first word
-/// counts. A sponsor that hears from neither charges the worst case once the run is certainly over.
+/// No tokens are transferred: the run is paid, billed and, if necessary, recovered as the sponsor's own, so a recovery does not have to
+/// know about the sponsorship. Both the sidecar and the router that asked tell the sponsor how the run ended; the first report counts. If
+/// neither arrives, the sponsor charges the worst case once the run must be over.
 ///
-/// Lock: m_mutex guards the requests asked for and sponsored; nothing else is locked under it.
+/// Locking: m_mutex protects the pending queries and the sponsored runs. No other lock is taken while it is held.
 class Sponsorship
 {
 public:
     struct Options {
-        /// Time a peer has to answer.
+        /// How long to wait for the answer of a peer.
         Duration answerTimeout = std::chrono::milliseconds(500);
-        /// Time that the ends of a run have to arrive after it is over.
+        /// How long after the latest possible end of a run a report of its end may still arrive.
         Duration endReportGrace = std::chrono::seconds(60);
     };
 
-    /// A request that needs a sponsor.
+    /// A request for which this router cannot reserve tokens itself.
     struct UnfundedRequest {
         std::string requestId;
         std::string budget;
         std::string team;
         Tokens bound = 0;
+        /// Time after which a run of the request is certainly over.
         Duration endsWithin{};
     };
 
-    /// A peer that reserved.
+    /// A peer that has reserved tokens for a request.
     struct Sponsor {
+        /// Incarnation whose grant pays.
         std::string payer;
+        /// Number of the payer's earliest flush that can bill the request.
         std::uint64_t earliestFlush = 0;
     };
 
+    /// Returns the peers to ask, in this order.
     using PeerSource = std::function<std::vector<std::string>()>;
 
     Sponsorship(asio::any_io_executor loop, BudgetService &budgets, PeerSource peers, Options options);
 
-    /// The link to send on; set before the first request.
+    /// Sets the link to send on. Must be called before the first request.
     void setLink(LinkHub *link);
 
-    /// Asks peers one after the other; empty when none can.
+    /// Asks peers one after the other to reserve tokens for the request. Empty if none of them does.
     asio::awaitable<std::optional<Sponsor>> findSponsor(UnfundedRequest unfunded);
 
-    /// The router that asked tells the payer how the request ended, where it knows.
+    /// Reports to the payer how the request ended. Sends nothing if the request ran and its charge is not known here.
     void reportEnd(std::string_view payer, std::string_view requestId, const RequestCourse &course);
 
+    /// Handle messages from the link. Answers that come too late and ends of unknown requests are ignored.
     void onRequest(std::string_view peer, const wire::SponsorRequest &request);
     void onAnswer(std::string_view peer, const wire::SponsorAnswer &answer);
     void onEnd(const wire::SponsoredEnd &end);
 
-    /// Charges the worst case of runs that nobody reported. Runs for as long as the process.
+    /// Periodically charges the worst case of runs whose end nobody has reported. Never returns.
     asio::awaitable<void> settleOverdueRuns();
 
 private:
@@ -74,6 +79,7 @@
         std::string budget;
         std::string team;
         Tokens bound = 0;
+        /// When the run is certainly over.
         Instant endsBy;
     };
 
