--- a/src/tests/budgetaccounttest.cpp
+++ b/src/tests/budgetaccounttest.cpp
@@ -18,7 +18,7 @@
     return Instant(std::chrono::milliseconds(milliseconds));
 }
 
-/// An account that holds so many tokens.
+/// Returns an account that holds this many tokens.
 BudgetAccount accountHolding(Tokens tokens, AccountPolicy policy = {})
 {
     BudgetAccount account("team", policy);
@@ -56,8 +56,8 @@
     }
 }
 
-// A caller sees: its request waits a moment and is answered, although the budget looked used up when it came. Order: a large reservation is
-// out, a second request comes, the first ends having used little. Cause: worst cases are several times what requests use.
+// Guards against refusing a request that a reservation in flight can still admit. Worst cases are several times what requests use, so a
+// budget that looks exhausted often has tokens again when a large reservation ends.
 BOOST_AUTO_TEST_CASE(waitsForAReservationInFlightThatCanStillAdmitIt)
 {
     BudgetAccount account = accountHolding(1000);
@@ -70,8 +70,8 @@
     BOOST_TEST((results[0].decision == Decision::Admitted));
 }
 
-// A caller sees: a refusal the moment it is certain, with the time to come back. Order: it waits for a reservation, which ends having used
-// nearly all of its worst case. Cause: nothing in flight can admit it any more, so holding it back would only keep it from going elsewhere.
+// Guards against holding back a request that nothing in flight can admit any more. The reservation it waited for ends after using almost
+// its whole worst case; the request must be refused at once, with a retry-after time, so that its caller can try elsewhere.
 BOOST_AUTO_TEST_CASE(refusesAtOnceWhenNothingInFlightCanAdmitIt)
 {
     BudgetAccount account = accountHolding(1000, {.refusalCacheTime = std::chrono::milliseconds(500)});
@@ -114,7 +114,8 @@
         Tokens lowest;
         Tokens highest;
     };
-    // Plenty: several requests ahead. Little: the waiting request alone, so that the rest stays for others. Too little: nothing.
+    // With many free tokens: several requests in advance. With few: only the waiting request, so that the rest stays for other routers.
+    // With too few: nothing.
     for (const Case &example : {Case{1'000'000, 3, 400, 400},
                                 Case{600, 3, 100, 100},
                                 Case{100, 3, 100, 100},
@@ -129,8 +130,8 @@
     }
 }
 
-// A caller sees: an answer although its own router had nothing left. Order: the table has too little, peers are asked, one gives back, the
-// draw is tried again. Cause: tokens lie idle with another router.
+// Guards against refusing a request while another router holds tokens that it does not use. The table has too few tokens, peers are asked,
+// one of them returns some, and the draw is repeated.
 BOOST_AUTO_TEST_CASE(asksPeersBeforeItRefuses)
 {
     BudgetAccount account("team", {});
@@ -153,7 +154,7 @@
     const auto results = account.takeResults();
     BOOST_REQUIRE(results.size() == 1);
     BOOST_TEST((results[0].decision == Decision::Refused));
-    // Remembered for a moment, then asked anew, so that a top-up is found.
+    // The refusal is cached for a moment; then the table is asked again, so that a top-up is noticed.
     BOOST_TEST((account.reserve("b", 100, s_threeRouters, at(1100)).decision == Decision::Refused));
     BOOST_TEST((account.reserve("c", 100, s_threeRouters, at(1600)).decision == Decision::Waiting));
 }
@@ -165,14 +166,14 @@
     BOOST_TEST(account.onPeerRecall(true, at(2)) == 700);
     const BudgetUpdate update = account.planFlush(std::nullopt, s_threeRouters, at(3));
     BOOST_TEST(update.returnAmount == 700);
-    // On its way back it cannot be promised to anybody.
+    // Tokens that are being returned cannot be reserved.
     BOOST_TEST(account.available() == 0);
     account.onFlushApplied(update, at(4));
     BOOST_TEST(account.holding() == 300);
 }
 
-// A user would see two routers that both refuse although together they hold enough. Order: each needs 800, each holds 500, each recalls the
-// other. Cause: a router with waiting requests keeps what it has; the fixed order between routers makes one give way.
+// Guards against two routers that both refuse although together they hold enough. Each needs 800 tokens, holds 500 and recalls the other. A
+// router with waiting requests keeps its tokens, so the fixed order between routers has to make one of them return its holding.
 BOOST_AUTO_TEST_CASE(ofTwoWaitingRoutersOneReturnsItsHolding)
 {
     BudgetAccount account = accountHolding(500);
@@ -181,8 +182,8 @@
     BOOST_TEST(account.onPeerRecall(true, at(2)) == 500);
 }
 
-// Near the end each router's remainder is too small for any request, while together they would serve one. What cannot be used here must go
-// back although somebody waits here.
+// Guards against tokens that stay unused near the end of a budget, because what each router has left is too little for any request while
+// together they would suffice. What cannot be used here must be returned even while a request waits here.
 BOOST_AUTO_TEST_CASE(returnsARemainderTooSmallForAnyWaitingRequest)
 {
     BudgetAccount account = accountHolding(1000);
--- a/src/tests/nodeledgertest.cpp
+++ b/src/tests/nodeledgertest.cpp
@@ -68,8 +68,8 @@
     BOOST_TEST(router.ledger.idle());
 }
 
-// A team would be billed twice. Order: the flush takes effect, its answer is lost, the router sends again, finds its row moved on. Cause: a
-// lost answer says nothing about the effect; the flush id in the router's own row does.
+// Guards against billing a team twice. A flush takes effect but its answer is lost, so the router sends it again and finds that its row has
+// a newer version. A lost answer says nothing about the effect; the flush id in the router's own row does.
 BOOST_AUTO_TEST_CASE(resolvesALostAnswerByTheFlushIdInItsRow)
 {
     SingleRouterFixture router(10'000);
@@ -89,9 +89,9 @@
     BOOST_TEST(router.field("consumed") == 40);
 }
 
-// A team would be billed twice or its grant lost. Order: a flush is held up in the network, its second copy is refused because another
-// router took the last free tokens, a new flush is planned, and then the first copy arrives. Cause: a plan that was refused once can still
-// take effect later.
+// Guards against billing a team twice or losing its grant. A flush is delayed in the network, its second copy is rejected because another
+// router took the last free tokens, a new flush is planned, and then the first copy arrives. A plan that was rejected once can still take
+// effect later.
 BOOST_AUTO_TEST_CASE(recognisesASupersededFlushThatIsAppliedLate)
 {
     SingleRouterFixture router(1'000);
@@ -114,7 +114,8 @@
     BOOST_TEST(router.field("free") + router.field("granted") + router.field("consumed") == 1'000);
 }
 
-// A router that was paused and declared dead wakes and settles. Its flush must change nothing: its grants are in other hands.
+// Guards against a router that was paused, declared dead, and then resumes and settles. Its flush must change nothing, because its grants
+// now belong to others.
 BOOST_AUTO_TEST_CASE(flushAfterBeingDeclaredDeadChangesNothingAndFences)
 {
     SingleRouterFixture router(10'000);
