--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -319,7 +319,7 @@
         }
         run.sidecarLost = true;
         if (run.running) {
-            // The router loses contact and charges its worst case.
+            // The router loses its connection and charges the worst case.
             run.running = false;
             deliverRunEnd(run, run.bound, false);
         }
@@ -417,7 +417,7 @@
     }
     case Reclamation::Phase::Sealing:
         querySidecars();
-        // One whose witnesses are missing must not keep the others from being recovered.
+        // A router whose sidecars do not answer must not block the recovery of the others.
         if (m_reclamation->phase() == Reclamation::Phase::Sealing && ++m_sealingSteps >= s_maxSealingSteps) {
             m_reclamation.reset();
         }
@@ -500,13 +500,13 @@
         const Tokens consumedTokens = integerField(row.fields, "consumed");
         if (free < 0 || free + integerField(row.fields, "granted") + consumedTokens != prepaid
             || integerField(row.fields, "prepaid") != prepaid) {
-            return absl::StrCat(budget, " does not balance");
+            return absl::StrCat(budget, ": free, granted and consumed tokens do not add up to the prepaid ones");
         }
         if (integerField(row.fields, "granted") != granted[budget]) {
-            return absl::StrCat(budget, ": grant rows do not add up");
+            return absl::StrCat(budget, ": the grant rows do not add up to the granted tokens");
         }
         if (billed[budget] != consumedTokens) {
-            return absl::StrCat(budget, ": the ledger says ", billed[budget], ", the row ", consumedTokens);
+            return absl::StrCat(budget, ": billed in the ledger: ", billed[budget], ", consumed in the row: ", consumedTokens);
         }
         if (ran[budget] > prepaid) {
             return absl::StrCat(budget, " overspent: ", ran[budget], " of ", prepaid);
@@ -523,15 +523,14 @@
     }
     for (const Run &run : m_runs) {
         const auto found = charged.find(run.requestId);
-        // Where a witness was lost together with the router, the whole grant stays held and its row says so; nothing of it can be spent
-        // again.
+        // If a sidecar was lost together with the router, the whole grant stays held and the row says so; none of it can be spent again.
         const bool held = textField((*m_table.read(nodeKey(run.router))).fields, "state") == "sealing";
         if (found == charged.end() && !held) {
             const TableRow node = *m_table.read(nodeKey(run.router));
             return absl::StrCat(run.requestId, " of ", run.router, " (", textField(node.fields, "state"), ") was never billed");
         }
         if (found != charged.end() && found->second < run.actualTokens) {
-            return absl::StrCat(run.requestId, " was billed less than it ran");
+            return absl::StrCat(run.requestId, " was billed less than it used");
         }
     }
     return {};
--- a/src/tests/fakefleet.h
+++ b/src/tests/fakefleet.h
@@ -13,17 +13,17 @@
 
 namespace bamboohold {
 
-/// What happens to a transaction on its way.
+/// What happens to a transaction on its way to the table and back.
 enum class Delivery {
     Answered,
     RequestLost,
     AnswerLost,
-    /// Lost now, and applied at some later step.
+    /// Lost at first, and applied in a later step.
     Delayed,
 };
 
-/// Routers, sidecars, engines and the table, all in one place and driven step by step: decision objects with the smallest fakes around
-/// them. Engines' true counts are kept, so that the invariants compare the ledger with what really ran.
+/// Routers, sidecars, engines and the table in one process, driven step by step: the real decision classes with minimal fakes around them.
+/// It records the true token counts of the engines, so that the invariants compare the ledger with what really ran.
 class FakeFleet
 {
 public:
@@ -36,31 +36,39 @@
 
     explicit FakeFleet(Options options);
 
+    /// Submits a request that reserves `bound` tokens and really uses `actualTokens`, at most the bound.
     void submitRequest(std::size_t router, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target);
-    /// A request at one router that another router's grant pays for.
+    /// Submits a request at one router that is paid from another router's grant.
     void submitSponsoredRequest(
         std::size_t receiver, std::size_t payer, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target);
+    /// Ends one of the runs in progress. If `reported` is false, the engine reports no token counts.
     void finishRun(std::size_t index, bool reported);
     void flush(std::size_t router, Delivery delivery);
+    /// Applies the oldest delayed transaction.
     void deliverDelayed();
     void topUp(std::size_t budget, Tokens amount);
     void recall(std::size_t router, std::size_t budget);
+    /// Kills a router and starts its successor.
     void kill(std::size_t router);
+    /// Pauses a router. Until resume() it does not act, and run ends sent to it are queued.
     void pause(std::size_t router);
     void resume(std::size_t router);
+    /// Kills a target's sidecar and starts its successor, which knows nothing of the runs.
     void replaceSidecar(std::size_t target);
+    /// Cuts a sidecar off from reclaimers, or reconnects it.
     void setSidecarCut(std::size_t target, bool cut);
-    /// Takes the next step of recovering a silent router; reclaimer is the router that does the work.
+    /// Performs the next step of recovering a silent router; `reclaimer` is the router that does the work.
     void reclaimStep(std::size_t reclaimer, Delivery delivery);
     void advanceTime(Duration duration);
 
-    /// Ends all runs, brings all messages home, recovers all dead routers.
+    /// Ends all runs, delivers all messages and recovers all dead routers.
     void runToCompletion();
 
-    /// Empty while everything holds, else what does not.
+    /// Returns a description of the first invariant that is violated, or an empty string.
     std::string invariantViolation() const;
 
-    /// After settleDown(): empty when every run has exactly one charge of at least its true cost, or its router's grants are held.
+    /// Call after runToCompletion(). Returns a description of the first run that was never billed or was billed less than it used, or an
+    /// empty string. Runs whose router's grants are still held count as billed.
     std::string billingViolation() const;
 
     Tokens consumed(std::size_t budget) const;
@@ -94,7 +102,7 @@
         std::string incarnation;
         std::unique_ptr<NodeLedger> ledger;
         RouterState state = RouterState::Running;
-        /// What was sent to it while it was paused.
+        /// Run ends that were sent to it while it was paused.
         std::deque<std::pair<Charge, Tokens>> inbox;
         std::map<std::string, SubmittedRequest> waiting;
     };
--- a/src/tests/fleetpropertytest.cpp
+++ b/src/tests/fleetpropertytest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// One step of a random history; the numbers are taken modulo what there is.
+/// One step of a random history. The numbers are taken modulo the number of routers, budgets or targets.
 struct Step {
     int kind = 0;
     std::size_t first = 0;
@@ -18,7 +18,7 @@
     Tokens actualTokens = 0;
 };
 
-/// Shows a step in a counterexample.
+/// Prints a step of a counterexample.
 std::ostream &operator<<(std::ostream &stream, const Step &step)
 {
     return stream << "{" << step.kind << ", " << step.first << ", " << step.second << ", " << step.amount << ", " << step.actualTokens
@@ -86,9 +86,9 @@
 
 }
 
-// What a user would see if this failed: a budget that ends up spent beyond what was paid, or a request on the bill twice or not at all.
-// Routers die, pause and wake, sidecars are cut off or replaced, the table loses and delays answers, operators top up and take out,
-// reclaimers race and stop half way, in any order. Cause looked for: any interleaving in which two parties believe in the same token.
+// Guards against a budget that is spent beyond what was paid, and against a request that is billed twice or not at all. Routers die, pause
+// and resume, sidecars are cut off or replaced, the table loses and delays answers, operators add and remove tokens, and reclaimers compete
+// and stop half way, in any order. Such a fault needs an interleaving in which two parties both consider the same token theirs.
 BOOST_AUTO_TEST_CASE(randomHistoriesNeverOverspendOrBillTwice)
 {
     const bool holds = rc::check([] {
