--- a/src/budget/budgetaccount.cpp
+++ b/src/budget/budgetaccount.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// When to come back after a refusal that tokens returned by other requests or routers may lift.
+/// Retry-after time of a refusal that can end as soon as other requests or routers return tokens.
 constexpr std::int64_t s_retryWhenReleasedMs = 2'000;
-/// When to come back after a refusal that only a top-up can lift.
+/// Retry-after time of a refusal that only a top-up can end.
 constexpr std::int64_t s_retryAfterTopUpMs = 30'000;
 
 }
@@ -29,22 +29,22 @@
     return m_policy.returnsSurplus && m_scarceUntil && now < *m_scarceUntil;
 }
 
-void BudgetAccount::noteScarcity(Instant now)
+void BudgetAccount::markScarce(Instant now)
 {
-    m_scarceUntil = now + m_policy.scarceWindow;
+    m_scarceUntil = now + m_policy.scarcityDuration;
 }
 
-Tokens BudgetAccount::aim(Instant now) const
+Tokens BudgetAccount::desiredHolding(Instant now) const
 {
     if (scarce(now)) {
         return 0;
     }
-    const double ahead = m_demand.rate(now) * seconds(m_policy.horizon);
-    const double minimum = m_demand.averageBound() * m_policy.minimumRequests;
-    return static_cast<Tokens>(std::ceil(std::max(ahead, minimum)));
+    const double forFutureRequests = m_demand.rate(now) * seconds(m_policy.holdingHorizon);
+    const double minimum = m_demand.averageBound() * m_policy.minimumHoldingRequests;
+    return static_cast<Tokens>(std::ceil(std::max(forFutureRequests, minimum)));
 }
 
-Tokens BudgetAccount::waitersNeed() const
+Tokens BudgetAccount::totalWaitingBound() const
 {
     Tokens need = 0;
     for (const Waiter &waiter : m_waiters) {
@@ -53,9 +53,9 @@
     return need;
 }
 
-bool BudgetAccount::refusalStands(Instant now) const
+bool BudgetAccount::refusalIsCached(Instant now) const
 {
-    return m_refusal && m_refusal->finalAt && now - *m_refusal->finalAt < m_policy.refusalMemory;
+    return m_refusal && m_refusal->finalAt && now - *m_refusal->finalAt < m_policy.refusalCacheTime;
 }
 
 bool BudgetAccount::mayStillAdmit(Tokens bound, const FleetView &fleet, Instant now) const
@@ -68,13 +68,13 @@
     if (!fleet.tableReachable) {
         return false;
     }
-    if (!refusalStands(now)) {
+    if (!refusalIsCached(now)) {
         return true;
     }
     return !m_refusal->closed && m_refusal->exists && available() + m_refusal->free >= bound;
 }
 
-Failure BudgetAccount::refusal(Tokens bound, const FleetView &fleet) const
+Failure BudgetAccount::refusalFailure(Tokens bound, const FleetView &fleet) const
 {
     if (m_refusal && !m_refusal->exists) {
         return {.kind = FailureKind::BudgetClosed, .detail = absl::StrCat("budget '", m_budget, "' does not exist")};
@@ -87,34 +87,34 @@
                 .detail = absl::StrCat("budget '", m_budget, "' needs ", bound, " tokens and more cannot be drawn now"),
                 .retryAfterMs = s_retryWhenReleasedMs};
     }
-    const bool reservationsOut = m_reserved > 0;
+    const bool hasReservations = m_reserved > 0;
     return {.kind = FailureKind::BudgetExhausted,
             .detail = absl::StrCat("budget '", m_budget, "' has too little left for a worst case of ", bound, " tokens"),
-            .retryAfterMs = reservationsOut ? s_retryWhenReleasedMs : s_retryAfterTopUpMs};
+            .retryAfterMs = hasReservations ? s_retryWhenReleasedMs : s_retryAfterTopUpMs};
 }
 
-ReservationOutcome BudgetAccount::reserve(std::string_view requestId, Tokens bound, const FleetView &fleet, Instant now)
+ReservationResult BudgetAccount::reserve(std::string_view requestId, Tokens bound, const FleetView &fleet, Instant now)
 {
     assert(bound > 0 && !m_reservations.contains(std::string(requestId)));
     m_lastFleet = fleet;
     m_demand.addRequest(bound);
-    ReservationOutcome outcome{.requestId = std::string(requestId)};
+    ReservationResult result{.requestId = std::string(requestId)};
     if (available() >= bound) {
-        m_reservations.emplace(outcome.requestId, bound);
+        m_reservations.emplace(result.requestId, bound);
         m_reserved += bound;
-        outcome.verdict = ReservationOutcome::Verdict::Admitted;
-        return outcome;
+        result.decision = ReservationResult::Decision::Admitted;
+        return result;
     }
     if (!mayStillAdmit(bound, fleet, now)) {
-        outcome.failure = refusal(bound, fleet);
-        return outcome;
+        result.failure = refusalFailure(bound, fleet);
+        return result;
     }
-    m_waiters.push_back({.requestId = outcome.requestId, .bound = bound});
-    outcome.verdict = ReservationOutcome::Verdict::Waiting;
-    return outcome;
+    m_waiters.push_back({.requestId = result.requestId, .bound = bound});
+    result.decision = ReservationResult::Decision::Waiting;
+    return result;
 }
 
-bool BudgetAccount::sponsor(std::string_view requestId, Tokens bound)
+bool BudgetAccount::reserveForPeer(std::string_view requestId, Tokens bound)
 {
     if (bound <= 0 || !m_waiters.empty() || available() < bound || m_reservations.contains(std::string(requestId))) {
         return false;
@@ -124,7 +124,7 @@
     return true;
 }
 
-void BudgetAccount::tighten(std::string_view requestId, Tokens bound)
+void BudgetAccount::lowerReservation(std::string_view requestId, Tokens bound)
 {
     const auto found = m_reservations.find(std::string(requestId));
     if (found == m_reservations.end() || bound >= found->second) {
@@ -147,11 +147,11 @@
     m_reservations.erase(found);
     m_demand.addUse(charged, now);
     admitWaiters();
-    refuseHopeless(m_lastFleet, now);
+    refuseUnadmittable(m_lastFleet, now);
     return charged;
 }
 
-bool BudgetAccount::abandon(std::string_view requestId)
+bool BudgetAccount::cancelWaiting(std::string_view requestId)
 {
     const auto found = std::find_if(m_waiters.begin(), m_waiters.end(), [requestId](const Waiter &waiter) {
         return waiter.requestId == requestId;
@@ -165,8 +165,8 @@
 
 void BudgetAccount::admitWaiters()
 {
-    // First fit, not first come: near the end of a budget a large request must not keep the last tokens from small ones that they would
-    // serve.
+    // First fit instead of first come, first served: near the end of a budget, a large request must not block smaller ones that the last
+    // tokens would still cover.
     for (auto waiter = m_waiters.begin(); waiter != m_waiters.end();) {
         if (available() < waiter->bound) {
             ++waiter;
@@ -174,172 +174,173 @@
         }
         m_reservations.emplace(waiter->requestId, waiter->bound);
         m_reserved += waiter->bound;
-        m_outcomes.push_back({.requestId = waiter->requestId, .verdict = ReservationOutcome::Verdict::Admitted});
+        m_results.push_back({.requestId = waiter->requestId, .decision = ReservationResult::Decision::Admitted});
         waiter = m_waiters.erase(waiter);
     }
 }
 
-void BudgetAccount::refuseHopeless(const FleetView &fleet, Instant now)
+void BudgetAccount::refuseUnadmittable(const FleetView &fleet, Instant now)
 {
-    // A request that nothing can admit any more is answered now; holding it would only keep its caller from going elsewhere.
+    // Refuse as soon as nothing can admit the request any more: letting it wait would only delay its caller from trying elsewhere.
     for (auto waiter = m_waiters.begin(); waiter != m_waiters.end();) {
         if (mayStillAdmit(waiter->bound, fleet, now)) {
             ++waiter;
             continue;
         }
-        m_outcomes.push_back({.requestId = waiter->requestId, .failure = refusal(waiter->bound, fleet)});
+        m_results.push_back({.requestId = waiter->requestId, .failure = refusalFailure(waiter->bound, fleet)});
         waiter = m_waiters.erase(waiter);
     }
 }
 
-bool BudgetAccount::urgent(Instant now) const
+bool BudgetAccount::needsUrgentFlush(Instant now) const
 {
-    const bool spareNeededElsewhere = scarce(now) && m_waiters.empty() && available() > 0;
-    return (!m_waiters.empty() && !m_recallUntil) || m_recalledByPeer > 0 || spareNeededElsewhere;
+    const bool surplusNeededElsewhere = scarce(now) && m_waiters.empty() && available() > 0;
+    return (!m_waiters.empty() && !m_recallDeadline) || m_recalledAmount > 0 || surplusNeededElsewhere;
 }
 
 bool BudgetAccount::wantsDraw(const FleetView &fleet, Instant now)
 {
     m_lastFleet = fleet;
-    if (m_recallUntil || refusalStands(now)) {
+    if (m_recallDeadline || refusalIsCached(now)) {
         return false;
     }
-    return !m_waiters.empty() || static_cast<double>(available()) < m_policy.refillBelow * static_cast<double>(aim(now));
+    return !m_waiters.empty() || static_cast<double>(available()) < m_policy.refillThreshold * static_cast<double>(desiredHolding(now));
 }
 
 Tokens BudgetAccount::drawAmount(const BudgetRow &row, const FleetView &fleet, Instant now) const
 {
-    const Tokens missing = std::max<Tokens>(0, aim(now) - std::max<Tokens>(0, available()));
-    const auto drawers = static_cast<double>(std::max<std::size_t>(1, fleet.routers));
-    const auto share = static_cast<Tokens>(static_cast<double>(row.free) * m_policy.shareOfFree / drawers);
-    const Tokens ahead = std::min(missing, share);
-    const Tokens forWaiters = std::max<Tokens>(0, waitersNeed() - available());
-    const Tokens wanted = std::max(ahead, forWaiters);
+    const Tokens missing = std::max<Tokens>(0, desiredHolding(now) - std::max<Tokens>(0, available()));
+    const auto drawingRouters = static_cast<double>(std::max<std::size_t>(1, fleet.routers));
+    const auto share = static_cast<Tokens>(static_cast<double>(row.free) * m_policy.drawShareOfFree / drawingRouters);
+    const Tokens forFutureRequests = std::min(missing, share);
+    const Tokens forWaitingRequests = std::max<Tokens>(0, totalWaitingBound() - available());
+    const Tokens wanted = std::max(forFutureRequests, forWaitingRequests);
     if (wanted <= row.free) {
         return wanted;
     }
-    // Not all waiters can be served: take what is left only when it admits at least one of them.
+    // Not all waiting requests can be served: take the rest only if it admits at least one of them.
     const bool admitsSomeone = std::any_of(m_waiters.begin(), m_waiters.end(), [&](const Waiter &waiter) {
         return waiter.bound <= available() + row.free;
     });
     return admitsSomeone ? row.free : 0;
 }
 
-FlushPart BudgetAccount::planFlush(const std::optional<BudgetRow> &row, const FleetView &fleet, Instant now)
+BudgetUpdate BudgetAccount::planFlush(const std::optional<BudgetRow> &row, const FleetView &fleet, Instant now)
 {
     m_lastFleet = fleet;
-    FlushPart part{.budget = m_budget, .settled = m_unsettled};
+    BudgetUpdate update{.budget = m_budget, .settled = m_unsettled};
     if (row) {
-        const double plenty = m_policy.plentyRequests * m_demand.averageBound() * static_cast<double>(fleet.routers);
-        static_cast<double>(row->free) >= plenty ? m_scarceUntil.reset() : noteScarcity(now);
+        const double ampleTokens = m_policy.ampleRequests * m_demand.averageBound() * static_cast<double>(fleet.routers);
+        static_cast<double>(row->free) >= ampleTokens ? m_scarceUntil.reset() : markScarce(now);
     }
     if (row && wantsDraw(fleet, now)) {
-        part.draw = row->closed || !row->exists ? 0 : drawAmount(*row, fleet, now);
-        if (part.draw == 0 && !m_waiters.empty()) {
-            drawRefused(*row, now);
+        update.draw = row->closed || !row->exists ? 0 : drawAmount(*row, fleet, now);
+        if (update.draw == 0 && !m_waiters.empty()) {
+            onDrawRefused(*row, now);
         }
     }
-    // Near the end the table is the one place where remainders meet: what cannot admit a request here may, together with what others put
-    // back.
-    const bool pools = scarce(now) && row && part.draw == 0;
-    if (part.draw == 0 && m_policy.returnsSurplus && (m_waiters.empty() || m_recalledByPeer > 0 || pools)) {
-        const auto keep = static_cast<Tokens>(m_policy.surplusFactor * static_cast<double>(aim(now)));
+    // Near the end of a budget, only the table can combine what is left at different routers: tokens that are too few to admit a request
+    // here may suffice together with those that other routers return.
+    const bool returnsRemainder = scarce(now) && row && update.draw == 0;
+    if (update.draw == 0 && m_policy.returnsSurplus && (m_waiters.empty() || m_recalledAmount > 0 || returnsRemainder)) {
+        const auto keep = static_cast<Tokens>(m_policy.surplusFactor * static_cast<double>(desiredHolding(now)));
         const Tokens surplus = std::max<Tokens>(0, available() - keep);
-        part.giveBack = std::clamp(std::max(surplus, m_recalledByPeer), Tokens{0}, std::max<Tokens>(0, available()));
+        update.returnAmount = std::clamp(std::max(surplus, m_recalledAmount), Tokens{0}, std::max<Tokens>(0, available()));
     }
-    m_recalledByPeer = 0;
-    m_returning = std::max(m_returning, part.giveBack);
-    return part;
+    m_recalledAmount = 0;
+    m_returning = std::max(m_returning, update.returnAmount);
+    return update;
 }
 
-void BudgetAccount::confirm(const FlushPart &part, Instant now)
+void BudgetAccount::onFlushApplied(const BudgetUpdate &update, Instant now)
 {
-    m_holding += part.draw - part.giveBack - part.settled;
-    m_unsettled -= part.settled;
+    m_holding += update.draw - update.returnAmount - update.settled;
+    m_unsettled -= update.settled;
     m_returning = 0;
-    if (part.draw > 0) {
+    if (update.draw > 0) {
         m_refusal.reset();
     }
     assert(m_holding >= 0 && m_unsettled >= 0 && available() >= 0);
     admitWaiters();
-    refuseHopeless(m_lastFleet, now);
+    refuseUnadmittable(m_lastFleet, now);
 }
 
-void BudgetAccount::withdrawPlan()
+void BudgetAccount::onFlushRejected()
 {
     m_returning = 0;
 }
 
-void BudgetAccount::drawRefused(const BudgetRow &row, Instant now)
+void BudgetAccount::onDrawRefused(const BudgetRow &row, Instant now)
 {
-    const bool askedPeers = m_refusal && !m_refusal->finalAt && !m_recallUntil;
+    const bool recallHasEnded = m_refusal && !m_refusal->finalAt && !m_recallDeadline;
     m_refusal = TableRefusal{.free = row.free, .closed = row.closed, .exists = row.exists};
-    noteScarcity(now);
-    const bool askedLately = m_lastRecall && now - *m_lastRecall < m_policy.recallInterval;
+    markScarce(now);
+    const bool askedRecently = m_lastRecall && now - *m_lastRecall < m_policy.recallInterval;
     const bool peersMayHelp = m_policy.returnsSurplus && m_lastFleet.routers > 1 && !row.closed && row.exists;
-    if (peersMayHelp && !askedPeers && !askedLately) {
+    if (peersMayHelp && !recallHasEnded && !askedRecently) {
         m_recallWanted = true;
         m_lastRecall = now;
-        m_recallUntil = now + m_policy.recallWindow;
+        m_recallDeadline = now + m_policy.recallTimeout;
         return;
     }
     m_refusal->finalAt = now;
-    refuseHopeless(m_lastFleet, now);
+    refuseUnadmittable(m_lastFleet, now);
 }
 
-void BudgetAccount::tableLost(Instant now)
+void BudgetAccount::onTableUnreachable(Instant now)
 {
     m_lastFleet.tableReachable = false;
-    m_recallUntil.reset();
-    refuseHopeless(m_lastFleet, now);
+    m_recallDeadline.reset();
+    refuseUnadmittable(m_lastFleet, now);
 }
 
-std::optional<Tokens> BudgetAccount::takeRecall(Instant)
+std::optional<Tokens> BudgetAccount::takeRecallRequest(Instant)
 {
     if (!std::exchange(m_recallWanted, false)) {
         return std::nullopt;
     }
-    return std::max<Tokens>(1, waitersNeed() - available());
+    return std::max<Tokens>(1, totalWaitingBound() - available());
 }
 
-void BudgetAccount::recallEnded(Tokens returned, Instant now)
+void BudgetAccount::onRecallEnded(Tokens returned, Instant now)
 {
-    if (!m_recallUntil) {
+    if (!m_recallDeadline) {
         return;
     }
-    m_recallUntil.reset();
+    m_recallDeadline.reset();
     if (returned > 0 || !m_refusal) {
-        // Still marked as refused but not final: the next flush reads the row once more, and its answer ends the matter.
+        // The refusal stays recorded but not final: the next flush reads the row again and decides.
         return;
     }
     m_refusal->finalAt = now;
-    refuseHopeless(m_lastFleet, now);
+    refuseUnadmittable(m_lastFleet, now);
 }
 
-Tokens BudgetAccount::recalled(bool peerGoesFirst, Instant now)
+Tokens BudgetAccount::onPeerRecall(bool peerHasPriority, Instant now)
 {
-    noteScarcity(now);
-    // Two routers that each hold half of what either needs would both keep it and both refuse; the order between them lets one be served.
-    const bool needsItMore = !m_waiters.empty() && !peerGoesFirst;
-    if (!m_policy.returnsSurplus || needsItMore) {
+    markScarce(now);
+    // Two routers that each hold half of what both need would otherwise keep their tokens and both refuse. The fixed order between them
+    // lets one be served.
+    const bool keepsForOwnRequests = !m_waiters.empty() && !peerHasPriority;
+    if (!m_policy.returnsSurplus || keepsForOwnRequests) {
         return 0;
     }
-    const auto keep = static_cast<Tokens>(m_demand.rate(now) * seconds(m_policy.recallKeep));
+    const auto keep = static_cast<Tokens>(m_demand.rate(now) * seconds(m_policy.recallRetention));
     const Tokens spare = std::max<Tokens>(0, available() - keep);
-    m_recalledByPeer = std::max(m_recalledByPeer, spare);
+    m_recalledAmount = std::max(m_recalledAmount, spare);
     return spare;
 }
 
-void BudgetAccount::expire(Instant now)
+void BudgetAccount::expireRecall(Instant now)
 {
-    if (m_recallUntil && now >= *m_recallUntil) {
-        recallEnded(1, now);
+    if (m_recallDeadline && now >= *m_recallDeadline) {
+        onRecallEnded(1, now);
     }
 }
 
-std::vector<ReservationOutcome> BudgetAccount::takeOutcomes()
+std::vector<ReservationResult> BudgetAccount::takeResults()
 {
-    return std::exchange(m_outcomes, {});
+    return std::exchange(m_results, {});
 }
 
 }
--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -14,21 +14,21 @@
 
 namespace {
 
-/// Calls without an answer after which the table counts as out of reach.
-constexpr int s_silencesUntilLost = 2;
-constexpr Duration s_finishPoll = std::chrono::milliseconds(20);
+/// After this many failed calls in a row the table counts as unreachable.
+constexpr int s_failedCallsUntilUnreachable = 2;
+constexpr Duration s_returnPollInterval = std::chrono::milliseconds(20);
 
 }
 
-/// A request waiting for tokens. Shared by its coroutine and the table through which its outcome finds it.
-struct BudgetService::Waiter {
-    explicit Waiter(const asio::any_io_executor &executor)
+/// A request waiting for tokens. Shared by the coroutine that waits and by the map through which the result is delivered to it.
+struct BudgetService::PendingReservation {
+    explicit PendingReservation(const asio::any_io_executor &executor)
         : timer(executor)
     {
     }
 
     asio::steady_timer timer;
-    std::optional<ReservationOutcome> outcome;
+    std::optional<ReservationResult> result;
 };
 
 BudgetService::BudgetService(asio::any_io_executor platformLoop, PlatformClient &platform, Options options)
@@ -50,89 +50,89 @@
     m_recall = std::move(handler);
 }
 
-void BudgetService::wakeFlush()
+void BudgetService::triggerFlush()
 {
     asio::post(m_loop, [this] {
         m_flushTimer.cancel();
     });
 }
 
-void BudgetService::deliver(std::vector<ReservationOutcome> outcomes)
+void BudgetService::deliverResults(std::vector<ReservationResult> results)
 {
-    for (ReservationOutcome &outcome : outcomes) {
-        const auto found = m_waiters.find(outcome.requestId);
-        if (found == m_waiters.end()) {
+    for (ReservationResult &result : results) {
+        const auto found = m_pendingReservations.find(result.requestId);
+        if (found == m_pendingReservations.end()) {
             continue;
         }
-        const std::shared_ptr<Waiter> waiter = found->second;
-        waiter->outcome = std::move(outcome);
-        asio::post(waiter->timer.get_executor(), [waiter] {
-            waiter->timer.cancel();
+        const std::shared_ptr<PendingReservation> pending = found->second;
+        pending->result = std::move(result);
+        asio::post(pending->timer.get_executor(), [pending] {
+            pending->timer.cancel();
         });
-        m_waiters.erase(found);
+        m_pendingReservations.erase(found);
     }
 }
 
-void BudgetService::afterChange(BudgetAccount &account)
+void BudgetService::processAccountChange(BudgetAccount &account)
 {
-    deliver(account.takeOutcomes());
-    if (const auto need = account.takeRecall(steadyNow()); need && m_recall) {
-        // Outside the lock: the handler takes the link's.
+    deliverResults(account.takeResults());
+    if (const auto need = account.takeRecallRequest(steadyNow()); need && m_recall) {
+        // Posted so that it runs without m_mutex: the handler takes a lock of the link.
         asio::post(m_loop, [this, budget = account.budget(), amount = *need] {
             m_recall(budget, amount);
         });
     }
 }
 
-asio::awaitable<absl::Status> BudgetService::reserve(std::string budget, std::string requestId, Tokens bound, Duration patience)
+asio::awaitable<absl::Status> BudgetService::reserve(std::string budget, std::string requestId, Tokens bound, Duration timeout)
 {
-    auto waiter = std::make_shared<Waiter>(co_await asio::this_coro::executor);
+    auto pending = std::make_shared<PendingReservation>(co_await asio::this_coro::executor);
     {
         const std::lock_guard lock(m_mutex);
         if (m_ledger.fenced()) {
             co_return toStatus({.kind = FailureKind::Fenced, .detail = "this router was declared dead and restarts", .retryAfterMs = 1000});
         }
         BudgetAccount &account = m_ledger.account(budget);
-        const ReservationOutcome outcome = account.reserve(requestId, bound, m_fleet, steadyNow());
-        if (outcome.verdict == ReservationOutcome::Verdict::Admitted) {
+        const ReservationResult result = account.reserve(requestId, bound, m_fleet, steadyNow());
+        if (result.decision == ReservationResult::Decision::Admitted) {
             co_return absl::OkStatus();
         }
-        if (outcome.verdict == ReservationOutcome::Verdict::Refused) {
-            co_return toStatus(outcome.failure);
+        if (result.decision == ReservationResult::Decision::Refused) {
+            co_return toStatus(result.failure);
         }
-        m_waiters.emplace(requestId, waiter);
-        wakeFlush();
+        m_pendingReservations.emplace(requestId, pending);
+        triggerFlush();
     }
-    waiter->timer.expires_after(patience);
-    co_await waiter->timer.async_wait(asio::as_tuple(asio::use_awaitable));
+    pending->timer.expires_after(timeout);
+    co_await pending->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     const std::lock_guard lock(m_mutex);
-    if (!waiter->outcome) {
-        m_waiters.erase(requestId);
-        if (m_ledger.account(budget).abandon(requestId)) {
+    if (!pending->result) {
+        m_pendingReservations.erase(requestId);
+        if (m_ledger.account(budget).cancelWaiting(requestId)) {
             co_return failed(FailureKind::DeadlineExceeded, "the deadline passed while the request waited for tokens");
         }
     }
-    if (waiter->outcome && waiter->outcome->verdict == ReservationOutcome::Verdict::Refused) {
-        co_return toStatus(waiter->outcome->failure);
+    if (pending->result && pending->result->decision == ReservationResult::Decision::Refused) {
+        co_return toStatus(pending->result->failure);
     }
     co_return absl::OkStatus();
 }
 
-std::optional<std::uint64_t> BudgetService::sponsor(std::string_view budget, std::string_view requestId, Tokens bound)
+std::optional<std::uint64_t> BudgetService::reserveForPeer(std::string_view budget, std::string_view requestId, Tokens bound)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_ledger.fenced() || m_returning || !m_ledger.account(budget).sponsor(requestId, bound)) {
+    if (m_ledger.fenced() || m_shuttingDown || !m_ledger.account(budget).reserveForPeer(requestId, bound)) {
         return std::nullopt;
     }
     return m_ledger.nextFlush();
 }
 
-void BudgetService::tighten(std::string_view budget, std::string_view requestId, Tokens bound)
+void BudgetService::lowerReservation(std::string_view budget, std::string_view requestId, Tokens bound)
 {
     const std::lock_guard lock(m_mutex);
     BudgetAccount &account = m_ledger.account(budget);
-    account.tighten(requestId, bound);
-    afterChange(account);
+    account.lowerReservation(requestId, bound);
+    processAccountChange(account);
 }
 
 Tokens BudgetService::settle(Charge charge, Tokens used)
@@ -142,20 +142,20 @@
     charge.tokens = account.settle(charge.requestId, used, steadyNow());
     const Tokens charged = charge.tokens;
     m_ledger.addCharge(std::move(charge));
-    afterChange(account);
+    processAccountChange(account);
     return charged;
 }
 
-Tokens BudgetService::recalled(std::string_view budget, std::string_view peer)
+Tokens BudgetService::onPeerRecall(std::string_view budget, std::string_view peer)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_ledger.accounts().find(budget);
     if (found == m_ledger.accounts().end()) {
         return 0;
     }
-    const Tokens spare = m_ledger.account(budget).recalled(peer < m_options.identity.incarnation, steadyNow());
+    const Tokens spare = m_ledger.account(budget).onPeerRecall(peer < m_options.identity.incarnation, steadyNow());
     if (spare > 0) {
-        wakeFlush();
+        triggerFlush();
     }
     return spare;
 }
@@ -172,7 +172,7 @@
     return m_ledger.nextFlush();
 }
 
-void BudgetService::setRouters(std::size_t routers)
+void BudgetService::setRouterCount(std::size_t routers)
 {
     const std::lock_guard lock(m_mutex);
     m_fleet.routers = std::max<std::size_t>(1, routers);
@@ -184,10 +184,10 @@
     return m_ledger.fenced();
 }
 
-std::vector<BudgetService::Row> BudgetService::rows() const
+std::vector<BudgetService::HoldingSummary> BudgetService::holdingSummaries() const
 {
     const std::lock_guard lock(m_mutex);
-    std::vector<Row> rows;
+    std::vector<HoldingSummary> rows;
     for (const auto &[name, account] : m_ledger.accounts()) {
         rows.push_back({.budget = name,
                         .holding = account.holding(),
@@ -198,27 +198,27 @@
     return rows;
 }
 
-void BudgetService::tableAnswered()
+void BudgetService::onTableCallSucceeded()
 {
-    m_silences = 0;
+    m_failedTableCalls = 0;
     const std::lock_guard lock(m_mutex);
     m_fleet.tableReachable = true;
 }
 
-void BudgetService::tableSilent()
+void BudgetService::onTableCallFailed()
 {
-    if (++m_silences < s_silencesUntilLost) {
+    if (++m_failedTableCalls < s_failedCallsUntilUnreachable) {
         return;
     }
     const std::lock_guard lock(m_mutex);
     if (m_fleet.tableReachable) {
-        logLine(Severity::Warning, "the platform's table is out of reach");
+        logLine(Severity::Warning, "the platform's table is unreachable");
     }
     m_fleet.tableReachable = false;
-    for (const std::string &name : m_ledger.active()) {
+    for (const std::string &name : m_ledger.activeBudgets()) {
         BudgetAccount &account = m_ledger.account(name);
-        account.tableLost(steadyNow());
-        afterChange(account);
+        account.onTableUnreachable(steadyNow());
+        processAccountChange(account);
     }
 }
 
@@ -238,9 +238,9 @@
     if (!read.ok()) {
         co_return false;
     }
-    tableAnswered();
+    onTableCallSucceeded();
     for (const TableRow &row : *read) {
-        rows.emplace(row.key.substr(s_budgetPrefix.size()), readBudgetRow(row));
+        rows.emplace(row.key.substr(s_budgetPrefix.size()), parseBudgetRow(row));
     }
     co_return true;
 }
@@ -250,7 +250,7 @@
     std::map<std::string, BudgetRow, std::less<>> rows;
     const bool read = co_await readRows(rows);
     if (!read) {
-        tableSilent();
+        onTableCallFailed();
         co_return;
     }
     std::optional<FlushPlan> plan;
@@ -258,7 +258,7 @@
         const std::lock_guard lock(m_mutex);
         plan = m_ledger.planFlush(rows, m_fleet, steadyNow());
         for (const auto &[budget, row] : rows) {
-            afterChange(m_ledger.account(budget));
+            processAccountChange(m_ledger.account(budget));
         }
     }
     if (!plan) {
@@ -275,19 +275,19 @@
     if (!verdict.ok()) {
         {
             const std::lock_guard lock(m_mutex);
-            m_ledger.flushLost();
+            m_ledger.onFlushAnswerLost();
         }
-        tableSilent();
+        onTableCallFailed();
         co_return;
     }
     ++m_flushes;
-    tableAnswered();
+    onTableCallSucceeded();
     std::vector<Charge> billed;
     {
         const std::lock_guard lock(m_mutex);
-        billed = m_ledger.flushAnswered(*verdict, steadyNow());
-        for (const FlushPart &part : plan->parts) {
-            afterChange(m_ledger.account(part.budget));
+        billed = m_ledger.onFlushAnswered(*verdict, steadyNow());
+        for (const BudgetUpdate &update : plan->budgetUpdates) {
+            processAccountChange(m_ledger.account(update.budget));
         }
     }
     if (!billed.empty() && m_billed) {
@@ -298,20 +298,21 @@
 asio::awaitable<void> BudgetService::run()
 {
     Instant lastFlush{};
-    while (!m_returning) {
+    while (!m_shuttingDown) {
         bool urgent = false;
-        Duration urgentInterval{};
+        Duration urgentFlushInterval{};
         {
             const std::lock_guard lock(m_mutex);
-            for (const std::string &name : m_ledger.active()) {
+            for (const std::string &name : m_ledger.activeBudgets()) {
                 BudgetAccount &account = m_ledger.account(name);
-                account.expire(steadyNow());
-                afterChange(account);
+                account.expireRecall(steadyNow());
+                processAccountChange(account);
             }
-            urgent = m_ledger.urgent(steadyNow()) || !m_ledger.registered();
-            urgentInterval = std::max<Duration>(m_options.urgentInterval, m_options.urgentPerRouter * m_fleet.routers);
+            urgent = m_ledger.needsUrgentFlush(steadyNow()) || !m_ledger.registered();
+            urgentFlushInterval =
+                std::max<Duration>(m_options.urgentFlushInterval, m_options.urgentFlushIntervalPerRouter * m_fleet.routers);
         }
-        const Duration interval = urgent ? std::min(urgentInterval, m_options.flushInterval) : m_options.flushInterval;
+        const Duration interval = urgent ? std::min(urgentFlushInterval, m_options.flushInterval) : m_options.flushInterval;
         const Instant due = lastFlush + interval;
         if (steadyNow() < due) {
             m_flushTimer.expires_after(std::min<Duration>(due - steadyNow(), std::chrono::milliseconds(100)));
@@ -323,29 +324,29 @@
     }
 }
 
-asio::awaitable<void> BudgetService::finish(Duration limit)
+asio::awaitable<void> BudgetService::returnHoldings(Duration limit)
 {
     const Instant end = steadyNow() + limit;
-    m_returning = true;
+    m_shuttingDown = true;
     {
         const std::lock_guard lock(m_mutex);
         m_ledger.beginClose();
     }
     asio::steady_timer timer(m_loop);
-    bool left = true;
-    while (left && steadyNow() < end) {
+    bool returning = true;
+    while (returning && steadyNow() < end) {
         {
             const std::lock_guard lock(m_mutex);
             for (const auto &[name, ignored] : m_ledger.accounts()) {
-                m_ledger.account(name).recalled(true, steadyNow());
+                m_ledger.account(name).onPeerRecall(true, steadyNow());
             }
         }
         co_await flushOnce();
         {
             const std::lock_guard lock(m_mutex);
-            left = !m_ledger.fenced() && !m_ledger.closed();
+            returning = !m_ledger.fenced() && !m_ledger.closed();
         }
-        timer.expires_after(s_finishPoll);
+        timer.expires_after(s_returnPollInterval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
 }
--- a/src/budget/sponsorship.cpp
+++ b/src/budget/sponsorship.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr Duration s_expiryPoll = std::chrono::seconds(5);
+constexpr Duration s_overduePollInterval = std::chrono::seconds(5);
 
 std::int64_t inMilliseconds(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-Outcome outcomeOf(RunEnd end)
+Outcome outcomeForRunEnd(RunEnd end)
 {
     switch (end) {
     case RunEnd::Complete:
@@ -35,16 +35,16 @@
     return Outcome::FailedAfterRunning;
 }
 
-RunEnd endOf(Outcome outcome)
+RunEnd runEndForOutcome(Outcome outcome)
 {
     return outcome == Outcome::Answered ? RunEnd::Complete : RunEnd::FailedAfterRunning;
 }
 
 }
 
-/// A request for which a peer was asked. Shared by its coroutine and the table through which the answer finds it.
-struct Sponsorship::Asking {
-    explicit Asking(const asio::any_io_executor &loop)
+/// A request sent to a peer. Shared by the coroutine that waits and by the map through which the answer is delivered to it.
+struct Sponsorship::PendingQuery {
+    explicit PendingQuery(const asio::any_io_executor &loop)
         : timer(loop)
     {
     }
@@ -54,10 +54,10 @@
     std::optional<wire::SponsorAnswer> answer;
 };
 
-Sponsorship::Sponsorship(asio::any_io_executor loop, BudgetService &budgets, HelperSource helpers, Options options)
+Sponsorship::Sponsorship(asio::any_io_executor loop, BudgetService &budgets, PeerSource peers, Options options)
     : m_loop(std::move(loop))
     , m_budgets(budgets)
-    , m_helpers(std::move(helpers))
+    , m_peerSource(std::move(peers))
     , m_options(options)
 {
 }
@@ -67,11 +67,11 @@
     m_link = link;
 }
 
-asio::awaitable<std::optional<Sponsorship::Sponsor>> Sponsorship::ask(Need need)
+asio::awaitable<std::optional<Sponsorship::Sponsor>> Sponsorship::findSponsor(UnfundedRequest unfunded)
 {
-    const std::vector<std::string> helpers = m_helpers();
-    for (const std::string &peer : helpers) {
-        auto sponsor = co_await askOne(peer, need);
+    const std::vector<std::string> peers = m_peerSource();
+    for (const std::string &peer : peers) {
+        auto sponsor = co_await askPeer(peer, unfunded);
         if (sponsor) {
             co_return sponsor;
         }
@@ -79,38 +79,38 @@
     co_return std::nullopt;
 }
 
-asio::awaitable<std::optional<Sponsorship::Sponsor>> Sponsorship::askOne(std::string peer, Need need)
+asio::awaitable<std::optional<Sponsorship::Sponsor>> Sponsorship::askPeer(std::string peer, UnfundedRequest unfunded)
 {
-    auto asking = std::make_shared<Asking>(co_await asio::this_coro::executor);
-    asking->peer = peer;
+    auto query = std::make_shared<PendingQuery>(co_await asio::this_coro::executor);
+    query->peer = peer;
     {
         const std::lock_guard lock(m_mutex);
-        m_asking.insert_or_assign(need.requestId, asking);
+        m_pendingQueries.insert_or_assign(unfunded.requestId, query);
     }
     wire::Envelope envelope;
     wire::SponsorRequest &request = *envelope.mutable_sponsor_request();
-    request.set_request_id(need.requestId);
-    request.set_budget(need.budget);
-    request.set_team(need.team);
-    request.set_bound(need.bound);
-    request.set_over_in_ms(inMilliseconds(need.overIn));
-    asking->timer.expires_after(m_options.answerTime);
+    request.set_request_id(unfunded.requestId);
+    request.set_budget(unfunded.budget);
+    request.set_team(unfunded.team);
+    request.set_bound(unfunded.bound);
+    request.set_over_in_ms(inMilliseconds(unfunded.endsWithin));
+    query->timer.expires_after(m_options.answerTimeout);
     m_link->send(peer, envelope);
-    co_await asking->timer.async_wait(asio::as_tuple(asio::use_awaitable));
+    co_await query->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     std::optional<Sponsor> sponsor;
     bool answered = false;
     {
         const std::lock_guard lock(m_mutex);
-        m_asking.erase(need.requestId);
-        answered = asking->answer.has_value();
-        if (answered && asking->answer->granted()) {
-            sponsor = Sponsor{.payer = peer, .earliestFlush = asking->answer->earliest_flush()};
+        m_pendingQueries.erase(unfunded.requestId);
+        answered = query->answer.has_value();
+        if (answered && query->answer->granted()) {
+            sponsor = Sponsor{.payer = peer, .earliestFlush = query->answer->earliest_flush()};
         }
     }
     if (!answered) {
-        // The peer may have reserved all the same; this request will not run on its account.
+        // The peer may have reserved tokens although its answer did not arrive. Release them: this request will not run on its account.
         wire::Envelope release;
-        release.mutable_sponsored_end()->set_request_id(need.requestId);
+        release.mutable_sponsored_end()->set_request_id(unfunded.requestId);
         release.mutable_sponsored_end()->set_not_run(true);
         m_link->send(peer, release);
     }
@@ -119,13 +119,13 @@
 
 void Sponsorship::onRequest(std::string_view peer, const wire::SponsorRequest &request)
 {
-    const auto earliestFlush = m_budgets.sponsor(request.budget(), request.request_id(), request.bound());
+    const auto earliestFlush = m_budgets.reserveForPeer(request.budget(), request.request_id(), request.bound());
     if (earliestFlush) {
-        const Instant overAt = steadyNow() + std::chrono::milliseconds(request.over_in_ms());
+        const Instant endsBy = steadyNow() + std::chrono::milliseconds(request.over_in_ms());
         const std::lock_guard lock(m_mutex);
-        m_sponsored.insert_or_assign(
+        m_sponsoredRuns.insert_or_assign(
             request.request_id(),
-            Sponsored{.budget = request.budget(), .team = request.team(), .bound = request.bound(), .overAt = overAt});
+            SponsoredRun{.budget = request.budget(), .team = request.team(), .bound = request.bound(), .endsBy = endsBy});
     }
     wire::Envelope envelope;
     envelope.mutable_sponsor_answer()->set_request_id(request.request_id());
@@ -137,31 +137,31 @@
 void Sponsorship::onAnswer(std::string_view peer, const wire::SponsorAnswer &answer)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_asking.find(answer.request_id());
-    if (found == m_asking.end() || found->second->peer != peer) {
+    const auto found = m_pendingQueries.find(answer.request_id());
+    if (found == m_pendingQueries.end() || found->second->peer != peer) {
         return;
     }
     found->second->answer = answer;
-    asio::post(found->second->timer.get_executor(), [asking = found->second] {
-        asking->timer.cancel();
+    asio::post(found->second->timer.get_executor(), [query = found->second] {
+        query->timer.cancel();
     });
 }
 
-std::optional<Sponsorship::Sponsored> Sponsorship::take(const std::string &requestId)
+std::optional<Sponsorship::SponsoredRun> Sponsorship::takeSponsoredRun(const std::string &requestId)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_sponsored.find(requestId);
-    if (found == m_sponsored.end()) {
+    const auto found = m_sponsoredRuns.find(requestId);
+    if (found == m_sponsoredRuns.end()) {
         return std::nullopt;
     }
-    Sponsored sponsored = std::move(found->second);
-    m_sponsored.erase(found);
+    SponsoredRun sponsored = std::move(found->second);
+    m_sponsoredRuns.erase(found);
     return sponsored;
 }
 
 void Sponsorship::onEnd(const wire::SponsoredEnd &message)
 {
-    const auto sponsored = take(message.request_id());
+    const auto sponsored = takeSponsoredRun(message.request_id());
     if (!sponsored) {
         return;
     }
@@ -171,9 +171,9 @@
                   .budget = sponsored->budget,
                   .target = message.target(),
                   .attempt = message.attempt(),
-                  .outcome = message.not_run() ? Outcome::NotRun : outcomeOf(end.end),
+                  .outcome = message.not_run() ? Outcome::NotRun : outcomeForRunEnd(end.end),
                   .estimated = !message.not_run() && !end.usage,
-                  .atMs = wallClockMs()};
+                  .chargedAtMs = wallClockMs()};
     if (end.usage) {
         charge.promptTokens = end.usage->prompt;
         charge.outputTokens = end.usage->output;
@@ -181,9 +181,9 @@
     m_budgets.settle(std::move(charge), message.not_run() ? 0 : end.charged);
 }
 
-void Sponsorship::ended(std::string_view payer, std::string_view requestId, const RequestCourse &course)
+void Sponsorship::reportEnd(std::string_view payer, std::string_view requestId, const RequestCourse &course)
 {
-    // Without a count from the sidecar this router knows no more than the payer will hear from there.
+    // Without a charge from the sidecar, this router knows nothing that the payer does not hear from the sidecar itself.
     const bool notRun = course.outcome() == Outcome::NotRun;
     if (!notRun && !course.charged()) {
         return;
@@ -194,31 +194,31 @@
     message.set_target(course.target());
     message.set_attempt(course.attempt());
     message.set_not_run(notRun);
-    const AnswerFrame::End end{.end = endOf(course.outcome()), .usage = course.usage(), .charged = course.charged().value_or(0)};
+    const AnswerFrame::End end{.end = runEndForOutcome(course.outcome()), .usage = course.usage(), .charged = course.charged().value_or(0)};
     *message.mutable_end() = toWire(requestId, {.content = end}).end();
     m_link->send(payer, envelope);
 }
 
-asio::awaitable<void> Sponsorship::expire()
+asio::awaitable<void> Sponsorship::settleOverdueRuns()
 {
     asio::steady_timer timer(m_loop);
     while (true) {
-        timer.expires_after(s_expiryPoll);
+        timer.expires_after(s_overduePollInterval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         std::vector<std::string> overdue;
         {
             const std::lock_guard lock(m_mutex);
-            for (const auto &[requestId, sponsored] : m_sponsored) {
-                if (steadyNow() >= sponsored.overAt + m_options.grace) {
+            for (const auto &[requestId, sponsored] : m_sponsoredRuns) {
+                if (steadyNow() >= sponsored.endsBy + m_options.endReportGrace) {
                     overdue.push_back(requestId);
                 }
             }
         }
         for (const std::string &requestId : overdue) {
-            if (const auto sponsored = take(requestId)) {
+            if (const auto sponsored = takeSponsoredRun(requestId)) {
                 Charge charge{.requestId = requestId, .team = sponsored->team, .budget = sponsored->budget, .outcome = Outcome::Unknown};
                 charge.estimated = true;
-                charge.atMs = wallClockMs();
+                charge.chargedAtMs = wallClockMs();
                 m_budgets.settle(std::move(charge), sponsored->bound);
             }
         }
--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -213,12 +213,12 @@
     if (reserved.ok() || toFailure(reserved).kind != FailureKind::BudgetUnreachable) {
         co_return reserved;
     }
-    Sponsorship::Need need{.requestId = request.requestId,
-                           .budget = request.budget,
-                           .team = request.team,
-                           .bound = request.bound,
-                           .overIn = request.deadline - steadyNow() + m_options.targetSilence};
-    const auto sponsor = co_await m_sponsors.ask(std::move(need));
+    Sponsorship::UnfundedRequest need{.requestId = request.requestId,
+                                      .budget = request.budget,
+                                      .team = request.team,
+                                      .bound = request.bound,
+                                      .endsWithin = request.deadline - steadyNow() + m_options.targetSilence};
+    const auto sponsor = co_await m_sponsors.findSponsor(std::move(need));
     if (!sponsor) {
         co_return reserved;
     }
@@ -374,9 +374,9 @@
             break;
         case CourseStep::Tighten:
             // A sponsored request's reservation is at its payer; nothing is known of it here, and lowering it is then without effect.
-            m_budgets.tighten(journey.request.budget,
-                              journey.request.requestId,
-                              std::get<AnswerFrame::PromptCounted>(frame->content).tokens + journey.request.outputLimit);
+            m_budgets.lowerReservation(journey.request.budget,
+                                       journey.request.requestId,
+                                       std::get<AnswerFrame::PromptCounted>(frame->content).tokens + journey.request.outputLimit);
             break;
         case CourseStep::Deliver:
             co_await deliver(journey, *frame);
@@ -429,7 +429,7 @@
         return;
     }
     if (!journey.payer.empty()) {
-        m_sponsors.ended(journey.payer, request.requestId, course);
+        m_sponsors.reportEnd(journey.payer, request.requestId, course);
         return;
     }
     Charge charge{.requestId = request.requestId,
@@ -438,7 +438,7 @@
                   .target = course.target(),
                   .attempt = course.attempt(),
                   .outcome = course.outcome(),
-                  .atMs = wallClockMs()};
+                  .chargedAtMs = wallClockMs()};
     if (course.usage()) {
         charge.promptTokens = course.usage()->prompt;
         charge.outputTokens = course.usage()->output;
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -44,7 +44,7 @@
 AccountPolicy policyOf(const Settings &settings)
 {
     AccountPolicy policy;
-    policy.horizon = settings.horizon;
+    policy.holdingHorizon = settings.horizon;
     return policy;
 }
 
@@ -129,7 +129,7 @@
     asio::co_spawn(loop, m_budgets.run(), asio::detached);
     asio::co_spawn(loop, watchForDeadRouters(), asio::detached);
     asio::co_spawn(loop, watchForFencing(), asio::detached);
-    asio::co_spawn(loop, m_sponsors.expire(), asio::detached);
+    asio::co_spawn(loop, m_sponsors.settleOverdueRuns(), asio::detached);
     logLine(Severity::Info, "router is up", {{"incarnation", m_identity.incarnation}});
     return absl::OkStatus();
 }
@@ -154,7 +154,7 @@
         onReport(peer, message.report());
         break;
     case wire::Envelope::kRecall:
-        m_budgets.recalled(message.recall().budget(), peer);
+        m_budgets.onPeerRecall(message.recall().budget(), peer);
         break;
     case wire::Envelope::kRelayRequest:
         m_relay.onRequest(peer, std::move(*message.mutable_relay_request()));
@@ -322,7 +322,7 @@
                     }
                 }
             }
-            m_budgets.setRouters(routers);
+            m_budgets.setRouterCount(routers);
         }
         co_await pause(s_peerPoll);
     }
@@ -409,7 +409,7 @@
         co_await pause(s_drainPoll);
     }
     m_callerServer->close();
-    co_await m_budgets.finish(s_returnLimit);
+    co_await m_budgets.returnHoldings(s_returnLimit);
     logLine(Severity::Info, "drained", {{"unfinished", static_cast<std::int64_t>(m_driver.inFlight())}});
     co_await pause(s_drainPoll);
     m_pool.stop();
@@ -427,7 +427,7 @@
     status["configuration_version"] = static_cast<std::int64_t>(current == nullptr ? 0 : current->version());
     status["requests_in_flight"] = static_cast<std::int64_t>(m_driver.inFlight());
     boost::json::array budgets;
-    for (const BudgetService::Row &row : m_budgets.rows()) {
+    for (const BudgetService::HoldingSummary &row : m_budgets.holdingSummaries()) {
         budgets.emplace_back(boost::json::object{{"budget", row.budget},
                                                  {"holding", row.holding},
                                                  {"reserved", row.reserved},
@@ -450,7 +450,7 @@
 
 std::string Router::metricsText()
 {
-    for (const BudgetService::Row &row : m_budgets.rows()) {
+    for (const BudgetService::HoldingSummary &row : m_budgets.holdingSummaries()) {
         m_metrics.gauge("bamboohold_budget_holding_tokens", {.name = "budget", .value = row.budget}, row.holding);
         m_metrics.gauge("bamboohold_budget_reserved_tokens", {.name = "budget", .value = row.budget}, row.reserved);
     }
--- a/src/measure/grantpolicy.cpp
+++ b/src/measure/grantpolicy.cpp
@@ -76,12 +76,12 @@
 {
     Router &router = m_routers[index];
     if (!router.dead) {
-        for (const std::string &name : router.ledger->active()) {
+        for (const std::string &name : router.ledger->activeBudgets()) {
             BudgetAccount &account = router.ledger->account(name);
-            account.expire(m_simulation.now());
+            account.expireRecall(m_simulation.now());
             deliver(index, account);
         }
-        const bool urgent = router.ledger->urgent(m_simulation.now()) || !router.ledger->registered();
+        const bool urgent = router.ledger->needsUrgentFlush(m_simulation.now()) || !router.ledger->registered();
         const Duration interval = urgent ? m_options.urgentInterval : m_options.flushInterval;
         if (!router.flushing && m_simulation.now() - router.lastFlush >= interval) {
             flush(index);
@@ -109,7 +109,7 @@
     }
     std::map<std::string, BudgetRow, std::less<>> rows;
     for (const std::string &budget : router.ledger->budgetsToRead(view(router), m_simulation.now())) {
-        rows.emplace(budget, readBudgetRow(*m_table.read(budgetKey(budget))));
+        rows.emplace(budget, parseBudgetRow(*m_table.read(budgetKey(budget))));
     }
     router.reachable = true;
     auto plan = router.ledger->planFlush(rows, view(router), m_simulation.now());
@@ -133,11 +133,11 @@
     }
     m_controlBytes += boost::json::serialize(toJson(plan->transaction)).size();
     (void)m_table.putObject(plan->objectKey, plan->object);
-    for (const Charge &charge : router.ledger->flushAnswered(*m_table.transact(plan->transaction), m_simulation.now())) {
+    for (const Charge &charge : router.ledger->onFlushAnswered(*m_table.transact(plan->transaction), m_simulation.now())) {
         m_witness.forget(charge.requestId);
     }
-    for (const FlushPart &part : plan->parts) {
-        deliver(index, router.ledger->account(part.budget));
+    for (const BudgetUpdate &update : plan->budgetUpdates) {
+        deliver(index, router.ledger->account(update.budget));
     }
 }
 
@@ -145,14 +145,14 @@
 {
     Router &router = m_routers[index];
     router.flushing = false;
-    router.ledger->flushLost();
+    router.ledger->onFlushAnswerLost();
     if (++router.silences < s_silencesUntilLost) {
         return;
     }
     router.reachable = false;
-    for (const std::string &name : router.ledger->active()) {
+    for (const std::string &name : router.ledger->activeBudgets()) {
         BudgetAccount &account = router.ledger->account(name);
-        account.tableLost(m_simulation.now());
+        account.onTableUnreachable(m_simulation.now());
         deliver(index, account);
     }
 }
@@ -160,20 +160,20 @@
 void GrantPolicy::deliver(std::size_t index, BudgetAccount &account)
 {
     Router &router = m_routers[index];
-    for (const ReservationOutcome &outcome : account.takeOutcomes()) {
+    for (const ReservationResult &outcome : account.takeResults()) {
         const auto found = router.waiting.find(outcome.requestId);
         if (found == router.waiting.end()) {
             continue;
         }
         const SimRequest request = found->second;
         router.waiting.erase(found);
-        if (outcome.verdict == ReservationOutcome::Verdict::Admitted) {
+        if (outcome.decision == ReservationResult::Decision::Admitted) {
             admit(index, request);
         } else {
             refuse(request, outcome.failure);
         }
     }
-    if (account.takeRecall(m_simulation.now())) {
+    if (account.takeRecallRequest(m_simulation.now())) {
         recallPeers(index, account.budget());
     }
 }
@@ -188,8 +188,8 @@
             continue;
         }
         m_simulation.after(latency, [this, index, peer, budget] {
-            m_routers[peer].ledger->account(budget).recalled(m_routers[index].incarnation < m_routers[peer].incarnation,
-                                                             m_simulation.now());
+            m_routers[peer].ledger->account(budget).onPeerRecall(m_routers[index].incarnation < m_routers[peer].incarnation,
+                                                                 m_simulation.now());
         });
     }
 }
@@ -232,7 +232,7 @@
     }
     m_controlBytes += 2 * s_recallBytes;
     m_simulation.after(2 * m_simulation.scenario().peerLatency, [this, request, asked, peer] {
-        if (m_routers[peer].ledger->account(budgetOf(request.team)).sponsor(request.id, request.bound)) {
+        if (m_routers[peer].ledger->account(budgetOf(request.team)).reserveForPeer(request.id, request.bound)) {
             admit(peer, request);
         } else {
             askSponsor(request, asked + 1);
@@ -246,14 +246,14 @@
     BudgetAccount &account = router.ledger->account(budgetOf(request.team));
     const auto outcome = account.reserve(request.id, request.bound, view(router), m_simulation.now());
     router.waiting.emplace(request.id, request);
-    switch (outcome.verdict) {
-    case ReservationOutcome::Verdict::Waiting:
+    switch (outcome.decision) {
+    case ReservationResult::Decision::Waiting:
         return;
-    case ReservationOutcome::Verdict::Admitted:
+    case ReservationResult::Decision::Admitted:
         router.waiting.erase(request.id);
         admit(request.router, request);
         return;
-    case ReservationOutcome::Verdict::Refused:
+    case ReservationResult::Decision::Refused:
         router.waiting.erase(request.id);
         refuse(request, outcome.failure);
         return;
--- a/src/membership/reclaimservice.cpp
+++ b/src/membership/reclaimservice.cpp
@@ -123,7 +123,7 @@
     absl::flat_hash_set<std::string> billed;
     while (!ledger.empty()) {
         std::uint64_t flush = 0;
-        const bool ownFlush = absl::SimpleAtoi(flushOfLedgerKey(ledger), &flush);
+        const bool ownFlush = absl::SimpleAtoi(flushIdOfLedgerKey(ledger), &flush);
         if (ownFlush && flush < earliestFlush) {
             break;
         }
@@ -131,7 +131,7 @@
         if (!object.ok()) {
             co_return false;
         }
-        const auto page = readLedgerPage(*object);
+        const auto page = parseLedgerPage(*object);
         if (!page.ok()) {
             co_return false;
         }
--- a/src/tests/budgetaccounttest.cpp
+++ b/src/tests/budgetaccounttest.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 
-using Verdict = ReservationOutcome::Verdict;
+using Decision = ReservationResult::Decision;
 
-constexpr FleetView s_alone{.routers = 1};
-constexpr FleetView s_three{.routers = 3};
+constexpr FleetView s_singleRouter{.routers = 1};
+constexpr FleetView s_threeRouters{.routers = 3};
 
 Instant at(std::int64_t milliseconds)
 {
     return Instant(std::chrono::milliseconds(milliseconds));
 }
 
-/// An account that holds so many tokens.
-BudgetAccount holding(Tokens tokens, AccountPolicy policy = {})
+/// Returns an account that holds this many tokens.
+BudgetAccount accountHolding(Tokens tokens, AccountPolicy policy = {})
 {
     BudgetAccount account("team", policy);
-    account.confirm({.budget = "team", .draw = tokens}, at(0));
+    account.onFlushApplied({.budget = "team", .draw = tokens}, at(0));
     return account;
 }
 
@@ -30,11 +30,11 @@
 
 BOOST_AUTO_TEST_CASE(reservesWithinHoldingAndChargesWhatWasUsed)
 {
-    BudgetAccount account = holding(1000);
-    BOOST_TEST((account.reserve("a", 600, s_alone, at(1)).verdict == Verdict::Admitted));
+    BudgetAccount account = accountHolding(1000);
+    BOOST_TEST((account.reserve("a", 600, s_singleRouter, at(1)).decision == Decision::Admitted));
     BOOST_TEST(account.available() == 400);
-    account.tighten("a", 500);
-    account.tighten("a", 900);
+    account.lowerReservation("a", 500);
+    account.lowerReservation("a", 900);
     BOOST_TEST(account.reserved() == 500);
     BOOST_TEST(account.settle("a", 120, at(2)) == 120);
     BOOST_TEST(account.available() == 880);
@@ -47,62 +47,62 @@
         Tokens used;
         Tokens charged;
     };
-    for (const Case &one : {Case{0, 0}, Case{299, 299}, Case{300, 300}, Case{5000, 300}, Case{-7, 0}}) {
-        BudgetAccount account = holding(1000);
-        account.reserve("a", 300, s_alone, at(1));
-        BOOST_TEST(account.settle("a", one.used, at(2)) == one.charged);
-        BOOST_TEST(account.settle("a", one.used, at(3)) == 0);
-        BOOST_TEST(account.unsettled() == one.charged);
+    for (const Case &example : {Case{0, 0}, Case{299, 299}, Case{300, 300}, Case{5000, 300}, Case{-7, 0}}) {
+        BudgetAccount account = accountHolding(1000);
+        account.reserve("a", 300, s_singleRouter, at(1));
+        BOOST_TEST(account.settle("a", example.used, at(2)) == example.charged);
+        BOOST_TEST(account.settle("a", example.used, at(3)) == 0);
+        BOOST_TEST(account.unsettled() == example.charged);
     }
 }
 
-// A caller sees: its request waits a moment and is answered, although the budget looked used up when it came. Order: a large reservation is
-// out, a second request comes, the first ends having used little. Cause: worst cases are several times what requests use.
+// Guards against refusing a request that a reservation in flight can still admit. Worst cases are several times what requests use, so a
+// budget that looks exhausted often has tokens again when a large reservation ends.
 BOOST_AUTO_TEST_CASE(waitsForAReservationInFlightThatCanStillAdmitIt)
 {
-    BudgetAccount account = holding(1000);
-    account.reserve("large", 900, s_alone, at(1));
-    account.drawRefused({.free = 0}, at(2));
-    BOOST_TEST((account.reserve("second", 500, s_alone, at(3)).verdict == Verdict::Waiting));
+    BudgetAccount account = accountHolding(1000);
+    account.reserve("large", 900, s_singleRouter, at(1));
+    account.onDrawRefused({.free = 0}, at(2));
+    BOOST_TEST((account.reserve("second", 500, s_singleRouter, at(3)).decision == Decision::Waiting));
     account.settle("large", 100, at(50));
-    const auto outcomes = account.takeOutcomes();
-    BOOST_REQUIRE(outcomes.size() == 1);
-    BOOST_TEST((outcomes[0].verdict == Verdict::Admitted));
+    const auto results = account.takeResults();
+    BOOST_REQUIRE(results.size() == 1);
+    BOOST_TEST((results[0].decision == Decision::Admitted));
 }
 
-// A caller sees: a refusal the moment it is certain, with the time to come back. Order: it waits for a reservation, which ends having used
-// nearly all of its worst case. Cause: nothing in flight can admit it any more, so holding it back would only keep it from going elsewhere.
+// Guards against holding back a request that nothing in flight can admit any more. The reservation it waited for ends after using almost
+// its whole worst case; the request must be refused at once, with a retry-after time, so that its caller can try elsewhere.
 BOOST_AUTO_TEST_CASE(refusesAtOnceWhenNothingInFlightCanAdmitIt)
 {
-    BudgetAccount account = holding(1000, {.refusalMemory = std::chrono::milliseconds(500)});
-    account.reserve("large", 900, s_alone, at(1));
-    account.drawRefused({.free = 0}, at(2));
-    account.reserve("second", 500, s_alone, at(3));
+    BudgetAccount account = accountHolding(1000, {.refusalCacheTime = std::chrono::milliseconds(500)});
+    account.reserve("large", 900, s_singleRouter, at(1));
+    account.onDrawRefused({.free = 0}, at(2));
+    account.reserve("second", 500, s_singleRouter, at(3));
     account.settle("large", 890, at(50));
-    const auto outcomes = account.takeOutcomes();
-    BOOST_REQUIRE(outcomes.size() == 1);
-    BOOST_TEST((outcomes[0].verdict == Verdict::Refused));
-    BOOST_TEST((outcomes[0].failure.kind == FailureKind::BudgetExhausted));
-    BOOST_TEST(outcomes[0].failure.retryAfterMs.has_value());
-    BOOST_TEST((outcomes[0].failure.executed == Executed::No));
+    const auto results = account.takeResults();
+    BOOST_REQUIRE(results.size() == 1);
+    BOOST_TEST((results[0].decision == Decision::Refused));
+    BOOST_TEST((results[0].failure.kind == FailureKind::BudgetExhausted));
+    BOOST_TEST(results[0].failure.retryAfterMs.has_value());
+    BOOST_TEST((results[0].failure.executed == Executed::No));
 }
 
-BOOST_AUTO_TEST_CASE(refusalNamesItsReason)
+BOOST_AUTO_TEST_CASE(refusalReportsItsReason)
 {
     struct Case {
         BudgetRow row;
         FailureKind kind;
     };
-    for (const Case &one : {Case{{.free = 10}, FailureKind::BudgetExhausted},
-                            Case{{.free = 900, .closed = true}, FailureKind::BudgetClosed},
-                            Case{{.exists = false}, FailureKind::BudgetClosed}}) {
+    for (const Case &example : {Case{{.free = 10}, FailureKind::BudgetExhausted},
+                                Case{{.free = 900, .closed = true}, FailureKind::BudgetClosed},
+                                Case{{.exists = false}, FailureKind::BudgetClosed}}) {
         BudgetAccount account("team", {});
-        BOOST_TEST((account.reserve("a", 100, s_alone, at(1)).verdict == Verdict::Waiting));
-        const FlushPart part = account.planFlush(one.row, s_alone, at(2));
-        BOOST_TEST(part.draw == 0);
-        const auto outcomes = account.takeOutcomes();
-        BOOST_REQUIRE(outcomes.size() == 1);
-        BOOST_TEST((outcomes[0].failure.kind == one.kind));
+        BOOST_TEST((account.reserve("a", 100, s_singleRouter, at(1)).decision == Decision::Waiting));
+        const BudgetUpdate update = account.planFlush(example.row, s_singleRouter, at(2));
+        BOOST_TEST(update.draw == 0);
+        const auto results = account.takeResults();
+        BOOST_REQUIRE(results.size() == 1);
+        BOOST_TEST((results[0].failure.kind == example.kind));
     }
 }
 
@@ -114,111 +114,112 @@
         Tokens lowest;
         Tokens highest;
     };
-    // Plenty: several requests ahead. Little: the waiting request alone, so that the rest stays for others. Too little: nothing.
-    for (const Case &one : {Case{1'000'000, 3, 400, 400},
-                            Case{600, 3, 100, 100},
-                            Case{100, 3, 100, 100},
-                            Case{99, 3, 0, 0},
-                            Case{1600, 2, 400, 400},
-                            Case{1599, 2, 100, 100}}) {
+    // With many free tokens: several requests in advance. With few: only the waiting request, so that the rest stays for other routers.
+    // With too few: nothing.
+    for (const Case &example : {Case{1'000'000, 3, 400, 400},
+                                Case{600, 3, 100, 100},
+                                Case{100, 3, 100, 100},
+                                Case{99, 3, 0, 0},
+                                Case{1600, 2, 400, 400},
+                                Case{1599, 2, 100, 100}}) {
         BudgetAccount account("team", {});
-        account.reserve("a", 100, {.routers = one.routers}, at(1));
-        const FlushPart part = account.planFlush(BudgetRow{.free = one.free}, {.routers = one.routers}, at(2));
-        BOOST_TEST(part.draw >= one.lowest);
-        BOOST_TEST(part.draw <= one.highest);
+        account.reserve("a", 100, {.routers = example.routers}, at(1));
+        const BudgetUpdate update = account.planFlush(BudgetRow{.free = example.free}, {.routers = example.routers}, at(2));
+        BOOST_TEST(update.draw >= example.lowest);
+        BOOST_TEST(update.draw <= example.highest);
     }
 }
 
-// A caller sees: an answer although its own router had nothing left. Order: the table has too little, peers are asked, one gives back, the
-// draw is tried again. Cause: tokens lie idle with another router.
+// Guards against refusing a request while another router holds tokens that it does not use. The table has too few tokens, peers are asked,
+// one of them returns some, and the draw is repeated.
 BOOST_AUTO_TEST_CASE(asksPeersBeforeItRefuses)
 {
     BudgetAccount account("team", {});
-    account.reserve("a", 100, s_three, at(1));
-    account.planFlush(BudgetRow{.free = 20}, s_three, at(2));
-    BOOST_TEST(account.takeOutcomes().empty());
-    BOOST_TEST(account.takeRecall(at(2)).value_or(0) == 100);
-    BOOST_TEST(!account.takeRecall(at(2)).has_value());
-    account.recallEnded(80, at(30));
-    BOOST_TEST(account.planFlush(BudgetRow{.free = 100}, s_three, at(40)).draw == 100);
+    account.reserve("a", 100, s_threeRouters, at(1));
+    account.planFlush(BudgetRow{.free = 20}, s_threeRouters, at(2));
+    BOOST_TEST(account.takeResults().empty());
+    BOOST_TEST(account.takeRecallRequest(at(2)).value_or(0) == 100);
+    BOOST_TEST(!account.takeRecallRequest(at(2)).has_value());
+    account.onRecallEnded(80, at(30));
+    BOOST_TEST(account.planFlush(BudgetRow{.free = 100}, s_threeRouters, at(40)).draw == 100);
 }
 
 BOOST_AUTO_TEST_CASE(refusesWhenPeersHaveNothingEither)
 {
-    BudgetAccount account("team", {.refusalMemory = std::chrono::milliseconds(500)});
-    account.reserve("a", 100, s_three, at(1));
-    account.planFlush(BudgetRow{.free = 20}, s_three, at(2));
-    account.expire(at(1000));
-    account.planFlush(BudgetRow{.free = 20}, s_three, at(1001));
-    const auto outcomes = account.takeOutcomes();
-    BOOST_REQUIRE(outcomes.size() == 1);
-    BOOST_TEST((outcomes[0].verdict == Verdict::Refused));
-    // Remembered for a moment, then asked anew, so that a top-up is found.
-    BOOST_TEST((account.reserve("b", 100, s_three, at(1100)).verdict == Verdict::Refused));
-    BOOST_TEST((account.reserve("c", 100, s_three, at(1600)).verdict == Verdict::Waiting));
+    BudgetAccount account("team", {.refusalCacheTime = std::chrono::milliseconds(500)});
+    account.reserve("a", 100, s_threeRouters, at(1));
+    account.planFlush(BudgetRow{.free = 20}, s_threeRouters, at(2));
+    account.expireRecall(at(1000));
+    account.planFlush(BudgetRow{.free = 20}, s_threeRouters, at(1001));
+    const auto results = account.takeResults();
+    BOOST_REQUIRE(results.size() == 1);
+    BOOST_TEST((results[0].decision == Decision::Refused));
+    // The refusal is cached for a moment; then the table is asked again, so that a top-up is noticed.
+    BOOST_TEST((account.reserve("b", 100, s_threeRouters, at(1100)).decision == Decision::Refused));
+    BOOST_TEST((account.reserve("c", 100, s_threeRouters, at(1600)).decision == Decision::Waiting));
 }
 
 BOOST_AUTO_TEST_CASE(givesRecalledSurplusBackAndKeepsWhatIsReserved)
 {
-    BudgetAccount account = holding(1000);
-    account.reserve("a", 300, s_three, at(1));
-    BOOST_TEST(account.recalled(true, at(2)) == 700);
-    const FlushPart part = account.planFlush(std::nullopt, s_three, at(3));
-    BOOST_TEST(part.giveBack == 700);
-    // On its way back it cannot be promised to anybody.
+    BudgetAccount account = accountHolding(1000);
+    account.reserve("a", 300, s_threeRouters, at(1));
+    BOOST_TEST(account.onPeerRecall(true, at(2)) == 700);
+    const BudgetUpdate update = account.planFlush(std::nullopt, s_threeRouters, at(3));
+    BOOST_TEST(update.returnAmount == 700);
+    // Tokens that are being returned cannot be reserved.
     BOOST_TEST(account.available() == 0);
-    account.confirm(part, at(4));
+    account.onFlushApplied(update, at(4));
     BOOST_TEST(account.holding() == 300);
 }
 
-// A user would see two routers that both refuse although together they hold enough. Order: each needs 800, each holds 500, each recalls the
-// other. Cause: a router with waiting requests keeps what it has; the fixed order between routers makes one give way.
-BOOST_AUTO_TEST_CASE(ofTwoThatWaitOneGivesWay)
+// Guards against two routers that both refuse although together they hold enough. Each needs 800 tokens, holds 500 and recalls the other. A
+// router with waiting requests keeps its tokens, so the fixed order between routers has to make one of them return its holding.
+BOOST_AUTO_TEST_CASE(ofTwoWaitingRoutersOneReturnsItsHolding)
 {
-    BudgetAccount account = holding(500);
-    account.reserve("a", 800, s_three, at(1));
-    BOOST_TEST(account.recalled(false, at(2)) == 0);
-    BOOST_TEST(account.recalled(true, at(2)) == 500);
+    BudgetAccount account = accountHolding(500);
+    account.reserve("a", 800, s_threeRouters, at(1));
+    BOOST_TEST(account.onPeerRecall(false, at(2)) == 0);
+    BOOST_TEST(account.onPeerRecall(true, at(2)) == 500);
 }
 
-// Near the end each router's remainder is too small for any request, while together they would serve one. What cannot be used here must go
-// back although somebody waits here.
-BOOST_AUTO_TEST_CASE(remaindersMeetInTheTable)
+// Guards against tokens that stay unused near the end of a budget, because what each router has left is too little for any request while
+// together they would suffice. What cannot be used here must be returned even while a request waits here.
+BOOST_AUTO_TEST_CASE(returnsARemainderTooSmallForAnyWaitingRequest)
 {
-    BudgetAccount account = holding(1000);
-    account.reserve("running", 500, s_three, at(1));
-    account.drawRefused({.free = 10}, at(2));
-    account.reserve("waiting", 900, s_three, at(3));
-    account.expire(at(1000));
-    BOOST_TEST(account.planFlush(BudgetRow{.free = 10}, s_three, at(1001)).giveBack == 500);
+    BudgetAccount account = accountHolding(1000);
+    account.reserve("running", 500, s_threeRouters, at(1));
+    account.onDrawRefused({.free = 10}, at(2));
+    account.reserve("waiting", 900, s_threeRouters, at(3));
+    account.expireRecall(at(1000));
+    BOOST_TEST(account.planFlush(BudgetRow{.free = 10}, s_threeRouters, at(1001)).returnAmount == 500);
     BOOST_TEST(account.available() == 0);
     BOOST_TEST(account.waiting() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(sponsorsOnlyFromWhatNobodyHereWaitsFor)
+BOOST_AUTO_TEST_CASE(reservesForPeersOnlyWhileNoOwnRequestWaits)
 {
-    BudgetAccount account = holding(1000);
-    BOOST_TEST(account.sponsor("peer's", 600));
-    BOOST_TEST(!account.sponsor("peer's", 100));
-    BOOST_TEST(!account.sponsor("another", 500));
-    BOOST_TEST((account.reserve("own", 900, s_three, at(1)).verdict == Verdict::Waiting));
-    BOOST_TEST(!account.sponsor("small", 10));
+    BudgetAccount account = accountHolding(1000);
+    BOOST_TEST(account.reserveForPeer("peer's", 600));
+    BOOST_TEST(!account.reserveForPeer("peer's", 100));
+    BOOST_TEST(!account.reserveForPeer("another", 500));
+    BOOST_TEST((account.reserve("own", 900, s_threeRouters, at(1)).decision == Decision::Waiting));
+    BOOST_TEST(!account.reserveForPeer("small", 10));
     BOOST_TEST(account.settle("peer's", 200, at(2)) == 200);
     BOOST_TEST(account.unsettled() == 200);
 }
 
-BOOST_AUTO_TEST_CASE(withoutTheTableOnlyHoldingsAreSpent)
+BOOST_AUTO_TEST_CASE(spendsOnlyItsHoldingWhileTheTableIsUnreachable)
 {
-    BudgetAccount account = holding(150);
-    account.tableLost(at(1));
-    const FleetView cutOff{.routers = 3, .tableReachable = false};
-    BOOST_TEST((account.reserve("a", 100, cutOff, at(2)).verdict == Verdict::Admitted));
-    const auto outcome = account.reserve("b", 100, cutOff, at(3));
-    BOOST_TEST((outcome.verdict == Verdict::Waiting));
+    BudgetAccount account = accountHolding(150);
+    account.onTableUnreachable(at(1));
+    const FleetView tableUnreachable{.routers = 3, .tableReachable = false};
+    BOOST_TEST((account.reserve("a", 100, tableUnreachable, at(2)).decision == Decision::Admitted));
+    const auto result = account.reserve("b", 100, tableUnreachable, at(3));
+    BOOST_TEST((result.decision == Decision::Waiting));
     account.settle("a", 90, at(4));
-    const auto outcomes = account.takeOutcomes();
-    BOOST_REQUIRE(outcomes.size() == 1);
-    BOOST_TEST((outcomes[0].failure.kind == FailureKind::BudgetUnreachable));
+    const auto results = account.takeResults();
+    BOOST_REQUIRE(results.size() == 1);
+    BOOST_TEST((results[0].failure.kind == FailureKind::BudgetUnreachable));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr int s_sealingPatience = 3;
+constexpr int s_maxSealingSteps = 3;
 
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-std::vector<TableRow> FakeFleet::rowsUnder(std::string_view prefix) const
+std::vector<TableRow> FakeFleet::rowsWithPrefix(std::string_view prefix) const
 {
     return m_table.scan(prefix).value();
 }
@@ -62,7 +62,7 @@
 {
     std::vector<std::string> live;
     std::vector<std::string> dead;
-    for (const TableRow &row : rowsUnder(s_nodePrefix)) {
+    for (const TableRow &row : rowsWithPrefix(s_nodePrefix)) {
         (textField(row.fields, "state") == "live" ? live : dead).push_back(row.key.substr(s_nodePrefix.size()));
     }
     Sidecar &sidecar = m_sidecars[target];
@@ -79,89 +79,97 @@
     return found == m_routers.end() || found->state == RouterState::Dead ? nullptr : &*found;
 }
 
-void FakeFleet::ask(std::size_t router, std::size_t budget, Tokens bound, Tokens truth, std::size_t target)
+void FakeFleet::submitRequest(std::size_t router, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target)
 {
     RouterProcess &process = m_routers[router % m_routers.size()];
     if (process.state != RouterState::Running || process.ledger->fenced()) {
         return;
     }
-    const Asked asked{
-        .requestId = absl::StrCat("request-", m_nextId++), .budget = budgetName(budget), .bound = bound, .truth = truth, .target = target};
-    const auto outcome = process.ledger->account(asked.budget).reserve(asked.requestId, bound, {.routers = m_routers.size()}, m_now);
-    if (outcome.verdict == ReservationOutcome::Verdict::Admitted) {
-        dispatch(process, process, asked);
-    } else if (outcome.verdict == ReservationOutcome::Verdict::Waiting) {
-        process.waiting.emplace(asked.requestId, asked);
+    const SubmittedRequest submitted{.requestId = absl::StrCat("request-", m_nextId++),
+                                     .budget = budgetName(budget),
+                                     .bound = bound,
+                                     .actualTokens = actualTokens,
+                                     .target = target};
+    const auto result = process.ledger->account(submitted.budget).reserve(submitted.requestId, bound, {.routers = m_routers.size()}, m_now);
+    if (result.decision == ReservationResult::Decision::Admitted) {
+        dispatch(process, process, submitted);
+    } else if (result.decision == ReservationResult::Decision::Waiting) {
+        process.waiting.emplace(submitted.requestId, submitted);
     }
 }
 
-void FakeFleet::askSponsored(std::size_t front, std::size_t payer, std::size_t budget, Tokens bound, Tokens truth, std::size_t target)
+void FakeFleet::submitSponsoredRequest(
+    std::size_t receiver, std::size_t payer, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target)
 {
-    RouterProcess &asking = m_routers[front % m_routers.size()];
-    RouterProcess &paying = m_routers[payer % m_routers.size()];
-    const bool able = asking.state == RouterState::Running && paying.state == RouterState::Running && !paying.ledger->fenced();
-    const Asked asked{
-        .requestId = absl::StrCat("request-", m_nextId++), .budget = budgetName(budget), .bound = bound, .truth = truth, .target = target};
-    if (able && paying.ledger->account(asked.budget).sponsor(asked.requestId, bound)) {
-        dispatch(asking, paying, asked);
+    RouterProcess &receivingRouter = m_routers[receiver % m_routers.size()];
+    RouterProcess &payingRouter = m_routers[payer % m_routers.size()];
+    const bool able =
+        receivingRouter.state == RouterState::Running && payingRouter.state == RouterState::Running && !payingRouter.ledger->fenced();
+    const SubmittedRequest submitted{.requestId = absl::StrCat("request-", m_nextId++),
+                                     .budget = budgetName(budget),
+                                     .bound = bound,
+                                     .actualTokens = actualTokens,
+                                     .target = target};
+    if (able && payingRouter.ledger->account(submitted.budget).reserveForPeer(submitted.requestId, bound)) {
+        dispatch(receivingRouter, payingRouter, submitted);
     }
 }
 
-void FakeFleet::dispatch(RouterProcess &front, RouterProcess &payer, const Asked &asked)
+void FakeFleet::dispatch(RouterProcess &receiver, RouterProcess &payer, const SubmittedRequest &submitted)
 {
     ++m_admitted;
-    Sidecar &sidecar = m_sidecars[asked.target % m_options.targets];
-    const auto refusal = sidecar.table->admit({.requestId = asked.requestId,
+    Sidecar &sidecar = m_sidecars[submitted.target % m_options.targets];
+    const auto refusal = sidecar.table->admit({.requestId = submitted.requestId,
                                                .attempt = 1,
-                                               .router = front.incarnation,
+                                               .router = receiver.incarnation,
                                                .payer = payer.incarnation,
                                                .targetIncarnation = sidecar.incarnation,
                                                .team = "team",
-                                               .budget = asked.budget,
-                                               .bound = asked.bound,
+                                               .budget = submitted.budget,
+                                               .bound = submitted.bound,
                                                .earliestFlush = payer.ledger->nextFlush(),
                                                .expiresIn = std::chrono::seconds(1)},
                                               m_now);
     if (refusal) {
-        payer.ledger->account(asked.budget).settle(asked.requestId, 0, m_now);
-        takeOutcomes(payer);
+        payer.ledger->account(submitted.budget).settle(submitted.requestId, 0, m_now);
+        processResults(payer);
         return;
     }
-    m_runs.push_back({.requestId = asked.requestId,
+    m_runs.push_back({.requestId = submitted.requestId,
                       .router = payer.incarnation,
-                      .budget = asked.budget,
-                      .target = asked.target % m_options.targets,
+                      .budget = submitted.budget,
+                      .target = submitted.target % m_options.targets,
                       .sidecar = sidecar.incarnation,
-                      .bound = asked.bound,
-                      .truth = std::min(asked.truth, asked.bound)});
+                      .bound = submitted.bound,
+                      .actualTokens = std::min(submitted.actualTokens, submitted.bound)});
 }
 
-void FakeFleet::takeOutcomes(RouterProcess &router)
+void FakeFleet::processResults(RouterProcess &router)
 {
     for (const auto &[name, ignored] : router.ledger->accounts()) {
-        for (const ReservationOutcome &outcome : router.ledger->account(name).takeOutcomes()) {
-            const auto found = router.waiting.find(outcome.requestId);
+        for (const ReservationResult &result : router.ledger->account(name).takeResults()) {
+            const auto found = router.waiting.find(result.requestId);
             if (found == router.waiting.end()) {
                 continue;
             }
-            const Asked asked = found->second;
+            const SubmittedRequest submitted = found->second;
             router.waiting.erase(found);
-            if (outcome.verdict == ReservationOutcome::Verdict::Admitted) {
-                dispatch(router, router, asked);
+            if (result.decision == ReservationResult::Decision::Admitted) {
+                dispatch(router, router, submitted);
             }
         }
     }
 }
 
-void FakeFleet::settleAt(RouterProcess &router, const Charge &charge, Tokens charged)
+void FakeFleet::settleCharge(RouterProcess &router, const Charge &charge, Tokens charged)
 {
     Charge line = charge;
     line.tokens = router.ledger->account(charge.budget).settle(charge.requestId, charged, m_now);
     router.ledger->addCharge(std::move(line));
-    takeOutcomes(router);
+    processResults(router);
 }
 
-void FakeFleet::deliverEnd(const Run &run, Tokens charged, bool reported)
+void FakeFleet::deliverRunEnd(const Run &run, Tokens charged, bool reported)
 {
     RouterProcess *router = findRouter(run.router);
     if (router == nullptr) {
@@ -173,7 +181,7 @@
         router->inbox.emplace_back(charge, charged);
         return;
     }
-    settleAt(*router, charge, charged);
+    settleCharge(*router, charge, charged);
 }
 
 void FakeFleet::finishRun(std::size_t index, bool reported)
@@ -189,16 +197,16 @@
     }
     Run &run = *running[index % running.size()];
     run.running = false;
-    const std::optional<TokenUsage> usage = reported ? std::optional(TokenUsage{.prompt = 0, .output = run.truth}) : std::nullopt;
+    const std::optional<TokenUsage> usage = reported ? std::optional(TokenUsage{.prompt = 0, .output = run.actualTokens}) : std::nullopt;
     const Tokens charged = m_sidecars[run.target].table->finish(run.requestId, RunEnd::Complete, usage);
-    deliverEnd(run, charged, reported);
+    deliverRunEnd(run, charged, reported);
 }
 
 std::map<std::string, BudgetRow, std::less<>> FakeFleet::readRows(const std::vector<std::string> &budgets)
 {
     std::map<std::string, BudgetRow, std::less<>> rows;
     for (const std::string &budget : budgets) {
-        rows.emplace(budget, readBudgetRow(*m_table.read(budgetKey(budget))));
+        rows.emplace(budget, parseBudgetRow(*m_table.read(budgetKey(budget))));
     }
     return rows;
 }
@@ -207,10 +215,10 @@
 {
     const absl::Status lost = failed(FailureKind::TableUnreachable, "lost", Executed::Unknown);
     switch (delivery) {
-    case Delivery::LostBefore:
+    case Delivery::RequestLost:
         return lost;
-    case Delivery::Late:
-        m_late.push_back(transaction);
+    case Delivery::Delayed:
+        m_delayed.push_back(transaction);
         return lost;
     case Delivery::AnswerLost:
         (void)m_table.transact(transaction);
@@ -234,7 +242,7 @@
     NodeLedger &ledger = *process.ledger;
     const FleetView fleet{.routers = m_routers.size()};
     const auto plan = ledger.planFlush(readRows(ledger.budgetsToRead(fleet, m_now)), fleet, m_now);
-    takeOutcomes(process);
+    processResults(process);
     if (!plan) {
         return;
     }
@@ -243,22 +251,22 @@
     }
     const auto verdict = send(plan->transaction, delivery);
     if (!verdict.ok()) {
-        ledger.flushLost();
+        ledger.onFlushAnswerLost();
         return;
     }
-    for (const Charge &charge : ledger.flushAnswered(*verdict, m_now)) {
+    for (const Charge &charge : ledger.onFlushAnswered(*verdict, m_now)) {
         for (Sidecar &sidecar : m_sidecars) {
             sidecar.table->forget(charge.requestId);
         }
     }
-    takeOutcomes(process);
+    processResults(process);
 }
 
-void FakeFleet::deliverLate()
+void FakeFleet::deliverDelayed()
 {
-    if (!m_late.empty()) {
-        (void)m_table.transact(m_late.front());
-        m_late.pop_front();
+    if (!m_delayed.empty()) {
+        (void)m_table.transact(m_delayed.front());
+        m_delayed.pop_front();
     }
 }
 
@@ -274,7 +282,7 @@
 {
     RouterProcess &process = m_routers[router % m_routers.size()];
     if (process.state == RouterState::Running) {
-        process.ledger->account(budgetName(budget)).recalled(true, m_now);
+        process.ledger->account(budgetName(budget)).onPeerRecall(true, m_now);
     }
 }
 
@@ -283,7 +291,7 @@
     const std::size_t slot = router % m_routers.size();
     m_routers[slot].waiting.clear();
     m_routers[slot].state = RouterState::Dead;
-    m_gone.push_back(std::move(m_routers[slot]));
+    m_killedRouters.push_back(std::move(m_routers[slot]));
     startRouter(slot);
 }
 
@@ -292,17 +300,17 @@
     m_routers[router % m_routers.size()].state = RouterState::Paused;
 }
 
-void FakeFleet::wake(std::size_t router)
+void FakeFleet::resume(std::size_t router)
 {
     RouterProcess &process = m_routers[router % m_routers.size()];
     process.state = RouterState::Running;
     while (!process.inbox.empty()) {
-        settleAt(process, process.inbox.front().first, process.inbox.front().second);
+        settleCharge(process, process.inbox.front().first, process.inbox.front().second);
         process.inbox.pop_front();
     }
 }
 
-void FakeFleet::killSidecar(std::size_t target)
+void FakeFleet::replaceSidecar(std::size_t target)
 {
     const std::size_t slot = target % m_options.targets;
     for (Run &run : m_runs) {
@@ -311,25 +319,25 @@
         }
         run.sidecarLost = true;
         if (run.running) {
-            // The router loses contact and charges its worst case.
+            // The router loses its connection and charges the worst case.
             run.running = false;
-            deliverEnd(run, run.bound, false);
+            deliverRunEnd(run, run.bound, false);
         }
     }
     startSidecar(slot);
 }
 
-void FakeFleet::cutSidecar(std::size_t target, bool cut)
+void FakeFleet::setSidecarCut(std::size_t target, bool cut)
 {
     m_sidecars[target % m_options.targets].cut = cut;
 }
 
-void FakeFleet::passTime(Duration duration)
+void FakeFleet::advanceTime(Duration duration)
 {
     m_now += duration;
 }
 
-void FakeFleet::askWitnesses()
+void FakeFleet::querySidecars()
 {
     const std::uint64_t epoch = m_reclamation->epoch();
     for (std::size_t target = 0; target < m_sidecars.size(); ++target) {
@@ -337,24 +345,25 @@
         if (sidecar.cut) {
             continue;
         }
-        const SealVerdict verdict = epoch == 0 ? sidecar.table->probe(m_reclaimed, m_now) : sidecar.table->seal(m_reclaimed);
+        const SealVerdict verdict =
+            epoch == 0 ? sidecar.table->probe(m_reclaimedIncarnation, m_now) : sidecar.table->seal(m_reclaimedIncarnation);
         m_reclamation->onWitness({.target = targetName(target), .epoch = epoch, .verdict = verdict});
     }
 }
 
 void FakeFleet::closeStep(Delivery delivery)
 {
-    const TableRow row = *m_table.read(nodeKey(m_reclaimed));
+    const TableRow row = *m_table.read(nodeKey(m_reclaimedIncarnation));
     absl::flat_hash_set<std::string> billed;
     for (std::string key = textField(row.fields, "ledger"); !key.empty();) {
-        const auto page = readLedgerPage(*m_table.readObject(key));
+        const auto page = parseLedgerPage(*m_table.readObject(key));
         for (const Charge &charge : page->charges) {
             billed.insert(charge.requestId);
         }
         key = page->previous;
     }
     m_reclamation->setBilled(std::move(billed));
-    m_reclamation->setGrants(*m_table.scan(absl::StrCat("grant/", m_reclaimed, "/")));
+    m_reclamation->setGrants(*m_table.scan(absl::StrCat("grant/", m_reclaimedIncarnation, "/")));
     const ClosingStep step = m_reclamation->nextClosingStep();
     if (!step.objectKey.empty()) {
         (void)m_table.putObject(step.objectKey, step.object);
@@ -366,17 +375,17 @@
 void FakeFleet::reclaimStep(std::size_t reclaimer, Delivery delivery)
 {
     if (m_reclamation == nullptr) {
-        for (const TableRow &row : rowsUnder(s_nodePrefix)) {
+        for (const TableRow &row : rowsWithPrefix(s_nodePrefix)) {
             const std::string incarnation = row.key.substr(s_nodePrefix.size());
             RouterProcess *router = findRouter(incarnation);
             const bool silent = router == nullptr || router->state == RouterState::Paused;
             if (!silent || textField(row.fields, "state") == "closed") {
                 continue;
             }
-            if (incarnation <= m_reclaimed) {
+            if (incarnation <= m_reclaimedIncarnation) {
                 continue;
             }
-            m_reclaimed = incarnation;
+            m_reclaimedIncarnation = incarnation;
             m_sealingSteps = 0;
             std::vector<std::string> targets;
             for (std::size_t target = 0; target < m_options.targets; ++target) {
@@ -392,13 +401,13 @@
         }
     }
     if (m_reclamation == nullptr) {
-        m_reclaimed.clear();
+        m_reclaimedIncarnation.clear();
         return;
     }
     switch (m_reclamation->phase()) {
     case Reclamation::Phase::Probing:
-        passTime(std::chrono::seconds(6));
-        askWitnesses();
+        advanceTime(std::chrono::seconds(6));
+        querySidecars();
         m_reclamation->probeEnded();
         break;
     case Reclamation::Phase::Declaring: {
@@ -407,9 +416,9 @@
         break;
     }
     case Reclamation::Phase::Sealing:
-        askWitnesses();
-        // One whose witnesses are missing must not keep the others from being recovered.
-        if (m_reclamation->phase() == Reclamation::Phase::Sealing && ++m_sealingSteps >= s_sealingPatience) {
+        querySidecars();
+        // A router whose sidecars do not answer must not block the recovery of the others.
+        if (m_reclamation->phase() == Reclamation::Phase::Sealing && ++m_sealingSteps >= s_maxSealingSteps) {
             m_reclamation.reset();
         }
         break;
@@ -423,20 +432,20 @@
     }
 }
 
-void FakeFleet::settleDown()
+void FakeFleet::runToCompletion()
 {
-    constexpr int s_rounds = 200;
+    constexpr int s_maxRounds = 200;
     for (std::size_t target = 0; target < m_options.targets; ++target) {
-        cutSidecar(target, false);
+        setSidecarCut(target, false);
     }
     for (std::size_t router = 0; router < m_routers.size(); ++router) {
-        wake(router);
+        resume(router);
     }
-    while (!m_late.empty()) {
-        deliverLate();
+    while (!m_delayed.empty()) {
+        deliverDelayed();
     }
     m_reclamation.reset();
-    for (int round = 0; round < s_rounds; ++round) {
+    for (int round = 0; round < s_maxRounds; ++round) {
         for (std::size_t left = m_runs.size(); left > 0; --left) {
             finishRun(0, true);
         }
@@ -454,12 +463,12 @@
     }
 }
 
-std::vector<Charge> FakeFleet::ledgerLines() const
+std::vector<Charge> FakeFleet::ledgerCharges() const
 {
     std::vector<Charge> lines;
-    for (const TableRow &node : rowsUnder(s_nodePrefix)) {
+    for (const TableRow &node : rowsWithPrefix(s_nodePrefix)) {
         for (std::string key = textField(node.fields, "ledger"); !key.empty();) {
-            const auto page = readLedgerPage(*m_table.readObject(key));
+            const auto page = parseLedgerPage(*m_table.readObject(key));
             lines.insert(lines.end(), page->charges.begin(), page->charges.end());
             key = page->previous;
         }
@@ -467,23 +476,23 @@
     return lines;
 }
 
-std::string FakeFleet::brokenInvariant() const
+std::string FakeFleet::invariantViolation() const
 {
     absl::flat_hash_map<std::string, Tokens> granted;
     absl::flat_hash_map<std::string, Tokens> billed;
     absl::flat_hash_map<std::string, Tokens> ran;
     absl::flat_hash_map<std::string, int> lines;
-    for (const TableRow &grant : rowsUnder(s_grantPrefix)) {
+    for (const TableRow &grant : rowsWithPrefix(s_grantPrefix)) {
         granted[textField(grant.fields, "budget")] += integerField(grant.fields, "unspent");
     }
-    for (const Charge &charge : ledgerLines()) {
+    for (const Charge &charge : ledgerCharges()) {
         billed[charge.budget] += charge.tokens;
         if (++lines[charge.requestId] > 1) {
             return absl::StrCat(charge.requestId, " is billed twice");
         }
     }
     for (const Run &run : m_runs) {
-        ran[run.budget] += run.truth;
+        ran[run.budget] += run.actualTokens;
     }
     for (const auto &[budget, prepaid] : m_prepaid) {
         const TableRow row = *m_table.read(budgetKey(budget));
@@ -491,13 +500,13 @@
         const Tokens consumedTokens = integerField(row.fields, "consumed");
         if (free < 0 || free + integerField(row.fields, "granted") + consumedTokens != prepaid
             || integerField(row.fields, "prepaid") != prepaid) {
-            return absl::StrCat(budget, " does not balance");
+            return absl::StrCat(budget, ": free, granted and consumed tokens do not add up to the prepaid ones");
         }
         if (integerField(row.fields, "granted") != granted[budget]) {
-            return absl::StrCat(budget, ": grant rows do not add up");
+            return absl::StrCat(budget, ": the grant rows do not add up to the granted tokens");
         }
         if (billed[budget] != consumedTokens) {
-            return absl::StrCat(budget, ": the ledger says ", billed[budget], ", the row ", consumedTokens);
+            return absl::StrCat(budget, ": billed in the ledger: ", billed[budget], ", consumed in the row: ", consumedTokens);
         }
         if (ran[budget] > prepaid) {
             return absl::StrCat(budget, " overspent: ", ran[budget], " of ", prepaid);
@@ -506,23 +515,22 @@
     return {};
 }
 
-std::string FakeFleet::unbilledRun() const
+std::string FakeFleet::billingViolation() const
 {
     absl::flat_hash_map<std::string, Tokens> charged;
-    for (const Charge &charge : ledgerLines()) {
+    for (const Charge &charge : ledgerCharges()) {
         charged[charge.requestId] = charge.tokens;
     }
     for (const Run &run : m_runs) {
         const auto found = charged.find(run.requestId);
-        // Where a witness was lost together with the router, the whole grant stays held and its row says so; nothing of it can be spent
-        // again.
+        // If a sidecar was lost together with the router, the whole grant stays held and the row says so; none of it can be spent again.
         const bool held = textField((*m_table.read(nodeKey(run.router))).fields, "state") == "sealing";
         if (found == charged.end() && !held) {
             const TableRow node = *m_table.read(nodeKey(run.router));
             return absl::StrCat(run.requestId, " of ", run.router, " (", textField(node.fields, "state"), ") was never billed");
         }
-        if (found != charged.end() && found->second < run.truth) {
-            return absl::StrCat(run.requestId, " was billed less than it ran");
+        if (found != charged.end() && found->second < run.actualTokens) {
+            return absl::StrCat(run.requestId, " was billed less than it used");
         }
     }
     return {};
@@ -541,7 +549,7 @@
 std::size_t FakeFleet::closedIncarnations() const
 {
     std::size_t closed = 0;
-    for (const TableRow &node : rowsUnder(s_nodePrefix)) {
+    for (const TableRow &node : rowsWithPrefix(s_nodePrefix)) {
         closed += textField(node.fields, "state") == "closed" ? 1 : 0;
     }
     return closed;
--- a/src/tests/fakefleet.h
+++ b/src/tests/fakefleet.h
@@ -13,17 +13,17 @@
 
 namespace bamboohold {
 
-/// What happens to a transaction on its way.
+/// What happens to a transaction on its way to the table and back.
 enum class Delivery {
     Answered,
-    LostBefore,
+    RequestLost,
     AnswerLost,
-    /// Lost now, and applied at some later step.
-    Late,
+    /// Lost at first, and applied in a later step.
+    Delayed,
 };
 
-/// Routers, sidecars, engines and the table, all in one place and driven step by step: decision objects with the smallest fakes around
-/// them. Engines' true counts are kept, so that the invariants compare the ledger with what really ran.
+/// Routers, sidecars, engines and the table in one process, driven step by step: the real decision classes with minimal fakes around them.
+/// It records the true token counts of the engines, so that the invariants compare the ledger with what really ran.
 class FakeFleet
 {
 public:
@@ -36,31 +36,40 @@
 
     explicit FakeFleet(Options options);
 
-    void ask(std::size_t router, std::size_t budget, Tokens bound, Tokens truth, std::size_t target);
-    /// A request at one router that another router's grant pays for.
-    void askSponsored(std::size_t front, std::size_t payer, std::size_t budget, Tokens bound, Tokens truth, std::size_t target);
+    /// Submits a request that reserves `bound` tokens and really uses `actualTokens`, at most the bound.
+    void submitRequest(std::size_t router, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target);
+    /// Submits a request at one router that is paid from another router's grant.
+    void submitSponsoredRequest(
+        std::size_t receiver, std::size_t payer, std::size_t budget, Tokens bound, Tokens actualTokens, std::size_t target);
+    /// Ends one of the runs in progress. If `reported` is false, the engine reports no token counts.
     void finishRun(std::size_t index, bool reported);
     void flush(std::size_t router, Delivery delivery);
-    void deliverLate();
+    /// Applies the oldest delayed transaction.
+    void deliverDelayed();
     void topUp(std::size_t budget, Tokens amount);
     void recall(std::size_t router, std::size_t budget);
+    /// Kills a router and starts its successor.
     void kill(std::size_t router);
+    /// Pauses a router. Until resume() it does not act, and run ends sent to it are queued.
     void pause(std::size_t router);
-    void wake(std::size_t router);
-    void killSidecar(std::size_t target);
-    void cutSidecar(std::size_t target, bool cut);
-    /// Takes the next step of recovering a silent router; reclaimer is the router that does the work.
+    void resume(std::size_t router);
+    /// Kills a target's sidecar and starts its successor, which knows nothing of the runs.
+    void replaceSidecar(std::size_t target);
+    /// Cuts a sidecar off from reclaimers, or reconnects it.
+    void setSidecarCut(std::size_t target, bool cut);
+    /// Performs the next step of recovering a silent router; `reclaimer` is the router that does the work.
     void reclaimStep(std::size_t reclaimer, Delivery delivery);
-    void passTime(Duration duration);
+    void advanceTime(Duration duration);
 
-    /// Ends all runs, brings all messages home, recovers all dead routers.
-    void settleDown();
+    /// Ends all runs, delivers all messages and recovers all dead routers.
+    void runToCompletion();
 
-    /// Empty while everything holds, else what does not.
-    std::string brokenInvariant() const;
+    /// Returns a description of the first invariant that is violated, or an empty string.
+    std::string invariantViolation() const;
 
-    /// After settleDown(): empty when every run has exactly one charge of at least its true cost, or its router's grants are held.
-    std::string unbilledRun() const;
+    /// Call after runToCompletion(). Returns a description of the first run that was never billed or was billed less than it used, or an
+    /// empty string. Runs whose router's grants are still held count as billed.
+    std::string billingViolation() const;
 
     Tokens consumed(std::size_t budget) const;
     Tokens free(std::size_t budget) const;
@@ -81,11 +90,11 @@
         Dead,
     };
 
-    struct Asked {
+    struct SubmittedRequest {
         std::string requestId;
         std::string budget;
         Tokens bound = 0;
-        Tokens truth = 0;
+        Tokens actualTokens = 0;
         std::size_t target = 0;
     };
 
@@ -93,9 +102,9 @@
         std::string incarnation;
         std::unique_ptr<NodeLedger> ledger;
         RouterState state = RouterState::Running;
-        /// What was sent to it while it was paused.
+        /// Run ends that were sent to it while it was paused.
         std::deque<std::pair<Charge, Tokens>> inbox;
-        std::map<std::string, Asked> waiting;
+        std::map<std::string, SubmittedRequest> waiting;
     };
 
     struct Run {
@@ -105,7 +114,7 @@
         std::size_t target = 0;
         std::string sidecar;
         Tokens bound = 0;
-        Tokens truth = 0;
+        Tokens actualTokens = 0;
         bool running = true;
         bool sidecarLost = false;
     };
@@ -116,31 +125,31 @@
         bool cut = false;
     };
 
-    std::vector<TableRow> rowsUnder(std::string_view prefix) const;
+    std::vector<TableRow> rowsWithPrefix(std::string_view prefix) const;
     std::string budgetName(std::size_t budget) const;
     std::string targetName(std::size_t target) const;
     void startRouter(std::size_t slot);
     void startSidecar(std::size_t target);
     RouterProcess *findRouter(const std::string &incarnation);
-    void dispatch(RouterProcess &front, RouterProcess &payer, const Asked &asked);
-    void takeOutcomes(RouterProcess &router);
-    void deliverEnd(const Run &run, Tokens charged, bool reported);
-    void settleAt(RouterProcess &router, const Charge &charge, Tokens charged);
+    void dispatch(RouterProcess &receiver, RouterProcess &payer, const SubmittedRequest &submitted);
+    void processResults(RouterProcess &router);
+    void deliverRunEnd(const Run &run, Tokens charged, bool reported);
+    void settleCharge(RouterProcess &router, const Charge &charge, Tokens charged);
     absl::StatusOr<TableVerdict> send(const TableTransaction &transaction, Delivery delivery);
-    void askWitnesses();
+    void querySidecars();
     void closeStep(Delivery delivery);
     std::map<std::string, BudgetRow, std::less<>> readRows(const std::vector<std::string> &budgets);
-    std::vector<Charge> ledgerLines() const;
+    std::vector<Charge> ledgerCharges() const;
 
     Options m_options;
     MemoryTable m_table;
     std::vector<RouterProcess> m_routers;
-    std::vector<RouterProcess> m_gone;
+    std::vector<RouterProcess> m_killedRouters;
     std::vector<Sidecar> m_sidecars;
     std::vector<Run> m_runs;
-    std::deque<TableTransaction> m_late;
+    std::deque<TableTransaction> m_delayed;
     std::unique_ptr<Reclamation> m_reclamation;
-    std::string m_reclaimed;
+    std::string m_reclaimedIncarnation;
     int m_sealingSteps = 0;
     std::map<std::string, Tokens> m_prepaid;
     Instant m_now{};
