--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -148,10 +148,10 @@
     }
 }
 
-std::optional<Withdrawal> TargetBoard::withdrawal(const std::string &incarnation) const
+std::optional<OutOfServiceReason> TargetBoard::outOfServiceReason(const std::string &incarnation) const
 {
     const auto found = m_targets.find(incarnation);
-    return found == m_targets.end() ? std::nullopt : found->second.withdrawal();
+    return found == m_targets.end() ? std::nullopt : found->second.outOfServiceReason();
 }
 
 const TargetBoard::Pool &TargetBoard::pool(std::string_view service) const
@@ -185,7 +185,7 @@
     for (const PoolEntry &entry : pool.entries) {
         const std::uint64_t weight = mixed(shared ^ entry.hash);
         // Few weights are among the best, so that hardly any target is looked at.
-        if (weight < weights.back() || !entry.target->takesWork()) {
+        if (weight < weights.back() || !entry.target->inService()) {
             continue;
         }
         std::size_t place = s_favourites - 1;
@@ -234,7 +234,7 @@
         const bool meant = wish.among.empty() || std::ranges::find(wish.among, incarnation) != wish.among.end();
         const bool unadmitted = wish.withoutAdmission && (target->word.limit || target->mayBeCold(now));
         const bool closed = now < target->word.closedUntil;
-        if (!target->takesWork() || closed || tried || !meant || unadmitted || target->resting(now) != rested) {
+        if (!target->inService() || closed || tried || !meant || unadmitted || target->resting(now) != rested) {
             continue;
         }
         const bool first = !favoured.empty() && target == favoured.front();
@@ -379,7 +379,7 @@
 {
     std::optional<Instant> first;
     for (const PoolEntry &entry : pool(service).entries) {
-        if (entry.target->takesWork()) {
+        if (entry.target->inService()) {
             first = std::min(first.value_or(Instant::max()), entry.target->word.closedUntil);
         }
     }
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -148,7 +148,7 @@
     }
 
     /// Why the target takes no new work; none when it does, and for a target that is not known.
-    std::optional<Withdrawal> withdrawal(const std::string &incarnation) const;
+    std::optional<OutOfServiceReason> outOfServiceReason(const std::string &incarnation) const;
 
     /// True when the end of the target is expected: it is withdrawn, or the list does not show it any more. Requests that it
     /// cuts when it goes did not bring it down.
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -72,7 +72,7 @@
     if (!answer.unreadable.empty()) {
         logLine(Severity::Warning, "target.header_unreadable", {{"target", incarnation}, {"header", answer.unreadable}});
     }
-    if (answer.leaving && m_board.withdrawal(incarnation) != Withdrawal::Leaving) {
+    if (answer.leaving && m_board.outOfServiceReason(incarnation) != OutOfServiceReason::Leaving) {
         logLine(Severity::Info, "target.says_leaving", {{"target", incarnation}});
     }
     if (answer.leaving || answer.otherProcess) {
--- a/src/gateway/targetlisting.h
+++ b/src/gateway/targetlisting.h
@@ -36,7 +36,7 @@
 };
 
 /// Why a target takes no new work, although the list shows it.
-enum class Withdrawal {
+enum class OutOfServiceReason {
     /// Its record cannot be used.
     Unusable,
     /// It has said that it leaves; this life of it does not come back.
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -14,15 +14,15 @@
 
 }
 
-std::optional<Withdrawal> TargetState::withdrawal() const
+std::optional<OutOfServiceReason> TargetState::outOfServiceReason() const
 {
     if (leaving()) {
-        return Withdrawal::Leaving;
+        return OutOfServiceReason::Leaving;
     }
     if (evacuated) {
-        return Withdrawal::Evacuated;
+        return OutOfServiceReason::Evacuated;
     }
-    return usable ? std::nullopt : std::optional(Withdrawal::Unusable);
+    return usable ? std::nullopt : std::optional(OutOfServiceReason::Unusable);
 }
 
 bool TargetState::mayBeCold(Instant now) const
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -109,11 +109,11 @@
     }
 
     /// Why it takes no new work; none when it does.
-    std::optional<Withdrawal> withdrawal() const;
+    std::optional<OutOfServiceReason> outOfServiceReason() const;
 
-    bool takesWork() const
+    bool inService() const
     {
-        return !withdrawal();
+        return !outOfServiceReason();
     }
 
     bool mayBeCold(Instant now) const;
--- a/src/tests/evacuationfollowertest.cpp
+++ b/src/tests/evacuationfollowertest.cpp
@@ -83,7 +83,7 @@
     Scene scene;
     scene.changed(order("empty here", 7), 7);
     BOOST_TEST(scene.choose()->incarnation == "other");
-    BOOST_TEST((scene.board.withdrawal("one") == Withdrawal::Evacuated));
+    BOOST_TEST((scene.board.outOfServiceReason("one") == OutOfServiceReason::Evacuated));
     scene.board.listed(target("later", "here"), s_now);
     scene.board.listed(target("one", "here"), s_now);
     BOOST_TEST(scene.choose()->incarnation == "other");
