--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -183,7 +183,7 @@
         m_attemptBegun = false;
         m_brokeOff = false;
         m_lastHeard = now;
-        m_sign = TargetSign::Neutral;
+        m_sign = HealthSignal::Neutral;
         m_gateway.m_board.sent(placement->incarnation, m_terms.prompt, placement->uncached, now);
         m_gateway.m_chooser.countSent(placement->incarnation);
         m_gateway.m_chooser.tellLoad(placement->incarnation);
@@ -325,7 +325,7 @@
         m_sent += end == AttemptEnd::NotRun ? 0 : 1;
         m_brokeOff = !call.cancelled();
         const bool own = m_callerLeft || toFailure(started).kind == FailureKind::Cancelled;
-        m_sign = own ? TargetSign::Neutral : TargetSign::Broken;
+        m_sign = own ? HealthSignal::Neutral : HealthSignal::ConnectionFailure;
     }
     m_call = nullptr;
     co_return end;
@@ -338,14 +338,14 @@
     m_gateway.m_chooser.noteTargetTerms(m_placement->incarnation, answer, m_attemptAt);
     if (answer.notRun) {
         m_lastProblem = absl::StrCat("declined with ", status);
-        m_sign = answer.otherProcess ? TargetSign::Neutral : TargetSign::Declined;
+        m_sign = answer.otherProcess ? HealthSignal::Neutral : HealthSignal::Declined;
         co_return AttemptEnd::NotRun;
     }
     const bool success = status >= s_firstSuccess && status < s_firstRedirect;
     m_succeeded = success;
     if (answer.altered || (success && !answer.sealed)) {
         m_lastProblem = answer.altered ? "the body is encoded" : "no seal";
-        m_sign = TargetSign::Failing;
+        m_sign = HealthSignal::ErrorResponse;
         co_return AttemptEnd::Broken;
     }
     const bool stream = success && m_route->repeatability == Repeatability::Stream;
@@ -361,7 +361,7 @@
 AttemptEnd RequestRun::answerBrokeOff(const absl::Status &status)
 {
     m_lastProblem = std::string(status.message());
-    m_sign = m_callerLeft ? TargetSign::Neutral : TargetSign::Failing;
+    m_sign = m_callerLeft ? HealthSignal::Neutral : HealthSignal::ErrorResponse;
     m_brokeOff = !m_call->cancelled();
     return endOf(status);
 }
@@ -387,11 +387,11 @@
     }
     if (answer.status >= s_firstServerError) {
         m_lastProblem = absl::StrCat("the target answered ", answer.status);
-        m_sign = TargetSign::Failing;
+        m_sign = HealthSignal::ErrorResponse;
         m_failure = std::move(answer);
         co_return AttemptEnd::Failed;
     }
-    m_sign = TargetSign::Sound;
+    m_sign = HealthSignal::Success;
     m_firstByte = steadyNow();
     co_await m_exchange.respond(answer.status, "", std::move(answer.body), std::move(answer.headers));
     co_return AttemptEnd::Delivered;
@@ -443,7 +443,7 @@
             co_return AttemptEnd::CallerLeft;
         }
     }
-    m_sign = TargetSign::Sound;
+    m_sign = HealthSignal::Success;
     co_await beginStream(call);
     co_await m_exchange.endStream();
     co_return AttemptEnd::Delivered;
--- a/src/gateway/requestrun.h
+++ b/src/gateway/requestrun.h
@@ -115,7 +115,7 @@
     /// The running attempt lost its connection before its answer was whole.
     bool m_brokeOff = false;
     /// What the last attempt tells of its target.
-    TargetSign m_sign = TargetSign::Neutral;
+    HealthSignal m_sign = HealthSignal::Neutral;
     std::optional<Instant> m_firstByte;
 };
 
--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -334,11 +334,11 @@
     }
 }
 
-void TargetBoard::done(const std::string &incarnation, TargetSign sign, Instant now)
+void TargetBoard::done(const std::string &incarnation, HealthSignal signal, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.done(m_options, sign, now);
+        found->second.done(m_options, signal, now);
     }
 }
 
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -114,7 +114,7 @@
     void begun(const std::string &incarnation, Tokens uncached, Instant sentAt);
 
     /// An attempt whose answer had begun is over.
-    void done(const std::string &incarnation, TargetSign sign, Instant now);
+    void done(const std::string &incarnation, HealthSignal signal, Instant now);
 
     /// The target takes this many requests a second from all routers together, as its answers say.
     void limited(const std::string &incarnation, double requestsPerSecond, Instant now);
--- a/src/gateway/targetlisting.h
+++ b/src/gateway/targetlisting.h
@@ -46,15 +46,15 @@
 };
 
 /// How an attempt at a target ended, as far as it tells something about the target.
-enum class TargetSign {
+enum class HealthSignal {
     /// Answered in good order.
-    Sound,
+    Success,
     /// Declined without running the request.
     Declined,
     /// Answered with a failure of its own.
-    Failing,
+    ErrorResponse,
     /// Could not be connected to, went silent, or broke off.
-    Broken,
+    ConnectionFailure,
     /// Says nothing about the target: the caller left, or time ran out elsewhere.
     Neutral,
 };
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -107,27 +107,27 @@
     }
 }
 
-void TargetState::done(const TargetOptions &options, TargetSign sign, Instant now)
+void TargetState::done(const TargetOptions &options, HealthSignal signal, Instant now)
 {
     outstanding -= std::min<std::uint32_t>(outstanding, 1);
-    switch (sign) {
-    case TargetSign::Sound:
+    switch (signal) {
+    case HealthSignal::Success:
         failures = 0;
         failingInRow = 0;
         pausedUntil.reset();
         break;
-    case TargetSign::Declined:
+    case HealthSignal::Declined:
         pausedUntil = now + options.declinePause;
         break;
-    case TargetSign::Broken:
+    case HealthSignal::ConnectionFailure:
         pauseBroken(options, now);
         break;
-    case TargetSign::Failing:
+    case HealthSignal::ErrorResponse:
         if (++failingInRow >= options.failingLimit) {
             pauseBroken(options, now);
         }
         break;
-    case TargetSign::Neutral:
+    case HealthSignal::Neutral:
         break;
     }
 }
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -137,7 +137,7 @@
     void begun(Tokens uncached, Instant sentAt);
 
     /// An attempt whose answer had begun is over.
-    void done(const TargetOptions &options, TargetSign sign, Instant now);
+    void done(const TargetOptions &options, HealthSignal signal, Instant now);
 
 private:
     void pauseBroken(const TargetOptions &options, Instant now);
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -142,7 +142,7 @@
             m_events.pop();
             TargetBoard &board = *m_boards[event.router];
             if (event.ends) {
-                board.done(event.target, TargetSign::Sound, event.at);
+                board.done(event.target, HealthSignal::Success, event.at);
             } else {
                 board.begun(event.target, event.unread, event.sentAt);
                 event.ends = true;
--- a/src/tests/targetboardtest.cpp
+++ b/src/tests/targetboardtest.cpp
@@ -158,7 +158,7 @@
     Board scene(2);
     scene.board.sent("0", {}, 0, scene.now);
     scene.board.begun("0", 0, scene.now);
-    scene.board.done("0", TargetSign::Broken, scene.now);
+    scene.board.done("0", HealthSignal::ConnectionFailure, scene.now);
     for (int count = 0; count < 5; ++count) {
         BOOST_TEST(scene.send() == "1");
     }
@@ -166,7 +166,7 @@
     BOOST_TEST(scene.send() == "0");
     BOOST_TEST(scene.send() == "1");
     scene.board.begun("0", 0, scene.now);
-    scene.board.done("0", TargetSign::Sound, scene.now);
+    scene.board.done("0", HealthSignal::Success, scene.now);
     BOOST_TEST(scene.send() == "0");
 }
 
@@ -176,7 +176,7 @@
     Board scene(2);
     for (const char *incarnation : {"0", "1"}) {
         scene.board.sent(incarnation, {}, 0, scene.now);
-        scene.board.done(incarnation, TargetSign::Broken, scene.now);
+        scene.board.done(incarnation, HealthSignal::ConnectionFailure, scene.now);
     }
     BOOST_TEST(scene.choose().has_value());
     const std::vector<std::string> tried{"0", "1"};
@@ -201,11 +201,11 @@
     Board scene(2);
     for (int count = 0; count < 2; ++count) {
         scene.board.sent("0", {}, 0, scene.now);
-        scene.board.done("0", TargetSign::Failing, scene.now);
+        scene.board.done("0", HealthSignal::ErrorResponse, scene.now);
     }
     BOOST_TEST(scene.choose()->incarnation == "0");
     scene.board.sent("0", {}, 0, scene.now);
-    scene.board.done("0", TargetSign::Failing, scene.now);
+    scene.board.done("0", HealthSignal::ErrorResponse, scene.now);
     BOOST_TEST(scene.choose()->incarnation == "1");
 }
 
--- a/src/tests/targetfollowertest.cpp
+++ b/src/tests/targetfollowertest.cpp
@@ -74,7 +74,7 @@
     const std::vector<PromptPart> prompt{{.id = 1, .tokens = 5000}, {.id = 2, .tokens = 100}};
     scene.board.sent("a@1000", prompt, 5100, s_now);
     scene.board.begun("a@1000", 5100, s_now);
-    scene.board.done("a@1000", TargetSign::Broken, s_now);
+    scene.board.done("a@1000", HealthSignal::ConnectionFailure, s_now);
     scene.changed("b", "1000", 2);
     BOOST_TEST(scene.chosen() == "b@1000");
     scene.changed("a", "2000", 3);
@@ -85,7 +85,7 @@
     BOOST_TEST(placement->name == "a");
     BOOST_TEST(!scene.board.lists("a@1000"));
     // The former life's attempt ends late; it says nothing of the new one.
-    scene.board.done("a@1000", TargetSign::Broken, s_now);
+    scene.board.done("a@1000", HealthSignal::ConnectionFailure, s_now);
     scene.board.leaves("a@1000");
     BOOST_TEST(scene.chosen() == "a@2000");
 }
@@ -158,7 +158,7 @@
             const int kind = *rc::gen::inRange(0, 6);
             const std::string life = absl::StrCat("a@", *rc::gen::inRange(1, 4));
             if (kind == 0) {
-                scene.board.done(life, TargetSign::Sound, s_now);
+                scene.board.done(life, HealthSignal::Success, s_now);
             } else if (kind == 1) {
                 scene.board.sent(life, {}, 0, s_now);
             } else {
