--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Targets whose last words are remembered.
-constexpr std::size_t s_maxLastWords = 1024;
+constexpr std::size_t s_maxRetainedDirectives = 1024;
 /// Targets that are looked at for one request, besides its favourites: all of them on small fleets. Half of them are of the router's own
 /// failure domain. Keeps the choice at a few microseconds whatever the number of targets.
 constexpr std::size_t s_sampleSize = 32;
@@ -56,10 +56,10 @@
 void TargetBoard::forget(std::map<std::string, TargetState>::iterator target)
 {
     const TargetListing &listing = target->second.listing;
-    if (m_lastWords.size() >= s_maxLastWords) {
-        m_lastWords.clear();
+    if (m_retainedDirectives.size() >= s_maxRetainedDirectives) {
+        m_retainedDirectives.clear();
     }
-    m_lastWords[listing.incarnation] = target->second.word;
+    m_retainedDirectives[listing.incarnation] = target->second.directives;
     m_incarnations.erase(listing.name());
     m_targets.erase(target);
     m_poolsValid = false;
@@ -86,8 +86,8 @@
     m_poolsValid = false;
     const auto [entry, added] = m_targets.try_emplace(listing.incarnation);
     TargetState &target = entry->second;
-    if (const auto said = m_lastWords.find(listing.incarnation); added && said != m_lastWords.end()) {
-        target.word = said->second;
+    if (const auto retained = m_retainedDirectives.find(listing.incarnation); added && retained != m_retainedDirectives.end()) {
+        target.directives = retained->second;
     }
     // A target that has said that it leaves does not come back; an entry that says otherwise is older.
     listing.leaving = listing.leaving || target.listing.leaving;
@@ -232,8 +232,8 @@
         const std::string &incarnation = target->listing.incarnation;
         const bool tried = std::ranges::find(wish.except, incarnation) != wish.except.end();
         const bool meant = wish.among.empty() || std::ranges::find(wish.among, incarnation) != wish.among.end();
-        const bool unadmitted = wish.withoutAdmission && (target->word.limit || target->mayBeCold(now));
-        const bool closed = now < target->word.closedUntil;
+        const bool unadmitted = wish.withoutAdmission && (target->directives.limit || target->mayBeCold(now));
+        const bool closed = now < target->directives.closedUntil;
         if (!target->inService() || closed || tried || !meant || unadmitted || target->resting(now) != rested) {
             continue;
         }
@@ -276,7 +276,7 @@
                      .address = listing.address,
                      .uncached = best.front().uncached,
                      .cold = target.mayBeCold(now),
-                     .limit = target.word.limit};
+                     .limit = target.directives.limit};
 }
 
 std::optional<TargetBoard::OwnLoad> TargetBoard::ownLoad(const std::string &incarnation) const
@@ -346,32 +346,32 @@
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.word.limit = requestsPerSecond;
-        found->second.word.limitHeardAt = now;
+        found->second.directives.limit = requestsPerSecond;
+        found->second.directives.limitHeardAt = now;
     }
 }
 
 bool TargetBoard::unlimited(const std::string &incarnation, Instant sentAt)
 {
     const auto found = m_targets.find(incarnation);
-    if (found == m_targets.end() || !found->second.word.limit || sentAt < found->second.word.limitHeardAt) {
+    if (found == m_targets.end() || !found->second.directives.limit || sentAt < found->second.directives.limitHeardAt) {
         return false;
     }
-    found->second.word.limit.reset();
+    found->second.directives.limit.reset();
     return true;
 }
 
 std::optional<double> TargetBoard::limit(const std::string &incarnation) const
 {
     const auto found = m_targets.find(incarnation);
-    return found == m_targets.end() ? std::nullopt : found->second.word.limit;
+    return found == m_targets.end() ? std::nullopt : found->second.directives.limit;
 }
 
 void TargetBoard::closeUntil(const std::string &incarnation, Instant until)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.word.closedUntil = std::max(found->second.word.closedUntil, until);
+        found->second.directives.closedUntil = std::max(found->second.directives.closedUntil, until);
     }
 }
 
@@ -380,7 +380,7 @@
     std::optional<Instant> first;
     for (const PoolEntry &entry : pool(service).entries) {
         if (entry.target->inService()) {
-            first = std::min(first.value_or(Instant::max()), entry.target->word.closedUntil);
+            first = std::min(first.value_or(Instant::max()), entry.target->directives.closedUntil);
         }
     }
     return first && *first > now ? first : std::nullopt;
@@ -390,7 +390,7 @@
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.word.leaving = true;
+        found->second.directives.leaving = true;
     }
 }
 
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -198,7 +198,7 @@
     /// By incarnation.
     std::map<std::string, TargetState> m_targets;
     /// What targets said that the list does not show any more, by incarnation.
-    absl::flat_hash_map<std::string, TargetWord> m_lastWords;
+    absl::flat_hash_map<std::string, TargetDirectives> m_retainedDirectives;
     /// The newest life under each name.
     absl::flat_hash_map<std::string, std::string> m_incarnations;
     /// By service; made anew when the list has changed.
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -64,7 +64,7 @@
 };
 
 /// What a target, or who admits requests to it, has said in answers. It holds whatever the list shows, and outlasts a gap in the list.
-struct TargetWord {
+struct TargetDirectives {
     bool leaving = false;
     /// Requests a second that it takes from all routers together, and when that was heard last.
     std::optional<double> limit;
@@ -100,12 +100,12 @@
     TargetLoad others;
     std::optional<Instant> heardAt;
     std::optional<Instant> relaySilentAt;
-    TargetWord word;
+    TargetDirectives directives;
 
     /// True when this life of it has said that it leaves, in its record or in an answer.
     bool leaving() const
     {
-        return listing.leaving || word.leaving;
+        return listing.leaving || directives.leaving;
     }
 
     /// Why it takes no new work; none when it does.
