--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -232,7 +232,7 @@
         const std::string &incarnation = target->listing.incarnation;
         const bool tried = std::ranges::find(wish.except, incarnation) != wish.except.end();
         const bool meant = wish.among.empty() || std::ranges::find(wish.among, incarnation) != wish.among.end();
-        const bool unadmitted = wish.withoutAdmission && (target->directives.limit || target->mayBeCold(now));
+        const bool unadmitted = wish.withoutAdmission && (target->directives.rateLimit || target->mayBeCold(now));
         const bool closed = now < target->directives.closedUntil;
         if (!target->inService() || closed || tried || !meant || unadmitted || target->resting(now) != rested) {
             continue;
@@ -276,7 +276,7 @@
                      .address = listing.address,
                      .uncached = best.front().uncached,
                      .cold = target.mayBeCold(now),
-                     .limit = target.directives.limit};
+                     .rateLimit = target.directives.rateLimit};
 }
 
 std::optional<TargetBoard::OwnLoad> TargetBoard::ownLoad(const std::string &incarnation) const
@@ -342,29 +342,29 @@
     }
 }
 
-void TargetBoard::limited(const std::string &incarnation, double requestsPerSecond, Instant now)
+void TargetBoard::setRateLimit(const std::string &incarnation, double requestsPerSecond, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.directives.limit = requestsPerSecond;
-        found->second.directives.limitHeardAt = now;
+        found->second.directives.rateLimit = requestsPerSecond;
+        found->second.directives.rateLimitReportedAt = now;
     }
 }
 
-bool TargetBoard::unlimited(const std::string &incarnation, Instant sentAt)
+bool TargetBoard::clearRateLimit(const std::string &incarnation, Instant sentAt)
 {
     const auto found = m_targets.find(incarnation);
-    if (found == m_targets.end() || !found->second.directives.limit || sentAt < found->second.directives.limitHeardAt) {
+    if (found == m_targets.end() || !found->second.directives.rateLimit || sentAt < found->second.directives.rateLimitReportedAt) {
         return false;
     }
-    found->second.directives.limit.reset();
+    found->second.directives.rateLimit.reset();
     return true;
 }
 
-std::optional<double> TargetBoard::limit(const std::string &incarnation) const
+std::optional<double> TargetBoard::rateLimit(const std::string &incarnation) const
 {
     const auto found = m_targets.find(incarnation);
-    return found == m_targets.end() ? std::nullopt : found->second.directives.limit;
+    return found == m_targets.end() ? std::nullopt : found->second.directives.rateLimit;
 }
 
 void TargetBoard::closeUntil(const std::string &incarnation, Instant until)
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -43,7 +43,7 @@
     /// The target is cold, or may be: it takes few requests a second from all routers together.
     bool cold = false;
     /// Requests a second that the target takes from all routers together; none where it names no limit.
-    std::optional<double> limit;
+    std::optional<double> rateLimit;
     /// An admission ends then.
     std::optional<Instant> sendBefore;
 };
@@ -117,14 +117,14 @@
     void done(const std::string &incarnation, HealthSignal signal, Instant now);
 
     /// The target takes this many requests a second from all routers together, as its answers say.
-    void limited(const std::string &incarnation, double requestsPerSecond, Instant now);
+    void setRateLimit(const std::string &incarnation, double requestsPerSecond, Instant now);
 
     /// An answer to a request that was sent at that instant names no limit. Returns whether that ends one: an answer to a request that was
     /// sent before the limit was heard of may be older than the limit.
-    bool unlimited(const std::string &incarnation, Instant sentAt);
+    bool clearRateLimit(const std::string &incarnation, Instant sentAt);
 
     /// Requests a second that the target takes from all routers together; none where it names no limit.
-    std::optional<double> limit(const std::string &incarnation) const;
+    std::optional<double> rateLimit(const std::string &incarnation) const;
 
     /// Nothing goes to the target until then. An earlier time than one that is known changes nothing.
     void closeUntil(const std::string &incarnation, Instant until);
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -62,7 +62,7 @@
 
 void TargetChooser::countSent(const std::string &incarnation)
 {
-    const std::string_view limited = m_board.limit(incarnation) ? "yes" : "no";
+    const std::string_view limited = m_board.rateLimit(incarnation) ? "yes" : "no";
     const std::array<MetricLabel, 2> labels{{{.name = "target", .value = incarnation}, {.name = "limited", .value = limited}}};
     m_metrics.count("target_requests_total", labels);
 }
@@ -96,15 +96,15 @@
 
 void TargetChooser::setLimit(const std::string &incarnation, double requestsPerSecond)
 {
-    if (m_board.limit(incarnation) != requestsPerSecond) {
+    if (m_board.rateLimit(incarnation) != requestsPerSecond) {
         logLine(Severity::Info, "target.limited", {{"target", incarnation}, {"requests_per_second", absl::StrCat(requestsPerSecond)}});
     }
-    m_board.limited(incarnation, requestsPerSecond, steadyNow());
+    m_board.setRateLimit(incarnation, requestsPerSecond, steadyNow());
 }
 
 bool TargetChooser::endLimit(const std::string &incarnation, Instant askedAt)
 {
-    const bool ended = m_board.unlimited(incarnation, askedAt);
+    const bool ended = m_board.clearRateLimit(incarnation, askedAt);
     if (ended) {
         logLine(Severity::Info, "target.limit_ended", {{"target", incarnation}});
     }
@@ -124,7 +124,7 @@
 {
     if (requestsPerSecond <= 0) {
         endLimit(incarnation, askedAt);
-    } else if (m_board.limit(incarnation) != requestsPerSecond) {
+    } else if (m_board.rateLimit(incarnation) != requestsPerSecond) {
         // Only what a target itself says again makes a limit younger: an older answer does not end it.
         setLimit(incarnation, requestsPerSecond);
     }
@@ -146,7 +146,7 @@
         if (!placement) {
             co_return std::nullopt;
         }
-        const AdmissionRates rates{.cold = placement->cold ? coldPerSecond : 0, .limit = placement->limit.value_or(0)};
+        const AdmissionRates rates{.cold = placement->cold ? coldPerSecond : 0, .limit = placement->rateLimit.value_or(0)};
         if (!rates.needed()) {
             co_return placement;
         }
@@ -191,7 +191,7 @@
         co_return m_shares.admit(placement.incarnation, shared.lowest(), steadyNow());
     }
     // Who admits may have said instead that the limit has ended.
-    const bool free = rates.cold <= 0 && !m_board.limit(placement.incarnation);
+    const bool free = rates.cold <= 0 && !m_board.rateLimit(placement.incarnation);
     const bool granted = free || answer.admission == Admission::Granted;
     if (!granted) {
         m_board.closeUntil(placement.incarnation, steadyNow() + std::min(answer.wait, s_longestAdmissionWait));
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -70,7 +70,7 @@
     const double queueing = options.msPerQueued * queued;
     const double distance = listing.failureDomain == options.failureDomain ? 0 : options.msOtherDomain;
     const double cold = now < coldUntil ? options.msCold : 0;
-    const double limited = directives.limit ? options.msLimited : 0;
+    const double limited = directives.rateLimit ? options.msLimited : 0;
     const bool silent = relaySilentAt && now - *relaySilentAt < options.loadMemory;
     return reading + running + queueing + distance + cold + limited + overdue + (silent ? options.msSilentRelay : 0);
 }
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -67,8 +67,8 @@
 struct TargetDirectives {
     bool leaving = false;
     /// Requests a second that it takes from all routers together, and when that was heard last.
-    std::optional<double> limit;
-    Instant limitHeardAt{};
+    std::optional<double> rateLimit;
+    Instant rateLimitReportedAt{};
     /// Nothing goes there until then.
     Instant closedUntil{};
 };
