--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -493,7 +493,7 @@
     if (notRun) {
         failure.kind = m_tried.empty() ? FailureKind::NoTarget : FailureKind::Overloaded;
         const Instant now = steadyNow();
-        const std::optional<Instant> opens = m_gateway.m_board.opensAt(m_serviceName, now);
+        const std::optional<Instant> opens = m_gateway.m_board.nextResumption(m_serviceName, now);
         failure.retryAfterMs = opens ? inMs(*opens - now) + 1 : s_retryAfterOverloadMs;
         failure.detail.append(opens ? "; all targets rest, or admit no more" : "");
     } else if (end == AttemptEnd::TimedOut) {
--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -233,8 +233,8 @@
         const bool tried = std::ranges::find(wish.except, incarnation) != wish.except.end();
         const bool meant = wish.among.empty() || std::ranges::find(wish.among, incarnation) != wish.among.end();
         const bool unadmitted = wish.withoutAdmission && (target->directives.rateLimit || target->mayBeCold(now));
-        const bool closed = now < target->directives.closedUntil;
-        if (!target->inService() || closed || tried || !meant || unadmitted || target->resting(now) != rested) {
+        const bool suspended = now < target->directives.suspendedUntil;
+        if (!target->inService() || suspended || tried || !meant || unadmitted || target->resting(now) != rested) {
             continue;
         }
         const bool first = !favoured.empty() && target == favoured.front();
@@ -367,20 +367,20 @@
     return found == m_targets.end() ? std::nullopt : found->second.directives.rateLimit;
 }
 
-void TargetBoard::closeUntil(const std::string &incarnation, Instant until)
+void TargetBoard::suspendUntil(const std::string &incarnation, Instant until)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.directives.closedUntil = std::max(found->second.directives.closedUntil, until);
+        found->second.directives.suspendedUntil = std::max(found->second.directives.suspendedUntil, until);
     }
 }
 
-std::optional<Instant> TargetBoard::opensAt(std::string_view service, Instant now) const
+std::optional<Instant> TargetBoard::nextResumption(std::string_view service, Instant now) const
 {
     std::optional<Instant> first;
     for (const PoolEntry &entry : pool(service).entries) {
         if (entry.target->inService()) {
-            first = std::min(first.value_or(Instant::max()), entry.target->directives.closedUntil);
+            first = std::min(first.value_or(Instant::max()), entry.target->directives.suspendedUntil);
         }
     }
     return first && *first > now ? first : std::nullopt;
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -127,10 +127,10 @@
     std::optional<double> rateLimit(const std::string &incarnation) const;
 
     /// Nothing goes to the target until then. An earlier time than one that is known changes nothing.
-    void closeUntil(const std::string &incarnation, Instant until);
+    void suspendUntil(const std::string &incarnation, Instant until);
 
     /// When the first of the service's targets takes something new; none where one does already, or none of them ever will.
-    std::optional<Instant> opensAt(std::string_view service, Instant now) const;
+    std::optional<Instant> nextResumption(std::string_view service, Instant now) const;
 
     /// The target has said that it leaves, or another process answers at its address. Final for this life of it, whatever the list shows.
     void leaves(const std::string &incarnation);
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -82,7 +82,7 @@
         logLine(Severity::Info,
                 "target.asks_rest",
                 {{"target", incarnation}, {"rest_ms", std::chrono::duration_cast<std::chrono::milliseconds>(*answer.rest).count()}});
-        m_board.closeUntil(incarnation, steadyNow() + *answer.rest);
+        m_board.suspendUntil(incarnation, steadyNow() + *answer.rest);
     }
     if (answer.limit) {
         const double limit = std::max(*answer.limit, LimitAdmissions::s_leastPerSecond);
@@ -194,7 +194,7 @@
     const bool free = rates.cold <= 0 && !m_board.rateLimit(placement.incarnation);
     const bool granted = free || answer.admission == Admission::Granted;
     if (!granted) {
-        m_board.closeUntil(placement.incarnation, steadyNow() + std::min(answer.wait, s_longestAdmissionWait));
+        m_board.suspendUntil(placement.incarnation, steadyNow() + std::min(answer.wait, s_longestAdmissionWait));
     }
     co_return granted;
 }
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -70,7 +70,7 @@
     std::optional<double> rateLimit;
     Instant rateLimitReportedAt{};
     /// Nothing goes there until then.
-    Instant closedUntil{};
+    Instant suspendedUntil{};
 };
 
 /// What a router knows of one life of a target. Pure.
