--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -223,7 +223,7 @@
     return targets;
 }
 
-std::vector<TargetBoard::Scored> TargetBoard::ranked(const PlacementWish &wish, bool rested, Instant now) const
+std::vector<TargetBoard::Scored> TargetBoard::ranked(const PlacementWish &wish, bool backedOff, Instant now) const
 {
     const Pool &known = pool(wish.service);
     const std::vector<const TargetState *> favoured = favourites(known, wish.prompt);
@@ -234,12 +234,12 @@
         const bool meant = wish.among.empty() || std::ranges::find(wish.among, incarnation) != wish.among.end();
         const bool unadmitted = wish.withoutAdmission && (target->directives.rateLimit || target->mayBeCold(now));
         const bool suspended = now < target->directives.suspendedUntil;
-        if (!target->inService() || suspended || tried || !meant || unadmitted || target->resting(now) != rested) {
+        if (!target->inService() || suspended || tried || !meant || unadmitted || target->inBackoff(now) != backedOff) {
             continue;
         }
         const bool first = !favoured.empty() && target == favoured.front();
         const Tokens uncached = target->uncached(m_options, wish.prompt, first, now);
-        const double value = rested ? target->failures : target->score(m_options, uncached, now);
+        const double value = backedOff ? target->consecutiveBackoffs : target->score(m_options, uncached, now);
         scored.push_back({.target = target, .uncached = uncached, .score = value});
     }
     // Stable, so that among equals the drawn order stands.
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -190,7 +190,7 @@
     const Pool &pool(std::string_view service) const;
     std::vector<const TargetState *>
     sampled(const Pool &pool, const PlacementWish &wish, std::span<const TargetState *const> favourites) const;
-    std::vector<Scored> ranked(const PlacementWish &wish, bool rested, Instant now) const;
+    std::vector<Scored> ranked(const PlacementWish &wish, bool backedOff, Instant now) const;
     std::vector<const TargetState *> favourites(const Pool &pool, std::span<const PromptPart> prompt) const;
     bool storeTroubled(Instant now) const;
 
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -75,12 +75,12 @@
     return reading + running + queueing + distance + cold + limited + overdue + (silent ? options.msSilentRelay : 0);
 }
 
-bool TargetState::resting(Instant now) const
+bool TargetState::inBackoff(Instant now) const
 {
-    const bool paused = pausedUntil && now < *pausedUntil;
+    const bool backingOff = backoffUntil && now < *backoffUntil;
     // One attempt at a time finds out whether a target that failed is back.
-    const bool onTrial = failures > 0 && outstanding > 0;
-    return paused || onTrial;
+    const bool probing = consecutiveBackoffs > 0 && outstanding > 0;
+    return backingOff || probing;
 }
 
 void TargetState::sent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncached, Instant now)
@@ -112,19 +112,19 @@
     outstanding -= std::min<std::uint32_t>(outstanding, 1);
     switch (signal) {
     case HealthSignal::Success:
-        failures = 0;
-        failingInRow = 0;
-        pausedUntil.reset();
+        consecutiveBackoffs = 0;
+        consecutiveErrors = 0;
+        backoffUntil.reset();
         break;
     case HealthSignal::Declined:
-        pausedUntil = now + options.declinePause;
+        backoffUntil = now + options.declineBackoff;
         break;
     case HealthSignal::ConnectionFailure:
-        pauseBroken(options, now);
+        startBackoff(options, now);
         break;
     case HealthSignal::ErrorResponse:
-        if (++failingInRow >= options.failingLimit) {
-            pauseBroken(options, now);
+        if (++consecutiveErrors >= options.consecutiveErrorLimit) {
+            startBackoff(options, now);
         }
         break;
     case HealthSignal::Neutral:
@@ -132,15 +132,15 @@
     }
 }
 
-void TargetState::pauseBroken(const TargetOptions &options, Instant now)
+void TargetState::startBackoff(const TargetOptions &options, Instant now)
 {
     if (!options.ejects) {
         return;
     }
-    const Duration pause = options.firstPause * (std::int64_t{1} << std::min(failures, s_maxDoublings));
-    pausedUntil = now + std::min(options.longestPause, pause);
-    suspectedColdUntil = *pausedUntil + options.coldSuspicion;
-    ++failures;
+    const Duration backoff = options.initialBackoff * (std::int64_t{1} << std::min(consecutiveBackoffs, s_maxDoublings));
+    backoffUntil = now + std::min(options.maxBackoff, backoff);
+    suspectedColdUntil = *backoffUntil + options.coldSuspicion;
+    ++consecutiveBackoffs;
     cached.clear();
 }
 
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -17,13 +17,13 @@
 struct TargetOptions {
     std::string failureDomain;
     /// A target that could not be reached is tried again after this, then after twice as long, and so on.
-    Duration firstPause = std::chrono::milliseconds(400);
+    Duration initialBackoff = std::chrono::milliseconds(400);
     /// The longest of these pauses: a target that comes back should not wait longer for work.
-    Duration longestPause = std::chrono::seconds(3);
+    Duration maxBackoff = std::chrono::seconds(3);
     /// After this many failing answers in a row a target is paused like a broken one; single ones are the requests' own.
-    std::uint32_t failingLimit = 3;
+    std::uint32_t consecutiveErrorLimit = 3;
     /// After it declined, a target is left alone for this long.
-    Duration declinePause = std::chrono::milliseconds(150);
+    Duration declineBackoff = std::chrono::milliseconds(150);
     /// An entry that vanished while the store was in trouble is believed gone only this long after its return: targets that live write
     /// theirs again within about two seconds.
     Duration listGrace = std::chrono::milliseconds(2300);
@@ -89,10 +89,10 @@
     Tokens unread = 0;
     /// When the requests were sent that have no first byte yet.
     std::multiset<Instant> waiting;
-    std::uint32_t failures = 0;
+    std::uint32_t consecutiveBackoffs = 0;
     /// Failing answers without a sound one between.
-    std::uint32_t failingInRow = 0;
-    std::optional<Instant> pausedUntil;
+    std::uint32_t consecutiveErrors = 0;
+    std::optional<Instant> backoffUntil;
     /// Set while the list does not show it, but may have lost it by mistake.
     std::optional<Instant> doubtedSince;
     absl::flat_hash_map<std::uint64_t, Instant> cached;
@@ -128,7 +128,7 @@
     double score(const TargetOptions &options, Tokens uncached, Instant now) const;
 
     /// True while it is left out because it failed or declined.
-    bool resting(Instant now) const;
+    bool inBackoff(Instant now) const;
 
     /// A request went to it.
     void sent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncached, Instant now);
@@ -140,7 +140,7 @@
     void done(const TargetOptions &options, HealthSignal signal, Instant now);
 
 private:
-    void pauseBroken(const TargetOptions &options, Instant now);
+    void startBackoff(const TargetOptions &options, Instant now);
 };
 
 }
