--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -179,8 +179,8 @@
         const Mechanisms &on = options.mechanisms;
         options.holdings.fewKeepers = on.keepers;
         options.holdings.loans = on.loans;
-        options.gateway.board.favourites = on.favourites;
-        options.gateway.board.ejects = on.ejection;
+        options.gateway.board.prefixAffinity = on.favourites;
+        options.gateway.board.outlierEjection = on.ejection;
         if (!on.ampleBudgets) {
             options.holdings.ampleSpan = s_never;
         }
--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -176,7 +176,7 @@
 
 std::vector<const TargetState *> TargetBoard::favourites(const Pool &pool, std::span<const PromptPart> prompt) const
 {
-    if (prompt.size() < 2 || !m_options.favourites) {
+    if (prompt.size() < 2 || !m_options.prefixAffinity) {
         return {};
     }
     const std::uint64_t shared = prompt[prompt.size() - 2].id;
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -134,7 +134,7 @@
 
 void TargetState::startBackoff(const TargetOptions &options, Instant now)
 {
-    if (!options.ejects) {
+    if (!options.outlierEjection) {
         return;
     }
     const Duration backoff = options.initialBackoff * (std::int64_t{1} << std::min(consecutiveBackoffs, s_maxDoublings));
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -50,8 +50,8 @@
     /// has gone silent says nothing else.
     Duration patience = std::chrono::milliseconds(400);
     /// Whether requests with the same part of a prompt prefer one target, and whether targets that fail rest.
-    bool favourites = true;
-    bool ejects = true;
+    bool prefixAffinity = true;
+    bool outlierEjection = true;
     /// Milliseconds counted against a target in another failure domain: the way there and back, and traffic that is paid for.
     double msOtherDomain = 4;
     /// Milliseconds counted against a target that says that it is cold.
