--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -191,7 +191,7 @@
         options.gateway.quarantines = on.quarantine;
         options.gateway.chooser.admissions = on.admissions;
         if (!on.silence) {
-            options.gateway.board.patience = s_never;
+            options.gateway.board.firstByteAllowance = s_never;
         }
         return options;
     }
--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -70,7 +70,7 @@
     for (auto &[incarnation, target] : m_targets) {
         const bool before = std::exchange(target.evacuated, domains.contains(target.listing.failureDomain));
         if (before && !target.evacuated) {
-            target.suspectedColdUntil = now + m_options.coldSuspicion;
+            target.presumedColdUntil = now + m_options.presumedColdPeriod;
         }
     }
     m_evacuated = std::move(domains);
@@ -108,7 +108,7 @@
 
 bool TargetBoard::storeTroubled(Instant now) const
 {
-    return !m_storeReachable || (m_storeBackAt && now - *m_storeBackAt < m_options.listGrace);
+    return !m_storeReachable || (m_storeBackAt && now - *m_storeBackAt < m_options.listGracePeriod);
 }
 
 void TargetBoard::unlisted(const std::string &name, Instant now)
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -27,7 +27,7 @@
 
 bool TargetState::mayBeCold(Instant now) const
 {
-    return now < coldUntil || now < suspectedColdUntil;
+    return now < coldUntil || now < presumedColdUntil;
 }
 
 Tokens TargetState::uncached(const TargetOptions &options, std::span<const PromptPart> prompt, bool favoured, Instant now) const
@@ -37,7 +37,7 @@
     for (std::size_t index = 0; index < prompt.size(); ++index) {
         const bool own = index + 1 == prompt.size();
         const auto found = cached.find(prompt[index].id);
-        const bool known = found != cached.end() && now - found->second < options.cacheMemory;
+        const bool known = found != cached.end() && now - found->second < options.cachedPartLifetime;
         // Other routers send requests for this part to its favourite as well, so it probably has it although this router never sent one.
         const bool likely = !own && favoured;
         prefixHeld = prefixHeld && (known || likely);
@@ -51,7 +51,7 @@
 TargetLoad TargetState::load(const TargetOptions &options, Instant now) const
 {
     TargetLoad all{.outstanding = outstanding, .unread = unread};
-    if (heardAt && now - *heardAt < options.loadMemory) {
+    if (heardAt && now - *heardAt < options.remoteLoadLifetime) {
         all.outstanding += others.outstanding;
         all.unread += others.unread;
     }
@@ -60,18 +60,18 @@
 
 double TargetState::score(const TargetOptions &options, Tokens uncached, Instant now) const
 {
-    const Duration waited = waiting.empty() ? Duration::zero() : now - *waiting.begin() - options.patience;
+    const Duration waited = waiting.empty() ? Duration::zero() : now - *waiting.begin() - options.firstByteAllowance;
     const double overdue = std::max(0.0, seconds(waited) * s_msPerSecond);
     const TargetLoad all = load(options, now);
-    const double tokens = options.rereadWeight * static_cast<double>(uncached) + static_cast<double>(all.unread);
+    const double tokens = options.uncachedTokenWeight * static_cast<double>(uncached) + static_cast<double>(all.unread);
     const double reading = tokens / options.prefillTokensPerMs;
-    const double running = options.msPerOutstanding * outstanding + options.msPerKnown * (all.outstanding - outstanding);
+    const double running = options.msPerOwnRequest * outstanding + options.msPerRemoteRequest * (all.outstanding - outstanding);
     const std::uint32_t queued = listing.slots > 0 && all.outstanding >= listing.slots ? all.outstanding - listing.slots + 1 : 0;
-    const double queueing = options.msPerQueued * queued;
+    const double queueing = options.msPerQueuedRequest * queued;
     const double distance = listing.failureDomain == options.failureDomain ? 0 : options.msOtherDomain;
     const double cold = now < coldUntil ? options.msCold : 0;
     const double limited = directives.rateLimit ? options.msLimited : 0;
-    const bool silent = relaySilentAt && now - *relaySilentAt < options.loadMemory;
+    const bool silent = relaySilentAt && now - *relaySilentAt < options.remoteLoadLifetime;
     return reading + running + queueing + distance + cold + limited + overdue + (silent ? options.msSilentRelay : 0);
 }
 
@@ -90,7 +90,7 @@
     waiting.insert(now);
     if (cached.size() > s_maxCachedParts) {
         absl::erase_if(cached, [&](const auto &entry) {
-            return now - entry.second >= options.cacheMemory;
+            return now - entry.second >= options.cachedPartLifetime;
         });
     }
     for (const PromptPart &part : prompt) {
@@ -139,7 +139,7 @@
     }
     const Duration backoff = options.initialBackoff * (std::int64_t{1} << std::min(consecutiveBackoffs, s_maxDoublings));
     backoffUntil = now + std::min(options.maxBackoff, backoff);
-    suspectedColdUntil = *backoffUntil + options.coldSuspicion;
+    presumedColdUntil = *backoffUntil + options.presumedColdPeriod;
     ++consecutiveBackoffs;
     cached.clear();
 }
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -26,29 +26,29 @@
     Duration declineBackoff = std::chrono::milliseconds(150);
     /// An entry that vanished while the store was in trouble is believed gone only this long after its return: targets that live write
     /// theirs again within about two seconds.
-    Duration listGrace = std::chrono::milliseconds(2300);
+    Duration listGracePeriod = std::chrono::milliseconds(2300);
     /// A cached part is reckoned with for this long after its last use; the engines' memory turns over more slowly than that.
-    Duration cacheMemory = std::chrono::seconds(20);
+    Duration cachedPartLifetime = std::chrono::seconds(20);
     /// Prompt tokens that an engine reads in a millisecond.
     double prefillTokensPerMs = 38.4;
     /// A token that has to be read counts this many times its own time: it also holds up whoever comes to that target next, and pushes
     /// something else out of its memory. Routers that know each other's loads leave busy favourites too easily otherwise.
-    double rereadWeight = 5;
+    double uncachedTokenWeight = 5;
     /// Milliseconds that one more running request adds to another's first token.
-    double msPerOutstanding = 4;
+    double msPerOwnRequest = 4;
     /// The same for one that another router has there: of these all are known, and each makes an engine's step only a little longer,
     /// where one of few routers' own stands for those that it does not see.
-    double msPerKnown = 1;
+    double msPerRemoteRequest = 1;
     /// And one that has to wait for a slot: a stream of some hundred tokens keeps one of 32 slots for a second.
-    double msPerQueued = 40;
+    double msPerQueuedRequest = 40;
     /// What others have at a target is believed for this long; a request is there for about as long.
-    Duration loadMemory = std::chrono::milliseconds(700);
+    Duration remoteLoadLifetime = std::chrono::milliseconds(700);
     /// A target whose relay used to answer and now does not is most likely without power, or cut off from here: counted against it for
     /// `loadMemory`.
     double msSilentRelay = 200;
     /// A request that waits longer than this for its first byte speaks against its target, by as much as it waits longer. A target that
     /// has gone silent says nothing else.
-    Duration patience = std::chrono::milliseconds(400);
+    Duration firstByteAllowance = std::chrono::milliseconds(400);
     /// Whether requests with the same part of a prompt prefer one target, and whether targets that fail rest.
     bool prefixAffinity = true;
     bool outlierEjection = true;
@@ -60,7 +60,7 @@
     double msLimited = 60;
     /// A target that broke off, or whose failure domain is taken back, may have become cold before its record says so: its next
     /// record comes within about a second, and takes some time to arrive.
-    Duration coldSuspicion = std::chrono::milliseconds(2500);
+    Duration presumedColdPeriod = std::chrono::milliseconds(2500);
 };
 
 /// What a target, or who admits requests to it, has said in answers. It holds whatever the list shows, and outlasts a gap in the list.
@@ -83,7 +83,7 @@
     /// By its last record it is cold until then.
     Instant coldUntil{};
     /// It may have become cold, and its record would say so by then.
-    Instant suspectedColdUntil{};
+    Instant presumedColdUntil{};
     std::uint32_t outstanding = 0;
     /// Prompt tokens sent and not yet read.
     Tokens unread = 0;
