--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -184,7 +184,7 @@
         m_brokeOff = false;
         m_lastHeard = now;
         m_sign = HealthSignal::Neutral;
-        m_gateway.m_board.sent(placement->incarnation, m_terms.prompt, placement->uncached, now);
+        m_gateway.m_board.sent(placement->incarnation, m_terms.prompt, placement->uncachedTokens, now);
         m_gateway.m_chooser.countSent(placement->incarnation);
         m_gateway.m_chooser.tellLoad(placement->incarnation);
         end = co_await attempt(*placement);
@@ -206,7 +206,7 @@
     m_lastHeard = steadyNow();
     if (!m_attemptBegun) {
         m_attemptBegun = true;
-        m_gateway.m_board.begun(m_placement->incarnation, m_placement->uncached, m_attemptAt);
+        m_gateway.m_board.begun(m_placement->incarnation, m_placement->uncachedTokens, m_attemptAt);
         m_gateway.m_chooser.tellLoad(m_placement->incarnation);
     }
 }
--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -226,9 +226,9 @@
 std::vector<TargetBoard::Scored> TargetBoard::ranked(const PlacementWish &wish, bool backedOff, Instant now) const
 {
     const Pool &known = pool(wish.service);
-    const std::vector<const TargetState *> favoured = favourites(known, wish.prompt);
+    const std::vector<const TargetState *> preferred = favourites(known, wish.prompt);
     std::vector<Scored> scored;
-    for (const TargetState *target : sampled(known, wish, favoured)) {
+    for (const TargetState *target : sampled(known, wish, preferred)) {
         const std::string &incarnation = target->listing.incarnation;
         const bool tried = std::ranges::find(wish.except, incarnation) != wish.except.end();
         const bool meant = wish.among.empty() || std::ranges::find(wish.among, incarnation) != wish.among.end();
@@ -237,10 +237,10 @@
         if (!target->inService() || suspended || tried || !meant || unadmitted || target->inBackoff(now) != backedOff) {
             continue;
         }
-        const bool first = !favoured.empty() && target == favoured.front();
-        const Tokens uncached = target->uncached(m_options, wish.prompt, first, now);
-        const double value = backedOff ? target->consecutiveBackoffs : target->score(m_options, uncached, now);
-        scored.push_back({.target = target, .uncached = uncached, .score = value});
+        const bool first = !preferred.empty() && target == preferred.front();
+        const Tokens uncachedTokens = target->uncachedTokens(m_options, wish.prompt, first, now);
+        const double value = backedOff ? target->consecutiveBackoffs : target->score(m_options, uncachedTokens, now);
+        scored.push_back({.target = target, .uncachedTokens = uncachedTokens, .score = value});
     }
     // Stable, so that among equals the drawn order stands.
     std::ranges::stable_sort(scored, {}, &Scored::score);
@@ -274,7 +274,7 @@
     return Placement{.incarnation = listing.incarnation,
                      .name = listing.name(),
                      .address = listing.address,
-                     .uncached = best.front().uncached,
+                     .uncachedTokens = best.front().uncachedTokens,
                      .cold = target.mayBeCold(now),
                      .rateLimit = target.directives.rateLimit};
 }
@@ -300,12 +300,12 @@
     return names;
 }
 
-void TargetBoard::heard(const std::string &incarnation, const TargetLoad &others, Instant now)
+void TargetBoard::heard(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.others = others;
-        found->second.heardAt = now;
+        found->second.remoteLoad = remoteLoad;
+        found->second.remoteLoadAt = now;
         found->second.relaySilentAt.reset();
     }
 }
@@ -318,19 +318,19 @@
     }
 }
 
-void TargetBoard::sent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncached, Instant now)
+void TargetBoard::sent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.sent(m_options, prompt, uncached, now);
+        found->second.sent(m_options, prompt, uncachedTokens, now);
     }
 }
 
-void TargetBoard::begun(const std::string &incarnation, Tokens uncached, Instant sentAt)
+void TargetBoard::begun(const std::string &incarnation, Tokens uncachedTokens, Instant sentAt)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.begun(uncached, sentAt);
+        found->second.begun(uncachedTokens, sentAt);
     }
 }
 
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -39,7 +39,7 @@
     std::string name;
     std::string address;
     /// Prompt tokens that the target probably has to read.
-    Tokens uncached = 0;
+    Tokens uncachedTokens = 0;
     /// The target is cold, or may be: it takes few requests a second from all routers together.
     bool cold = false;
     /// Requests a second that the target takes from all routers together; none where it names no limit.
@@ -102,16 +102,16 @@
     std::vector<std::string> inUse() const;
 
     /// The relay beside the target said what all other routers have there.
-    void heard(const std::string &incarnation, const TargetLoad &others, Instant now);
+    void heard(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now);
 
     /// The relay beside the target used to answer, and did not.
     void relaySilent(const std::string &incarnation, Instant now);
 
     /// A request went to the target.
-    void sent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncached, Instant now);
+    void sent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now);
 
     /// The target produced its first byte for the request that was sent at that instant: its prompt has been read.
-    void begun(const std::string &incarnation, Tokens uncached, Instant sentAt);
+    void begun(const std::string &incarnation, Tokens uncachedTokens, Instant sentAt);
 
     /// An attempt whose answer had begun is over.
     void done(const std::string &incarnation, HealthSignal signal, Instant now);
@@ -181,7 +181,7 @@
 
     struct Scored {
         const TargetState *target = nullptr;
-        Tokens uncached = 0;
+        Tokens uncachedTokens = 0;
         double score = 0;
     };
 
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -30,43 +30,43 @@
     return now < coldUntil || now < presumedColdUntil;
 }
 
-Tokens TargetState::uncached(const TargetOptions &options, std::span<const PromptPart> prompt, bool favoured, Instant now) const
+Tokens TargetState::uncachedTokens(const TargetOptions &options, std::span<const PromptPart> prompt, bool preferred, Instant now) const
 {
     Tokens missing = 0;
-    bool prefixHeld = true;
+    bool prefixCached = true;
     for (std::size_t index = 0; index < prompt.size(); ++index) {
-        const bool own = index + 1 == prompt.size();
-        const auto found = cached.find(prompt[index].id);
-        const bool known = found != cached.end() && now - found->second < options.cachedPartLifetime;
+        const bool lastPart = index + 1 == prompt.size();
+        const auto found = cachedParts.find(prompt[index].id);
+        const bool cachedHere = found != cachedParts.end() && now - found->second < options.cachedPartLifetime;
         // Other routers send requests for this part to its favourite as well, so it probably has it although this router never sent one.
-        const bool likely = !own && favoured;
-        prefixHeld = prefixHeld && (known || likely);
-        if (!prefixHeld) {
+        const bool cachedByOthers = !lastPart && preferred;
+        prefixCached = prefixCached && (cachedHere || cachedByOthers);
+        if (!prefixCached) {
             missing += prompt[index].tokens;
         }
     }
     return missing;
 }
 
-TargetLoad TargetState::load(const TargetOptions &options, Instant now) const
+TargetLoad TargetState::totalLoad(const TargetOptions &options, Instant now) const
 {
-    TargetLoad all{.outstanding = outstanding, .unread = unread};
-    if (heardAt && now - *heardAt < options.remoteLoadLifetime) {
-        all.outstanding += others.outstanding;
-        all.unread += others.unread;
+    TargetLoad total{.outstanding = outstanding, .unread = unread};
+    if (remoteLoadAt && now - *remoteLoadAt < options.remoteLoadLifetime) {
+        total.outstanding += remoteLoad.outstanding;
+        total.unread += remoteLoad.unread;
     }
-    return all;
+    return total;
 }
 
-double TargetState::score(const TargetOptions &options, Tokens uncached, Instant now) const
+double TargetState::score(const TargetOptions &options, Tokens uncachedTokens, Instant now) const
 {
-    const Duration waited = waiting.empty() ? Duration::zero() : now - *waiting.begin() - options.firstByteAllowance;
+    const Duration waited = awaitingFirstByte.empty() ? Duration::zero() : now - *awaitingFirstByte.begin() - options.firstByteAllowance;
     const double overdue = std::max(0.0, seconds(waited) * s_msPerSecond);
-    const TargetLoad all = load(options, now);
-    const double tokens = options.uncachedTokenWeight * static_cast<double>(uncached) + static_cast<double>(all.unread);
+    const TargetLoad total = totalLoad(options, now);
+    const double tokens = options.uncachedTokenWeight * static_cast<double>(uncachedTokens) + static_cast<double>(total.unread);
     const double reading = tokens / options.prefillTokensPerMs;
-    const double running = options.msPerOwnRequest * outstanding + options.msPerRemoteRequest * (all.outstanding - outstanding);
-    const std::uint32_t queued = listing.slots > 0 && all.outstanding >= listing.slots ? all.outstanding - listing.slots + 1 : 0;
+    const double running = options.msPerOwnRequest * outstanding + options.msPerRemoteRequest * (total.outstanding - outstanding);
+    const std::uint32_t queued = listing.slots > 0 && total.outstanding >= listing.slots ? total.outstanding - listing.slots + 1 : 0;
     const double queueing = options.msPerQueuedRequest * queued;
     const double distance = listing.failureDomain == options.failureDomain ? 0 : options.msOtherDomain;
     const double cold = now < coldUntil ? options.msCold : 0;
@@ -83,27 +83,27 @@
     return backingOff || probing;
 }
 
-void TargetState::sent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncached, Instant now)
+void TargetState::sent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now)
 {
     ++outstanding;
-    unread += uncached;
-    waiting.insert(now);
-    if (cached.size() > s_maxCachedParts) {
-        absl::erase_if(cached, [&](const auto &entry) {
+    unread += uncachedTokens;
+    awaitingFirstByte.insert(now);
+    if (cachedParts.size() > s_maxCachedParts) {
+        absl::erase_if(cachedParts, [&](const auto &entry) {
             return now - entry.second >= options.cachedPartLifetime;
         });
     }
     for (const PromptPart &part : prompt) {
-        cached[part.id] = now;
+        cachedParts[part.id] = now;
     }
 }
 
-void TargetState::begun(Tokens uncached, Instant sentAt)
+void TargetState::begun(Tokens uncachedTokens, Instant sentAt)
 {
-    unread -= uncached;
-    const auto since = waiting.find(sentAt);
-    if (since != waiting.end()) {
-        waiting.erase(since);
+    unread -= uncachedTokens;
+    const auto since = awaitingFirstByte.find(sentAt);
+    if (since != awaitingFirstByte.end()) {
+        awaitingFirstByte.erase(since);
     }
 }
 
@@ -141,7 +141,7 @@
     backoffUntil = now + std::min(options.maxBackoff, backoff);
     presumedColdUntil = *backoffUntil + options.presumedColdPeriod;
     ++consecutiveBackoffs;
-    cached.clear();
+    cachedParts.clear();
 }
 
 }
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -88,17 +88,17 @@
     /// Prompt tokens sent and not yet read.
     Tokens unread = 0;
     /// When the requests were sent that have no first byte yet.
-    std::multiset<Instant> waiting;
+    std::multiset<Instant> awaitingFirstByte;
     std::uint32_t consecutiveBackoffs = 0;
     /// Failing answers without a sound one between.
     std::uint32_t consecutiveErrors = 0;
     std::optional<Instant> backoffUntil;
     /// Set while the list does not show it, but may have lost it by mistake.
     std::optional<Instant> doubtedSince;
-    absl::flat_hash_map<std::uint64_t, Instant> cached;
+    absl::flat_hash_map<std::uint64_t, Instant> cachedParts;
     /// What other routers have there, and since when that is known.
-    TargetLoad others;
-    std::optional<Instant> heardAt;
+    TargetLoad remoteLoad;
+    std::optional<Instant> remoteLoadAt;
     std::optional<Instant> relaySilentAt;
     TargetDirectives directives;
 
@@ -119,22 +119,22 @@
     bool mayBeCold(Instant now) const;
 
     /// Prompt tokens that it probably has to read. A favourite has got the shared parts from other routers, most likely.
-    Tokens uncached(const TargetOptions &options, std::span<const PromptPart> prompt, bool favoured, Instant now) const;
+    Tokens uncachedTokens(const TargetOptions &options, std::span<const PromptPart> prompt, bool preferred, Instant now) const;
 
     /// What all routers together have there, as far as that is known.
-    TargetLoad load(const TargetOptions &options, Instant now) const;
+    TargetLoad totalLoad(const TargetOptions &options, Instant now) const;
 
     /// Milliseconds until a request with so many tokens to read would have its first byte from it, about; the lower, the better.
-    double score(const TargetOptions &options, Tokens uncached, Instant now) const;
+    double score(const TargetOptions &options, Tokens uncachedTokens, Instant now) const;
 
     /// True while it is left out because it failed or declined.
     bool inBackoff(Instant now) const;
 
     /// A request went to it.
-    void sent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncached, Instant now);
+    void sent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now);
 
     /// It produced its first byte for the request that was sent at that instant.
-    void begun(Tokens uncached, Instant sentAt);
+    void begun(Tokens uncachedTokens, Instant sentAt);
 
     /// An attempt whose answer had begun is over.
     void done(const TargetOptions &options, HealthSignal signal, Instant now);
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -123,16 +123,19 @@
         }
         wish.among = candidates;
         const Placement placement = *board.choose(wish, m_now);
-        board.sent(placement.incarnation, prompt, placement.uncached, m_now);
+        board.sent(placement.incarnation, prompt, placement.uncachedTokens, m_now);
         report(router, placement.incarnation);
         const std::size_t target = m_targets[placement.incarnation];
         ++m_sent[target];
         const auto reading = std::chrono::duration_cast<Duration>(
-            std::chrono::duration<double, std::milli>(static_cast<double>(placement.uncached) / s_tokensPerMs));
+            std::chrono::duration<double, std::milli>(static_cast<double>(placement.uncachedTokens) / s_tokensPerMs));
         m_readUntil[target] = std::max(m_readUntil[target], m_now) + reading;
         m_firstByteMs.push_back(seconds(m_readUntil[target] - m_now) * 1000);
-        m_events.push(
-            {.at = m_readUntil[target], .router = router, .target = placement.incarnation, .unread = placement.uncached, .sentAt = m_now});
+        m_events.push({.at = m_readUntil[target],
+                       .router = router,
+                       .target = placement.incarnation,
+                       .unread = placement.uncachedTokens,
+                       .sentAt = m_now});
     }
 
     void finishDue()
--- a/src/tests/targetboardtest.cpp
+++ b/src/tests/targetboardtest.cpp
@@ -40,7 +40,7 @@
     {
         const auto placement = choose(prompt);
         BOOST_REQUIRE(placement.has_value());
-        board.sent(placement->incarnation, prompt, placement->uncached, now);
+        board.sent(placement->incarnation, prompt, placement->uncachedTokens, now);
         return placement->incarnation;
     }
 
@@ -84,7 +84,7 @@
     Board scene(4);
     const std::vector<PromptPart> prompt{{.id = 1, .tokens = 6000}, {.id = 2, .tokens = 100}};
     const std::string first = scene.send(prompt);
-    scene.board.begun(first, scene.choose(prompt)->uncached, scene.now);
+    scene.board.begun(first, scene.choose(prompt)->uncachedTokens, scene.now);
     const std::vector<PromptPart> next{{.id = 1, .tokens = 6000}, {.id = 3, .tokens = 100}};
     BOOST_TEST(scene.choose(next)->incarnation == first);
 }
