--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -184,7 +184,7 @@
         m_brokeOff = false;
         m_lastHeard = now;
         m_sign = HealthSignal::Neutral;
-        m_gateway.m_board.sent(placement->incarnation, m_terms.prompt, placement->uncachedTokens, now);
+        m_gateway.m_board.requestSent(placement->incarnation, m_terms.prompt, placement->uncachedTokens, now);
         m_gateway.m_chooser.countSent(placement->incarnation);
         m_gateway.m_chooser.tellLoad(placement->incarnation);
         end = co_await attempt(*placement);
@@ -206,7 +206,7 @@
     m_lastHeard = steadyNow();
     if (!m_attemptBegun) {
         m_attemptBegun = true;
-        m_gateway.m_board.begun(m_placement->incarnation, m_placement->uncachedTokens, m_attemptAt);
+        m_gateway.m_board.firstByteReceived(m_placement->incarnation, m_placement->uncachedTokens, m_attemptAt);
         m_gateway.m_chooser.tellLoad(m_placement->incarnation);
     }
 }
@@ -214,7 +214,7 @@
 void RequestRun::noteAttemptEnd(AttemptEnd end)
 {
     noteFirstByte();
-    m_gateway.m_board.done(m_placement->incarnation, m_sign, steadyNow());
+    m_gateway.m_board.attemptEnded(m_placement->incarnation, m_sign, steadyNow());
     m_gateway.m_chooser.tellLoad(m_placement->incarnation);
     if (end != AttemptEnd::NotRun) {
         ++m_ran;
--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -318,27 +318,27 @@
     }
 }
 
-void TargetBoard::sent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now)
+void TargetBoard::requestSent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.sent(m_options, prompt, uncachedTokens, now);
+        found->second.requestSent(m_options, prompt, uncachedTokens, now);
     }
 }
 
-void TargetBoard::begun(const std::string &incarnation, Tokens uncachedTokens, Instant sentAt)
+void TargetBoard::firstByteReceived(const std::string &incarnation, Tokens uncachedTokens, Instant sentAt)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.begun(uncachedTokens, sentAt);
+        found->second.firstByteReceived(uncachedTokens, sentAt);
     }
 }
 
-void TargetBoard::done(const std::string &incarnation, HealthSignal signal, Instant now)
+void TargetBoard::attemptEnded(const std::string &incarnation, HealthSignal signal, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.done(m_options, signal, now);
+        found->second.attemptEnded(m_options, signal, now);
     }
 }
 
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -108,13 +108,13 @@
     void relaySilent(const std::string &incarnation, Instant now);
 
     /// A request went to the target.
-    void sent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now);
+    void requestSent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now);
 
     /// The target produced its first byte for the request that was sent at that instant: its prompt has been read.
-    void begun(const std::string &incarnation, Tokens uncachedTokens, Instant sentAt);
+    void firstByteReceived(const std::string &incarnation, Tokens uncachedTokens, Instant sentAt);
 
     /// An attempt whose answer had begun is over.
-    void done(const std::string &incarnation, HealthSignal signal, Instant now);
+    void attemptEnded(const std::string &incarnation, HealthSignal signal, Instant now);
 
     /// The target takes this many requests a second from all routers together, as its answers say.
     void setRateLimit(const std::string &incarnation, double requestsPerSecond, Instant now);
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -83,7 +83,7 @@
     return backingOff || probing;
 }
 
-void TargetState::sent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now)
+void TargetState::requestSent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now)
 {
     ++outstanding;
     unread += uncachedTokens;
@@ -98,7 +98,7 @@
     }
 }
 
-void TargetState::begun(Tokens uncachedTokens, Instant sentAt)
+void TargetState::firstByteReceived(Tokens uncachedTokens, Instant sentAt)
 {
     unread -= uncachedTokens;
     const auto since = awaitingFirstByte.find(sentAt);
@@ -107,7 +107,7 @@
     }
 }
 
-void TargetState::done(const TargetOptions &options, HealthSignal signal, Instant now)
+void TargetState::attemptEnded(const TargetOptions &options, HealthSignal signal, Instant now)
 {
     outstanding -= std::min<std::uint32_t>(outstanding, 1);
     switch (signal) {
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -131,13 +131,13 @@
     bool inBackoff(Instant now) const;
 
     /// A request went to it.
-    void sent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now);
+    void requestSent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now);
 
     /// It produced its first byte for the request that was sent at that instant.
-    void begun(Tokens uncachedTokens, Instant sentAt);
+    void firstByteReceived(Tokens uncachedTokens, Instant sentAt);
 
     /// An attempt whose answer had begun is over.
-    void done(const TargetOptions &options, HealthSignal signal, Instant now);
+    void attemptEnded(const TargetOptions &options, HealthSignal signal, Instant now);
 
 private:
     void startBackoff(const TargetOptions &options, Instant now);
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -123,7 +123,7 @@
         }
         wish.among = candidates;
         const Placement placement = *board.choose(wish, m_now);
-        board.sent(placement.incarnation, prompt, placement.uncachedTokens, m_now);
+        board.requestSent(placement.incarnation, prompt, placement.uncachedTokens, m_now);
         report(router, placement.incarnation);
         const std::size_t target = m_targets[placement.incarnation];
         ++m_sent[target];
@@ -145,9 +145,9 @@
             m_events.pop();
             TargetBoard &board = *m_boards[event.router];
             if (event.ends) {
-                board.done(event.target, HealthSignal::Success, event.at);
+                board.attemptEnded(event.target, HealthSignal::Success, event.at);
             } else {
-                board.begun(event.target, event.unread, event.sentAt);
+                board.firstByteReceived(event.target, event.unread, event.sentAt);
                 event.ends = true;
                 event.at += std::chrono::milliseconds(400);
                 m_events.push(event);
--- a/src/tests/targetboardtest.cpp
+++ b/src/tests/targetboardtest.cpp
@@ -40,7 +40,7 @@
     {
         const auto placement = choose(prompt);
         BOOST_REQUIRE(placement.has_value());
-        board.sent(placement->incarnation, prompt, placement->uncachedTokens, now);
+        board.requestSent(placement->incarnation, prompt, placement->uncachedTokens, now);
         return placement->incarnation;
     }
 
@@ -84,7 +84,7 @@
     Board scene(4);
     const std::vector<PromptPart> prompt{{.id = 1, .tokens = 6000}, {.id = 2, .tokens = 100}};
     const std::string first = scene.send(prompt);
-    scene.board.begun(first, scene.choose(prompt)->uncachedTokens, scene.now);
+    scene.board.firstByteReceived(first, scene.choose(prompt)->uncachedTokens, scene.now);
     const std::vector<PromptPart> next{{.id = 1, .tokens = 6000}, {.id = 3, .tokens = 100}};
     BOOST_TEST(scene.choose(next)->incarnation == first);
 }
@@ -156,17 +156,17 @@
 BOOST_AUTO_TEST_CASE(brokenTargetIsTriedBySingleRequests)
 {
     Board scene(2);
-    scene.board.sent("0", {}, 0, scene.now);
-    scene.board.begun("0", 0, scene.now);
-    scene.board.done("0", HealthSignal::ConnectionFailure, scene.now);
+    scene.board.requestSent("0", {}, 0, scene.now);
+    scene.board.firstByteReceived("0", 0, scene.now);
+    scene.board.attemptEnded("0", HealthSignal::ConnectionFailure, scene.now);
     for (int count = 0; count < 5; ++count) {
         BOOST_TEST(scene.send() == "1");
     }
     scene.now += ms(500);
     BOOST_TEST(scene.send() == "0");
     BOOST_TEST(scene.send() == "1");
-    scene.board.begun("0", 0, scene.now);
-    scene.board.done("0", HealthSignal::Success, scene.now);
+    scene.board.firstByteReceived("0", 0, scene.now);
+    scene.board.attemptEnded("0", HealthSignal::Success, scene.now);
     BOOST_TEST(scene.send() == "0");
 }
 
@@ -175,8 +175,8 @@
 {
     Board scene(2);
     for (const char *incarnation : {"0", "1"}) {
-        scene.board.sent(incarnation, {}, 0, scene.now);
-        scene.board.done(incarnation, HealthSignal::ConnectionFailure, scene.now);
+        scene.board.requestSent(incarnation, {}, 0, scene.now);
+        scene.board.attemptEnded(incarnation, HealthSignal::ConnectionFailure, scene.now);
     }
     BOOST_TEST(scene.choose().has_value());
     const std::vector<std::string> tried{"0", "1"};
@@ -187,11 +187,11 @@
 BOOST_AUTO_TEST_CASE(silentTargetLosesItsShare)
 {
     Board scene(2);
-    scene.board.sent("0", {}, 0, scene.now);
+    scene.board.requestSent("0", {}, 0, scene.now);
     scene.now += ms(900);
     for (int count = 0; count < 20; ++count) {
         BOOST_TEST(scene.send() == "1");
-        scene.board.begun("1", 0, scene.now);
+        scene.board.firstByteReceived("1", 0, scene.now);
     }
 }
 
@@ -200,12 +200,12 @@
 {
     Board scene(2);
     for (int count = 0; count < 2; ++count) {
-        scene.board.sent("0", {}, 0, scene.now);
-        scene.board.done("0", HealthSignal::ErrorResponse, scene.now);
+        scene.board.requestSent("0", {}, 0, scene.now);
+        scene.board.attemptEnded("0", HealthSignal::ErrorResponse, scene.now);
     }
     BOOST_TEST(scene.choose()->incarnation == "0");
-    scene.board.sent("0", {}, 0, scene.now);
-    scene.board.done("0", HealthSignal::ErrorResponse, scene.now);
+    scene.board.requestSent("0", {}, 0, scene.now);
+    scene.board.attemptEnded("0", HealthSignal::ErrorResponse, scene.now);
     BOOST_TEST(scene.choose()->incarnation == "1");
 }
 
--- a/src/tests/targetfollowertest.cpp
+++ b/src/tests/targetfollowertest.cpp
@@ -72,20 +72,20 @@
     Scene scene;
     scene.changed("a", "1000", 1);
     const std::vector<PromptPart> prompt{{.id = 1, .tokens = 5000}, {.id = 2, .tokens = 100}};
-    scene.board.sent("a@1000", prompt, 5100, s_now);
-    scene.board.begun("a@1000", 5100, s_now);
-    scene.board.done("a@1000", HealthSignal::ConnectionFailure, s_now);
+    scene.board.requestSent("a@1000", prompt, 5100, s_now);
+    scene.board.firstByteReceived("a@1000", 5100, s_now);
+    scene.board.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
     scene.changed("b", "1000", 2);
     BOOST_TEST(scene.chosen() == "b@1000");
     scene.changed("a", "2000", 3);
-    scene.board.sent("b@1000", prompt, 5100, s_now);
+    scene.board.requestSent("b@1000", prompt, 5100, s_now);
     const auto placement = scene.board.choose({.service = "llm"}, s_now);
     BOOST_REQUIRE(placement);
     BOOST_TEST(placement->incarnation == "a@2000");
     BOOST_TEST(placement->name == "a");
     BOOST_TEST(!scene.board.lists("a@1000"));
     // The former life's attempt ends late; it says nothing of the new one.
-    scene.board.done("a@1000", HealthSignal::ConnectionFailure, s_now);
+    scene.board.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
     scene.board.leaves("a@1000");
     BOOST_TEST(scene.chosen() == "a@2000");
 }
@@ -158,9 +158,9 @@
             const int kind = *rc::gen::inRange(0, 6);
             const std::string life = absl::StrCat("a@", *rc::gen::inRange(1, 4));
             if (kind == 0) {
-                scene.board.done(life, HealthSignal::Success, s_now);
+                scene.board.attemptEnded(life, HealthSignal::Success, s_now);
             } else if (kind == 1) {
-                scene.board.sent(life, {}, 0, s_now);
+                scene.board.requestSent(life, {}, 0, s_now);
             } else {
                 const std::uint64_t version = newest + static_cast<std::uint64_t>(*rc::gen::inRange(0, 3));
                 const bool spoilt = kind == 2;
