--- a/src/gateway/evacuationfollower.cpp
+++ b/src/gateway/evacuationfollower.cpp
@@ -67,7 +67,7 @@
             "evacuations.in_force",
             {{"domains", absl::StrJoin(state.domains, ",")}, {"version", static_cast<std::int64_t>(state.version)}, {"source", source}});
     m_metrics.gauge("domains_evacuated", {.name = "host", .value = m_options.host}, static_cast<std::int64_t>(state.domains.size()));
-    m_board.setEvacuated(state.domains, now);
+    m_board.setEvacuatedDomains(state.domains, now);
 }
 
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -96,7 +96,7 @@
         run->leaveFormerLife(now);
     }
     std::erase_if(m_clients, [this](const auto &entry) {
-        return !m_board.lists(entry.first);
+        return !m_board.isKnown(entry.first);
     });
 }
 
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -390,7 +390,7 @@
                     },
                 .onReachable =
                     [this](bool reachable) {
-                        m_gateway.board().storeReachable(reachable, steadyNow());
+                        m_gateway.board().setStoreReachable(reachable, steadyNow());
                     }};
     }
 
@@ -398,7 +398,7 @@
     {
         for (unsigned round = 0;; ++round) {
             co_await pause(s_expiryPause);
-            m_gateway.board().expire(steadyNow());
+            m_gateway.board().removeExpired(steadyNow());
             m_gateway.prune();
             if (round % s_roundsPerRenewal == 0) {
                 m_gateway.chooser().renewLoads();
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -196,7 +196,7 @@
 void RequestRun::leaveFormerLife(Instant now)
 {
     const bool waits = m_call != nullptr && m_route->repeatable() && now - m_lastHeard >= s_formerLifeSilence;
-    if (waits && m_gateway.m_board.reborn(m_placement->name, m_placement->incarnation)) {
+    if (waits && m_gateway.m_board.hasRestarted(m_placement->name, m_placement->incarnation)) {
         m_call->cancel();
     }
 }
--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -26,15 +26,15 @@
 {
 }
 
-void TargetBoard::setAll(std::vector<TargetListing> listings, Instant now, std::span<const std::string> unusableNames)
+void TargetBoard::replaceAll(std::vector<TargetListing> listings, Instant now, std::span<const std::string> unusableNames)
 {
     std::set<std::string> present(unusableNames.begin(), unusableNames.end());
     for (TargetListing &listing : listings) {
         present.insert(listing.name());
-        listed(std::move(listing), now);
+        updateListing(std::move(listing), now);
     }
     for (const std::string &name : unusableNames) {
-        unusable(name);
+        markUnusable(name);
     }
     std::vector<std::string> missing;
     for (const auto &[name, incarnation] : m_incarnations) {
@@ -43,7 +43,7 @@
         }
     }
     for (const std::string &name : missing) {
-        unlisted(name, now);
+        removeListing(name, now);
     }
 }
 
@@ -65,7 +65,7 @@
     m_poolsValid = false;
 }
 
-void TargetBoard::setEvacuated(std::set<std::string> domains, Instant now)
+void TargetBoard::setEvacuatedDomains(std::set<std::string> domains, Instant now)
 {
     for (auto &[incarnation, target] : m_targets) {
         const bool before = std::exchange(target.evacuated, domains.contains(target.listing.failureDomain));
@@ -76,7 +76,7 @@
     m_evacuated = std::move(domains);
 }
 
-void TargetBoard::listed(TargetListing listing, Instant now)
+void TargetBoard::updateListing(TargetListing listing, Instant now)
 {
     const auto before = named(listing.name());
     if (before != m_targets.end() && before->second.listing.incarnation != listing.incarnation) {
@@ -95,10 +95,10 @@
     target.evacuated = m_evacuated.contains(target.listing.failureDomain);
     target.coldUntil = now + target.listing.warmup;
     target.usable = true;
-    target.doubtedSince.reset();
+    target.missingSince.reset();
 }
 
-void TargetBoard::unusable(const std::string &name)
+void TargetBoard::markUnusable(const std::string &name)
 {
     const auto found = named(name);
     if (found != m_targets.end()) {
@@ -111,22 +111,22 @@
     return !m_storeReachable || (m_storeBackAt && now - *m_storeBackAt < m_options.listGracePeriod);
 }
 
-void TargetBoard::unlisted(const std::string &name, Instant now)
+void TargetBoard::removeListing(const std::string &name, Instant now)
 {
     const auto found = named(name);
     if (found == m_targets.end()) {
         return;
     }
     if (storeTroubled(now) && !found->second.leaving()) {
-        if (!found->second.doubtedSince) {
-            found->second.doubtedSince = now;
+        if (!found->second.missingSince) {
+            found->second.missingSince = now;
         }
         return;
     }
     forget(found);
 }
 
-void TargetBoard::storeReachable(bool reachable, Instant now)
+void TargetBoard::setStoreReachable(bool reachable, Instant now)
 {
     if (reachable && !m_storeReachable) {
         m_storeBackAt = now;
@@ -134,14 +134,14 @@
     m_storeReachable = reachable;
 }
 
-void TargetBoard::expire(Instant now)
+void TargetBoard::removeExpired(Instant now)
 {
     if (storeTroubled(now)) {
         return;
     }
     for (auto target = m_targets.begin(); target != m_targets.end();) {
         const auto next = std::next(target);
-        if (target->second.doubtedSince) {
+        if (target->second.missingSince) {
             forget(target);
         }
         target = next;
@@ -289,7 +289,7 @@
     return OwnLoad{.relay = target.listing.relay, .load = {.outstanding = target.outstanding, .unread = target.unread}};
 }
 
-std::vector<std::string> TargetBoard::inUse() const
+std::vector<std::string> TargetBoard::targetsInUse() const
 {
     std::vector<std::string> names;
     for (const auto &[incarnation, target] : m_targets) {
@@ -386,7 +386,7 @@
     return first && *first > now ? first : std::nullopt;
 }
 
-void TargetBoard::leaves(const std::string &incarnation)
+void TargetBoard::markLeaving(const std::string &incarnation)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -62,27 +62,27 @@
     explicit TargetBoard(Options options);
 
     /// Takes over the whole list. `unusable` names the entries that are there and name no target to use.
-    void setAll(std::vector<TargetListing> listings, Instant now, std::span<const std::string> unusable = {});
+    void replaceAll(std::vector<TargetListing> listings, Instant now, std::span<const std::string> unusableNames = {});
 
     /// The targets of these failure domains, and of no others, take nothing new. Requests under way there go on.
-    void setEvacuated(std::set<std::string> domains, Instant now);
+    void setEvacuatedDomains(std::set<std::string> domains, Instant now);
 
     /// An entry was added or changed. A new life under a name that is known takes the old one's place and inherits nothing: what the old
     /// one had cached, was ejected for, had in progress or said of leaving is not the new one's.
-    void listed(TargetListing listing, Instant now);
+    void updateListing(TargetListing listing, Instant now);
 
     /// The entry of that name vanished.
-    void unlisted(const std::string &name, Instant now);
+    void removeListing(const std::string &name, Instant now);
 
     /// The entry of that name has become one that cannot be used. The target gets no new work until a record can be used again; what it
     /// works on goes on, since the record says nothing of that.
-    void unusable(const std::string &name);
+    void markUnusable(const std::string &name);
 
     /// Whether the store answers. While it does not, and for the grace time afterwards, vanished entries are doubted.
-    void storeReachable(bool reachable, Instant now);
+    void setStoreReachable(bool reachable, Instant now);
 
     /// Removes entries whose grace time has passed. Call now and then.
-    void expire(Instant now);
+    void removeExpired(Instant now);
 
     /// The targets that come into question for a request, best first as far as this router knows, at most this many. None where one of
     /// them is as good as chosen.
@@ -99,7 +99,7 @@
     std::optional<OwnLoad> ownLoad(const std::string &incarnation) const;
 
     /// Targets at which this router has anything under way.
-    std::vector<std::string> inUse() const;
+    std::vector<std::string> targetsInUse() const;
 
     /// The relay beside the target said what all other routers have there.
     void heard(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now);
@@ -133,7 +133,7 @@
     std::optional<Instant> nextResumption(std::string_view service, Instant now) const;
 
     /// The target has said that it leaves, or another process answers at its address. Final for this life of it, whatever the list shows.
-    void leaves(const std::string &incarnation);
+    void markLeaving(const std::string &incarnation);
 
     /// True while no target is known at all.
     bool empty() const
@@ -142,7 +142,7 @@
     }
 
     /// True while the target is known, leaving and doubted ones included.
-    bool lists(const std::string &incarnation) const
+    bool isKnown(const std::string &incarnation) const
     {
         return m_targets.contains(incarnation);
     }
@@ -159,7 +159,7 @@
     }
 
     /// True when the target of that name has started again since this life of it.
-    bool reborn(const std::string &name, const std::string &incarnation) const
+    bool hasRestarted(const std::string &name, const std::string &incarnation) const
     {
         const auto newest = m_incarnations.find(name);
         return newest != m_incarnations.end() && newest->second != incarnation;
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -76,7 +76,7 @@
         logLine(Severity::Info, "target.says_leaving", {{"target", incarnation}});
     }
     if (answer.leaving || answer.otherProcess) {
-        m_board.leaves(incarnation);
+        m_board.markLeaving(incarnation);
     }
     if (answer.rest) {
         logLine(Severity::Info,
@@ -132,7 +132,7 @@
 
 void TargetChooser::renewLoads()
 {
-    for (const std::string &incarnation : m_board.inUse()) {
+    for (const std::string &incarnation : m_board.targetsInUse()) {
         tellLoad(incarnation);
     }
 }
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -94,7 +94,7 @@
     std::uint32_t consecutiveErrors = 0;
     std::optional<Instant> backoffUntil;
     /// Set while the list does not show it, but may have lost it by mistake.
-    std::optional<Instant> doubtedSince;
+    std::optional<Instant> missingSince;
     absl::flat_hash_map<std::uint64_t, Instant> cachedParts;
     /// What other routers have there, and since when that is known.
     TargetLoad remoteLoad;
--- a/src/measure/capacity.cpp
+++ b/src/measure/capacity.cpp
@@ -206,7 +206,7 @@
                                 .relay = numbered("10.0.0.2:", index),
                                 .slots = 32});
         }
-        board->setAll(std::move(listings), s_now);
+        board->replaceAll(std::move(listings), s_now);
         const double taken = heapBytes() - before;
         std::uint64_t draw = 0;
         const double all = microseconds([&] {
--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -88,8 +88,8 @@
     {
         for (std::size_t number = 0; number < s_routers; ++number) {
             m_routers.push_back(std::make_unique<RouterUnderTest>(m_pool, number));
-            m_routers.back()->gateway.board().setAll({{.incarnation = "target", .service = "service", .address = m_target.address()}},
-                                                     Instant{});
+            m_routers.back()->gateway.board().replaceAll({{.incarnation = "target", .service = "service", .address = m_target.address()}},
+                                                         Instant{});
         }
     }
 
--- a/src/tests/evacuationfollowertest.cpp
+++ b/src/tests/evacuationfollowertest.cpp
@@ -47,7 +47,7 @@
                         },
                     .host = "me"})
     {
-        board.setAll({target("one", "here"), target("other", "there")}, s_now);
+        board.replaceAll({target("one", "here"), target("other", "there")}, s_now);
     }
 
     void all(std::vector<StoredRow> rows, std::uint64_t version)
@@ -84,8 +84,8 @@
     scene.changed(order("empty here", 7), 7);
     BOOST_TEST(scene.choose()->incarnation == "other");
     BOOST_TEST((scene.board.outOfServiceReason("one") == OutOfServiceReason::Evacuated));
-    scene.board.listed(target("later", "here"), s_now);
-    scene.board.listed(target("one", "here"), s_now);
+    scene.board.updateListing(target("later", "here"), s_now);
+    scene.board.updateListing(target("one", "here"), s_now);
     BOOST_TEST(scene.choose()->incarnation == "other");
     BOOST_TEST(scene.announced.size() == 1U);
 }
@@ -94,9 +94,9 @@
 BOOST_AUTO_TEST_CASE(orderMayComeBeforeItsTargets)
 {
     Scene scene;
-    scene.board.setAll({}, s_now);
+    scene.board.replaceAll({}, s_now);
     scene.all({order("empty here", 3), order("config", 4)}, 4);
-    scene.board.setAll({target("one", "here")}, s_now);
+    scene.board.replaceAll({target("one", "here")}, s_now);
     BOOST_TEST(!scene.choose().has_value());
 }
 
--- a/src/tests/gatewayscene.cpp
+++ b/src/tests/gatewayscene.cpp
@@ -101,7 +101,7 @@
                             .address = m_targets.back()->address(),
                             .failureDomain = "here"});
     }
-    m_gateway.board().setAll(std::move(listings), Instant{});
+    m_gateway.board().replaceAll(std::move(listings), Instant{});
     if (withPlan) {
         m_gateway.setPlan(testPlan());
     }
@@ -133,13 +133,13 @@
 
 void GatewayScene::listFirstTargetAgain()
 {
-    m_gateway.board().listed(
+    m_gateway.board().updateListing(
         {.incarnation = "target-1", .service = "service", .address = m_targets.front()->address(), .failureDomain = "here"}, steadyNow());
 }
 
 void GatewayScene::removeSecondTarget()
 {
-    m_gateway.board().unlisted("target-2", Instant{});
+    m_gateway.board().removeListing("target-2", Instant{});
 }
 
 void GatewayScene::rebirthFirstTarget()
@@ -151,12 +151,12 @@
             while (m_targets.front()->requests().empty()) {
                 co_await pause(std::chrono::milliseconds(5));
             }
-            m_gateway.board().listed({.incarnation = "target-1@2",
-                                      .service = "service",
-                                      .address = m_targets.back()->address(),
-                                      .failureDomain = "here",
-                                      .identity = "target-1"},
-                                     steadyNow());
+            m_gateway.board().updateListing({.incarnation = "target-1@2",
+                                             .service = "service",
+                                             .address = m_targets.back()->address(),
+                                             .failureDomain = "here",
+                                             .identity = "target-1"},
+                                            steadyNow());
             while (true) {
                 co_await pause(std::chrono::milliseconds(20));
                 m_gateway.prune();
@@ -168,8 +168,8 @@
 void GatewayScene::replaceFirstTarget()
 {
     const TargetListing next{.incarnation = "next", .service = "service", .address = m_targets.front()->address(), .failureDomain = "here"};
-    m_gateway.board().unlisted("target-1", Instant{});
-    m_gateway.board().listed(next, Instant{});
+    m_gateway.board().removeListing("target-1", Instant{});
+    m_gateway.board().updateListing(next, Instant{});
 }
 
 const ScriptedPeer &GatewayScene::target(std::size_t index) const
--- a/src/tests/poisonrequesttest.cpp
+++ b/src/tests/poisonrequesttest.cpp
@@ -117,7 +117,7 @@
         }
         for (std::size_t number = 0; number < s_routers; ++number) {
             m_routers.push_back(std::make_unique<RouterUnderTest>(m_pool, number, m_rows));
-            m_routers.back()->gateway.board().setAll(listings(), Instant{});
+            m_routers.back()->gateway.board().replaceAll(listings(), Instant{});
         }
         linkRouters(s_routers);
     }
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -54,7 +54,7 @@
         }
         for (std::size_t router = 0; router < s_routers; ++router) {
             m_boards.push_back(std::make_unique<TargetBoard>(TargetBoard::Options{.failureDomain = domainName(router)}));
-            m_boards.back()->setAll(listings, m_now);
+            m_boards.back()->replaceAll(listings, m_now);
         }
     }
 
--- a/src/tests/targetboardtest.cpp
+++ b/src/tests/targetboardtest.cpp
@@ -27,7 +27,7 @@
         for (int index = 0; index < targets; ++index) {
             listings.push_back(listing(std::to_string(index)));
         }
-        board.setAll(std::move(listings), now);
+        board.replaceAll(std::move(listings), now);
     }
 
     std::optional<Placement> choose(std::span<const PromptPart> prompt = {}, std::span<const std::string> except = {}) const
@@ -67,15 +67,15 @@
 {
     Board scene(1);
     const TargetListing listing{.incarnation = scene.choose()->incarnation, .service = "llm", .address = "10.0.0.1:80"};
-    scene.board.leaves(listing.incarnation);
+    scene.board.markLeaving(listing.incarnation);
     BOOST_TEST(!scene.choose());
-    scene.board.unlisted(listing.incarnation, scene.now);
-    BOOST_TEST(!scene.board.lists(listing.incarnation));
-    scene.board.listed(listing, scene.now);
+    scene.board.removeListing(listing.incarnation, scene.now);
+    BOOST_TEST(!scene.board.isKnown(listing.incarnation));
+    scene.board.updateListing(listing, scene.now);
     BOOST_TEST(!scene.choose());
     TargetListing nextLife = listing;
     nextLife.incarnation = "next life";
-    scene.board.listed(nextLife, scene.now);
+    scene.board.updateListing(nextLife, scene.now);
     BOOST_TEST(scene.choose().has_value());
 }
 
@@ -118,9 +118,9 @@
     Board scene(1);
     TargetListing leaving = listing("0");
     leaving.leaving = true;
-    scene.board.listed(leaving, scene.now);
+    scene.board.updateListing(leaving, scene.now);
     BOOST_TEST(!scene.choose().has_value());
-    scene.board.listed(listing("0"), scene.now);
+    scene.board.updateListing(listing("0"), scene.now);
     BOOST_TEST(!scene.choose().has_value());
 }
 
@@ -129,16 +129,16 @@
 BOOST_AUTO_TEST_CASE(lapsedEntriesAreDoubtedForAWhile)
 {
     Board scene(2);
-    scene.board.storeReachable(false, scene.now);
+    scene.board.setStoreReachable(false, scene.now);
     scene.now += ms(4000);
-    scene.board.storeReachable(true, scene.now);
-    scene.board.setAll({}, scene.now);
+    scene.board.setStoreReachable(true, scene.now);
+    scene.board.replaceAll({}, scene.now);
     scene.now += ms(1500);
-    scene.board.expire(scene.now);
+    scene.board.removeExpired(scene.now);
     BOOST_TEST(scene.choose().has_value());
-    scene.board.listed(listing("1"), scene.now);
+    scene.board.updateListing(listing("1"), scene.now);
     scene.now += ms(1500);
-    scene.board.expire(scene.now);
+    scene.board.removeExpired(scene.now);
     BOOST_REQUIRE(scene.choose().has_value());
     BOOST_TEST(scene.choose()->incarnation == "1");
 }
@@ -147,7 +147,7 @@
 BOOST_AUTO_TEST_CASE(vanishedEntryIsGoneAtOnce)
 {
     Board scene(1);
-    scene.board.unlisted("0", scene.now);
+    scene.board.removeListing("0", scene.now);
     BOOST_TEST(!scene.choose().has_value());
 }
 
--- a/src/tests/targetfollowertest.cpp
+++ b/src/tests/targetfollowertest.cpp
@@ -83,10 +83,10 @@
     BOOST_REQUIRE(placement);
     BOOST_TEST(placement->incarnation == "a@2000");
     BOOST_TEST(placement->name == "a");
-    BOOST_TEST(!scene.board.lists("a@1000"));
+    BOOST_TEST(!scene.board.isKnown("a@1000"));
     // The former life's attempt ends late; it says nothing of the new one.
     scene.board.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
-    scene.board.leaves("a@1000");
+    scene.board.markLeaving("a@1000");
     BOOST_TEST(scene.chosen() == "a@2000");
 }
 
@@ -136,7 +136,7 @@
 {
     Scene scene;
     scene.changed("a", "1000", 1);
-    scene.board.storeReachable(false, s_now);
+    scene.board.setStoreReachable(false, s_now);
     scene.follower.all(std::vector{record("a", "?", 2)}, s_now);
     BOOST_TEST(scene.chosen().empty());
 }
