--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -300,21 +300,21 @@
     return names;
 }
 
-void TargetBoard::heard(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now)
+void TargetBoard::setRemoteLoad(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
         found->second.remoteLoad = remoteLoad;
         found->second.remoteLoadAt = now;
-        found->second.relaySilentAt.reset();
+        found->second.relayTimedOutAt.reset();
     }
 }
 
-void TargetBoard::relaySilent(const std::string &incarnation, Instant now)
+void TargetBoard::relayTimedOut(const std::string &incarnation, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
-        found->second.relaySilentAt = now;
+        found->second.relayTimedOutAt = now;
     }
 }
 
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -102,10 +102,10 @@
     std::vector<std::string> targetsInUse() const;
 
     /// The relay beside the target said what all other routers have there.
-    void heard(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now);
+    void setRemoteLoad(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now);
 
     /// The relay beside the target used to answer, and did not.
-    void relaySilent(const std::string &incarnation, Instant now);
+    void relayTimedOut(const std::string &incarnation, Instant now);
 
     /// A request went to the target.
     void requestSent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now);
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -34,13 +34,13 @@
     m_loads = &loads;
     m_loads->onAnswers(
         [this](const std::string &incarnation, const TargetNews &news) {
-            m_board.heard(incarnation, news.others, steadyNow());
+            m_board.setRemoteLoad(incarnation, news.others, steadyNow());
             if (news.limit) {
                 heardLimit(incarnation, *news.limit, news.askedAt);
             }
         },
         [this](const std::string &incarnation) {
-            m_board.relaySilent(incarnation, steadyNow());
+            m_board.relayTimedOut(incarnation, steadyNow());
         });
 }
 
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -71,8 +71,8 @@
     const double distance = listing.failureDomain == options.failureDomain ? 0 : options.msOtherDomain;
     const double cold = now < coldUntil ? options.msCold : 0;
     const double limited = directives.rateLimit ? options.msLimited : 0;
-    const bool silent = relaySilentAt && now - *relaySilentAt < options.remoteLoadLifetime;
-    return reading + running + queueing + distance + cold + limited + overdue + (silent ? options.msSilentRelay : 0);
+    const bool timedOut = relayTimedOutAt && now - *relayTimedOutAt < options.remoteLoadLifetime;
+    return reading + running + queueing + distance + cold + limited + overdue + (timedOut ? options.msTimedOutRelay : 0);
 }
 
 bool TargetState::inBackoff(Instant now) const
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -45,7 +45,7 @@
     Duration remoteLoadLifetime = std::chrono::milliseconds(700);
     /// A target whose relay used to answer and now does not is most likely without power, or cut off from here: counted against it for
     /// `loadMemory`.
-    double msSilentRelay = 200;
+    double msTimedOutRelay = 200;
     /// A request that waits longer than this for its first byte speaks against its target, by as much as it waits longer. A target that
     /// has gone silent says nothing else.
     Duration firstByteAllowance = std::chrono::milliseconds(400);
@@ -99,7 +99,7 @@
     /// What other routers have there, and since when that is known.
     TargetLoad remoteLoad;
     std::optional<Instant> remoteLoadAt;
-    std::optional<Instant> relaySilentAt;
+    std::optional<Instant> relayTimedOutAt;
     TargetDirectives directives;
 
     /// True when this life of it has said that it leaves, in its record or in an answer.
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -118,7 +118,7 @@
         const std::vector<std::string> candidates = board.candidates(wish, s_asked, m_now);
         if (m_shared) {
             for (const std::string &candidate : candidates) {
-                board.heard(candidate, report(router, candidate), m_now);
+                board.setRemoteLoad(candidate, report(router, candidate), m_now);
             }
         }
         wish.among = candidates;
