--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -17,7 +17,7 @@
 /// failure domain. Keeps the choice at a few microseconds whatever the number of targets.
 constexpr std::size_t s_sampleSize = 32;
 /// Targets that requests with an equal part of a prompt prefer: one, and another for when that one is busy.
-constexpr std::size_t s_favourites = 2;
+constexpr std::size_t s_preferredTargets = 2;
 
 }
 
@@ -37,7 +37,7 @@
         markUnusable(name);
     }
     std::vector<std::string> missing;
-    for (const auto &[name, incarnation] : m_incarnations) {
+    for (const auto &[name, incarnation] : m_currentIncarnation) {
         if (!present.contains(name)) {
             missing.push_back(name);
         }
@@ -47,20 +47,20 @@
     }
 }
 
-std::map<std::string, TargetState>::iterator TargetBoard::named(const std::string &name)
+std::map<std::string, TargetState>::iterator TargetBoard::findByName(const std::string &name)
 {
-    const auto incarnation = m_incarnations.find(name);
-    return incarnation == m_incarnations.end() ? m_targets.end() : m_targets.find(incarnation->second);
+    const auto incarnation = m_currentIncarnation.find(name);
+    return incarnation == m_currentIncarnation.end() ? m_targets.end() : m_targets.find(incarnation->second);
 }
 
-void TargetBoard::forget(std::map<std::string, TargetState>::iterator target)
+void TargetBoard::eraseTarget(std::map<std::string, TargetState>::iterator target)
 {
     const TargetListing &listing = target->second.listing;
     if (m_retainedDirectives.size() >= s_maxRetainedDirectives) {
         m_retainedDirectives.clear();
     }
     m_retainedDirectives[listing.incarnation] = target->second.directives;
-    m_incarnations.erase(listing.name());
+    m_currentIncarnation.erase(listing.name());
     m_targets.erase(target);
     m_poolsValid = false;
 }
@@ -78,11 +78,11 @@
 
 void TargetBoard::updateListing(TargetListing listing, Instant now)
 {
-    const auto before = named(listing.name());
+    const auto before = findByName(listing.name());
     if (before != m_targets.end() && before->second.listing.incarnation != listing.incarnation) {
-        forget(before);
+        eraseTarget(before);
     }
-    m_incarnations[listing.name()] = listing.incarnation;
+    m_currentIncarnation[listing.name()] = listing.incarnation;
     m_poolsValid = false;
     const auto [entry, added] = m_targets.try_emplace(listing.incarnation);
     TargetState &target = entry->second;
@@ -100,49 +100,49 @@
 
 void TargetBoard::markUnusable(const std::string &name)
 {
-    const auto found = named(name);
+    const auto found = findByName(name);
     if (found != m_targets.end()) {
         found->second.usable = false;
     }
 }
 
-bool TargetBoard::storeTroubled(Instant now) const
+bool TargetBoard::listUnreliable(Instant now) const
 {
-    return !m_storeReachable || (m_storeBackAt && now - *m_storeBackAt < m_options.listGracePeriod);
+    return !m_storeReachable || (m_storeReachableSince && now - *m_storeReachableSince < m_options.listGracePeriod);
 }
 
 void TargetBoard::removeListing(const std::string &name, Instant now)
 {
-    const auto found = named(name);
+    const auto found = findByName(name);
     if (found == m_targets.end()) {
         return;
     }
-    if (storeTroubled(now) && !found->second.leaving()) {
+    if (listUnreliable(now) && !found->second.leaving()) {
         if (!found->second.missingSince) {
             found->second.missingSince = now;
         }
         return;
     }
-    forget(found);
+    eraseTarget(found);
 }
 
 void TargetBoard::setStoreReachable(bool reachable, Instant now)
 {
     if (reachable && !m_storeReachable) {
-        m_storeBackAt = now;
+        m_storeReachableSince = now;
     }
     m_storeReachable = reachable;
 }
 
 void TargetBoard::removeExpired(Instant now)
 {
-    if (storeTroubled(now)) {
+    if (listUnreliable(now)) {
         return;
     }
     for (auto target = m_targets.begin(); target != m_targets.end();) {
         const auto next = std::next(target);
         if (target->second.missingSince) {
-            forget(target);
+            eraseTarget(target);
         }
         target = next;
     }
@@ -164,7 +164,7 @@
                 if ((target.listing.failureDomain == m_options.failureDomain) == own) {
                     Pool &pool = m_pools[target.listing.service];
                     pool.entries.push_back({.hash = stableHash(incarnation), .target = &target});
-                    pool.own += own ? 1 : 0;
+                    pool.localCount += own ? 1 : 0;
                 }
             }
         }
@@ -174,21 +174,21 @@
     return found == m_pools.end() ? s_none : found->second;
 }
 
-std::vector<const TargetState *> TargetBoard::favourites(const Pool &pool, std::span<const PromptPart> prompt) const
+std::vector<const TargetState *> TargetBoard::preferredTargets(const Pool &pool, std::span<const PromptPart> prompt) const
 {
     if (prompt.size() < 2 || !m_options.prefixAffinity) {
         return {};
     }
     const std::uint64_t shared = prompt[prompt.size() - 2].id;
-    std::array<const TargetState *, s_favourites> best{};
-    std::array<std::uint64_t, s_favourites> weights{};
+    std::array<const TargetState *, s_preferredTargets> best{};
+    std::array<std::uint64_t, s_preferredTargets> weights{};
     for (const PoolEntry &entry : pool.entries) {
         const std::uint64_t weight = mixed(shared ^ entry.hash);
         // Few weights are among the best, so that hardly any target is looked at.
         if (weight < weights.back() || !entry.target->inService()) {
             continue;
         }
-        std::size_t place = s_favourites - 1;
+        std::size_t place = s_preferredTargets - 1;
         for (; place > 0 && weight >= weights[place - 1]; --place) {
             weights[place] = weights[place - 1];
             best[place] = best[place - 1];
@@ -200,14 +200,14 @@
 }
 
 std::vector<const TargetState *>
-TargetBoard::sampled(const Pool &pool, const PlacementWish &wish, std::span<const TargetState *const> favourites) const
+TargetBoard::sampleTargets(const Pool &pool, const PlacementWish &wish, std::span<const TargetState *const> preferredTargets) const
 {
-    std::vector<const TargetState *> targets(favourites.begin(), favourites.end());
+    std::vector<const TargetState *> targets(preferredTargets.begin(), preferredTargets.end());
     const std::size_t size = pool.entries.size();
     const auto take = [&](std::size_t count, std::size_t among, std::uint64_t draw) {
         for (std::size_t step = 0; step < std::min(count, among); ++step) {
             const TargetState *target = pool.entries[(draw + step) % among].target;
-            if (std::ranges::find(favourites, target) == favourites.end()) {
+            if (std::ranges::find(preferredTargets, target) == preferredTargets.end()) {
                 targets.push_back(target);
             }
         }
@@ -217,40 +217,40 @@
         take(size, size, draw);
         return targets;
     }
-    take(s_sampleSize / 2, pool.own, draw);
-    const std::size_t fromAll = s_sampleSize - std::min(s_sampleSize / 2, pool.own);
+    take(s_sampleSize / 2, pool.localCount, draw);
+    const std::size_t fromAll = s_sampleSize - std::min(s_sampleSize / 2, pool.localCount);
     take(fromAll, size, mixed(draw));
     return targets;
 }
 
-std::vector<TargetBoard::Scored> TargetBoard::ranked(const PlacementWish &wish, bool backedOff, Instant now) const
+std::vector<TargetBoard::RankedTarget> TargetBoard::rankTargets(const PlacementWish &wish, bool backedOff, Instant now) const
 {
     const Pool &known = pool(wish.service);
-    const std::vector<const TargetState *> preferred = favourites(known, wish.prompt);
-    std::vector<Scored> scored;
-    for (const TargetState *target : sampled(known, wish, preferred)) {
+    const std::vector<const TargetState *> preferred = preferredTargets(known, wish.prompt);
+    std::vector<RankedTarget> scored;
+    for (const TargetState *target : sampleTargets(known, wish, preferred)) {
         const std::string &incarnation = target->listing.incarnation;
         const bool tried = std::ranges::find(wish.except, incarnation) != wish.except.end();
-        const bool meant = wish.among.empty() || std::ranges::find(wish.among, incarnation) != wish.among.end();
-        const bool unadmitted = wish.withoutAdmission && (target->directives.rateLimit || target->mayBeCold(now));
+        const bool shortlisted = wish.among.empty() || std::ranges::find(wish.among, incarnation) != wish.among.end();
+        const bool needsAdmission = wish.withoutAdmission && (target->directives.rateLimit || target->mayBeCold(now));
         const bool suspended = now < target->directives.suspendedUntil;
-        if (!target->inService() || suspended || tried || !meant || unadmitted || target->inBackoff(now) != backedOff) {
+        if (!target->inService() || suspended || tried || !shortlisted || needsAdmission || target->inBackoff(now) != backedOff) {
             continue;
         }
-        const bool first = !preferred.empty() && target == preferred.front();
-        const Tokens uncachedTokens = target->uncachedTokens(m_options, wish.prompt, first, now);
+        const bool mostPreferred = !preferred.empty() && target == preferred.front();
+        const Tokens uncachedTokens = target->uncachedTokens(m_options, wish.prompt, mostPreferred, now);
         const double value = backedOff ? target->consecutiveBackoffs : target->score(m_options, uncachedTokens, now);
         scored.push_back({.target = target, .uncachedTokens = uncachedTokens, .score = value});
     }
     // Stable, so that among equals the drawn order stands.
-    std::ranges::stable_sort(scored, {}, &Scored::score);
+    std::ranges::stable_sort(scored, {}, &RankedTarget::score);
     return scored;
 }
 
 std::vector<std::string> TargetBoard::candidates(const PlacementWish &wish, std::size_t most, Instant now) const
 {
     std::vector<std::string> names;
-    for (const Scored &scored : ranked(wish, false, now)) {
+    for (const RankedTarget &scored : rankTargets(wish, false, now)) {
         if (names.size() == most) {
             break;
         }
@@ -261,10 +261,10 @@
 
 std::optional<Placement> TargetBoard::choose(const PlacementWish &wish, Instant now) const
 {
-    std::vector<Scored> best = ranked(wish, false, now);
+    std::vector<RankedTarget> best = rankTargets(wish, false, now);
     if (best.empty()) {
         // When every target has failed lately, the one that failed least is more use to the caller than a refusal.
-        best = ranked(wish, true, now);
+        best = rankTargets(wish, true, now);
     }
     if (best.empty()) {
         return std::nullopt;
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -161,8 +161,8 @@
     /// True when the target of that name has started again since this life of it.
     bool hasRestarted(const std::string &name, const std::string &incarnation) const
     {
-        const auto newest = m_incarnations.find(name);
-        return newest != m_incarnations.end() && newest->second != incarnation;
+        const auto newest = m_currentIncarnation.find(name);
+        return newest != m_currentIncarnation.end() && newest->second != incarnation;
     }
 
 private:
@@ -176,23 +176,23 @@
     /// The targets of a service, those of the own failure domain first.
     struct Pool {
         std::vector<PoolEntry> entries;
-        std::size_t own = 0;
+        std::size_t localCount = 0;
     };
 
-    struct Scored {
+    struct RankedTarget {
         const TargetState *target = nullptr;
         Tokens uncachedTokens = 0;
         double score = 0;
     };
 
-    std::map<std::string, TargetState>::iterator named(const std::string &name);
-    void forget(std::map<std::string, TargetState>::iterator target);
+    std::map<std::string, TargetState>::iterator findByName(const std::string &name);
+    void eraseTarget(std::map<std::string, TargetState>::iterator target);
     const Pool &pool(std::string_view service) const;
     std::vector<const TargetState *>
-    sampled(const Pool &pool, const PlacementWish &wish, std::span<const TargetState *const> favourites) const;
-    std::vector<Scored> ranked(const PlacementWish &wish, bool backedOff, Instant now) const;
-    std::vector<const TargetState *> favourites(const Pool &pool, std::span<const PromptPart> prompt) const;
-    bool storeTroubled(Instant now) const;
+    sampleTargets(const Pool &pool, const PlacementWish &wish, std::span<const TargetState *const> preferredTargets) const;
+    std::vector<RankedTarget> rankTargets(const PlacementWish &wish, bool backedOff, Instant now) const;
+    std::vector<const TargetState *> preferredTargets(const Pool &pool, std::span<const PromptPart> prompt) const;
+    bool listUnreliable(Instant now) const;
 
     Options m_options;
     /// By incarnation.
@@ -200,13 +200,13 @@
     /// What targets said that the list does not show any more, by incarnation.
     absl::flat_hash_map<std::string, TargetDirectives> m_retainedDirectives;
     /// The newest life under each name.
-    absl::flat_hash_map<std::string, std::string> m_incarnations;
+    absl::flat_hash_map<std::string, std::string> m_currentIncarnation;
     /// By service; made anew when the list has changed.
     mutable std::map<std::string, Pool, std::less<>> m_pools;
     mutable bool m_poolsValid = false;
     std::set<std::string> m_evacuated;
     bool m_storeReachable = true;
-    std::optional<Instant> m_storeBackAt;
+    std::optional<Instant> m_storeReachableSince;
 };
 
 }
