--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -166,8 +166,10 @@
             m_callerLeft = true;
             co_return m_ran == 0 ? AttemptEnd::NotRun : AttemptEnd::CallerLeft;
         }
-        const PlacementWish wish{
-            .service = m_serviceName, .prompt = m_terms.prompt, .except = m_tried, .draw = stableHash(m_terms.requestId) + m_tried.size()};
+        const PlacementRequest wish{.service = m_serviceName,
+                                    .prompt = m_terms.prompt,
+                                    .excluded = m_tried,
+                                    .seed = stableHash(m_terms.requestId) + m_tried.size()};
         const std::optional<Placement> placement =
             co_await m_gateway.m_chooser.place(wish, m_service != nullptr ? m_service->coldRequestsPerSecond : 0);
         if (m_callerLeft) {
--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetboard.cpp
@@ -200,45 +200,45 @@
 }
 
 std::vector<const TargetState *>
-TargetBoard::sampleTargets(const Pool &pool, const PlacementWish &wish, std::span<const TargetState *const> preferredTargets) const
+TargetBoard::sampleTargets(const Pool &pool, const PlacementRequest &request, std::span<const TargetState *const> preferredTargets) const
 {
     std::vector<const TargetState *> targets(preferredTargets.begin(), preferredTargets.end());
     const std::size_t size = pool.entries.size();
-    const auto take = [&](std::size_t count, std::size_t among, std::uint64_t draw) {
+    const auto take = [&](std::size_t count, std::size_t among, std::uint64_t seed) {
         for (std::size_t step = 0; step < std::min(count, among); ++step) {
-            const TargetState *target = pool.entries[(draw + step) % among].target;
+            const TargetState *target = pool.entries[(seed + step) % among].target;
             if (std::ranges::find(preferredTargets, target) == preferredTargets.end()) {
                 targets.push_back(target);
             }
         }
     };
-    const std::uint64_t draw = mixed(wish.draw);
+    const std::uint64_t seed = mixed(request.seed);
     if (size <= s_sampleSize) {
-        take(size, size, draw);
+        take(size, size, seed);
         return targets;
     }
-    take(s_sampleSize / 2, pool.localCount, draw);
+    take(s_sampleSize / 2, pool.localCount, seed);
     const std::size_t fromAll = s_sampleSize - std::min(s_sampleSize / 2, pool.localCount);
-    take(fromAll, size, mixed(draw));
+    take(fromAll, size, mixed(seed));
     return targets;
 }
 
-std::vector<TargetBoard::RankedTarget> TargetBoard::rankTargets(const PlacementWish &wish, bool backedOff, Instant now) const
+std::vector<TargetBoard::RankedTarget> TargetBoard::rankTargets(const PlacementRequest &request, bool backedOff, Instant now) const
 {
-    const Pool &known = pool(wish.service);
-    const std::vector<const TargetState *> preferred = preferredTargets(known, wish.prompt);
+    const Pool &known = pool(request.service);
+    const std::vector<const TargetState *> preferred = preferredTargets(known, request.prompt);
     std::vector<RankedTarget> scored;
-    for (const TargetState *target : sampleTargets(known, wish, preferred)) {
+    for (const TargetState *target : sampleTargets(known, request, preferred)) {
         const std::string &incarnation = target->listing.incarnation;
-        const bool tried = std::ranges::find(wish.except, incarnation) != wish.except.end();
-        const bool shortlisted = wish.among.empty() || std::ranges::find(wish.among, incarnation) != wish.among.end();
-        const bool needsAdmission = wish.withoutAdmission && (target->directives.rateLimit || target->mayBeCold(now));
+        const bool tried = std::ranges::find(request.excluded, incarnation) != request.excluded.end();
+        const bool shortlisted = request.shortlist.empty() || std::ranges::find(request.shortlist, incarnation) != request.shortlist.end();
+        const bool needsAdmission = request.skipAdmissionControlled && (target->directives.rateLimit || target->mayBeCold(now));
         const bool suspended = now < target->directives.suspendedUntil;
         if (!target->inService() || suspended || tried || !shortlisted || needsAdmission || target->inBackoff(now) != backedOff) {
             continue;
         }
         const bool mostPreferred = !preferred.empty() && target == preferred.front();
-        const Tokens uncachedTokens = target->uncachedTokens(m_options, wish.prompt, mostPreferred, now);
+        const Tokens uncachedTokens = target->uncachedTokens(m_options, request.prompt, mostPreferred, now);
         const double value = backedOff ? target->consecutiveBackoffs : target->score(m_options, uncachedTokens, now);
         scored.push_back({.target = target, .uncachedTokens = uncachedTokens, .score = value});
     }
@@ -247,10 +247,10 @@
     return scored;
 }
 
-std::vector<std::string> TargetBoard::candidates(const PlacementWish &wish, std::size_t most, Instant now) const
+std::vector<std::string> TargetBoard::candidates(const PlacementRequest &request, std::size_t most, Instant now) const
 {
     std::vector<std::string> names;
-    for (const RankedTarget &scored : rankTargets(wish, false, now)) {
+    for (const RankedTarget &scored : rankTargets(request, false, now)) {
         if (names.size() == most) {
             break;
         }
@@ -259,12 +259,12 @@
     return names;
 }
 
-std::optional<Placement> TargetBoard::choose(const PlacementWish &wish, Instant now) const
+std::optional<Placement> TargetBoard::choose(const PlacementRequest &request, Instant now) const
 {
-    std::vector<RankedTarget> best = rankTargets(wish, false, now);
+    std::vector<RankedTarget> best = rankTargets(request, false, now);
     if (best.empty()) {
         // When every target has failed lately, the one that failed least is more use to the caller than a refusal.
-        best = rankTargets(wish, true, now);
+        best = rankTargets(request, true, now);
     }
     if (best.empty()) {
         return std::nullopt;
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetboard.h
@@ -17,19 +17,19 @@
 namespace bamboohold {
 
 /// What a request needs of a target.
-struct PlacementWish {
+struct PlacementRequest {
     std::string_view service;
     /// Parts of the prompt in order; the last one is the request's own.
     std::span<const PromptPart> prompt;
     /// Incarnations that were tried already.
-    std::span<const std::string> except;
+    std::span<const std::string> excluded;
     /// Where given, only these come into question.
-    std::span<const std::string> among;
+    std::span<const std::string> shortlist;
     /// Only targets that take a request without an admission come into question.
-    bool withoutAdmission = false;
+    bool skipAdmissionControlled = false;
     /// Decides between targets that are equally good, and which ones of many are looked at. Different for each request: routers with equal
     /// views that all took the first of equals would send much to one target and leave others idle.
-    std::uint64_t draw = 0;
+    std::uint64_t seed = 0;
 };
 
 /// Where a request goes.
@@ -86,10 +86,10 @@
 
     /// The targets that come into question for a request, best first as far as this router knows, at most this many. None where one of
     /// them is as good as chosen.
-    std::vector<std::string> candidates(const PlacementWish &wish, std::size_t most, Instant now) const;
+    std::vector<std::string> candidates(const PlacementRequest &request, std::size_t most, Instant now) const;
 
     /// Chooses a target; none when no usable one is left.
-    std::optional<Placement> choose(const PlacementWish &wish, Instant now) const;
+    std::optional<Placement> choose(const PlacementRequest &request, Instant now) const;
 
     /// What this router has at the target, and the relay there; none when it is not known, or has none.
     struct OwnLoad {
@@ -189,8 +189,8 @@
     void eraseTarget(std::map<std::string, TargetState>::iterator target);
     const Pool &pool(std::string_view service) const;
     std::vector<const TargetState *>
-    sampleTargets(const Pool &pool, const PlacementWish &wish, std::span<const TargetState *const> preferredTargets) const;
-    std::vector<RankedTarget> rankTargets(const PlacementWish &wish, bool backedOff, Instant now) const;
+    sampleTargets(const Pool &pool, const PlacementRequest &request, std::span<const TargetState *const> preferredTargets) const;
+    std::vector<RankedTarget> rankTargets(const PlacementRequest &request, bool backedOff, Instant now) const;
     std::vector<const TargetState *> preferredTargets(const Pool &pool, std::span<const PromptPart> prompt) const;
     bool listUnreliable(Instant now) const;
 
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -137,12 +137,12 @@
     }
 }
 
-boost::asio::awaitable<std::optional<Placement>> TargetChooser::place(PlacementWish wish, double coldPerSecond)
+boost::asio::awaitable<std::optional<Placement>> TargetChooser::place(PlacementRequest request, double coldPerSecond)
 {
-    std::vector<std::string> except(wish.except.begin(), wish.except.end());
+    std::vector<std::string> excluded(request.excluded.begin(), request.excluded.end());
     for (int asked = 0; asked < s_admissionsAsked; ++asked) {
-        wish.except = except;
-        std::optional<Placement> placement = co_await leastLoaded(wish);
+        request.excluded = excluded;
+        std::optional<Placement> placement = co_await leastLoaded(request);
         if (!placement) {
             co_return std::nullopt;
         }
@@ -156,11 +156,11 @@
             placement->sendBefore = askedAt + s_admissionLifetime;
             co_return placement;
         }
-        except.push_back(placement->incarnation);
+        excluded.push_back(placement->incarnation);
     }
-    wish.except = except;
-    wish.withoutAdmission = true;
-    std::optional<Placement> free = co_await leastLoaded(wish);
+    request.excluded = excluded;
+    request.skipAdmissionControlled = true;
+    std::optional<Placement> free = co_await leastLoaded(request);
     co_return free;
 }
 
@@ -199,9 +199,9 @@
     co_return granted;
 }
 
-boost::asio::awaitable<std::optional<Placement>> TargetChooser::leastLoaded(PlacementWish wish)
+boost::asio::awaitable<std::optional<Placement>> TargetChooser::leastLoaded(PlacementRequest request)
 {
-    const std::vector<std::string> candidates = m_board.candidates(wish, m_options.targetsAsked, steadyNow());
+    const std::vector<std::string> candidates = m_board.candidates(request, m_options.targetsAsked, steadyNow());
     std::vector<LoadNotice> notices;
     for (const std::string &candidate : candidates) {
         if (std::optional<LoadNotice> notice = loadNotice(candidate)) {
@@ -211,13 +211,13 @@
     // A single candidate is chosen whatever its load.
     if (candidates.size() > 1 && !notices.empty()) {
         co_await m_loads->ask(notices);
-        wish.among = candidates;
+        request.shortlist = candidates;
     }
-    std::optional<Placement> placement = m_board.choose(wish, steadyNow());
-    if (!placement && !wish.among.empty()) {
+    std::optional<Placement> placement = m_board.choose(request, steadyNow());
+    if (!placement && !request.shortlist.empty()) {
         // All of them left or failed in the meantime.
-        wish.among = {};
-        placement = m_board.choose(wish, steadyNow());
+        request.shortlist = {};
+        placement = m_board.choose(request, steadyNow());
     }
     co_return placement;
 }
--- a/src/gateway/targetchooser.h
+++ b/src/gateway/targetchooser.h
@@ -47,7 +47,7 @@
 
     /// Chooses a target for a request. One that is cold or limits what it takes has to admit it; a cold one takes `coldPerSecond` requests
     /// a second, 0 standing for any number. None when no target takes the request now.
-    boost::asio::awaitable<std::optional<Placement>> place(PlacementWish wish, double coldPerSecond);
+    boost::asio::awaitable<std::optional<Placement>> place(PlacementRequest request, double coldPerSecond);
 
     /// A request goes to the target. Counted by whether the target is known to limit what it takes.
     void countSent(const std::string &incarnation);
@@ -63,7 +63,7 @@
 
 private:
     /// Chooses a target after it has asked a few for what others have there.
-    boost::asio::awaitable<std::optional<Placement>> leastLoaded(PlacementWish wish);
+    boost::asio::awaitable<std::optional<Placement>> leastLoaded(PlacementRequest request);
     /// Whether one request may go to a target that takes so few: by whoever admits requests there, or by this router's share of them.
     boost::asio::awaitable<bool> admitted(Placement placement, AdmissionRates rates);
     /// The target takes so many requests a second from all routers together from now on.
--- a/src/measure/capacity.cpp
+++ b/src/measure/capacity.cpp
@@ -216,7 +216,7 @@
                 for (int part = 0; part < parts; ++part) {
                     prompt.push_back({.id = ++draw, .tokens = 500});
                 }
-                const PlacementWish wish{.service = "drafting", .prompt = prompt, .draw = draw};
+                const PlacementRequest wish{.service = "drafting", .prompt = prompt, .seed = draw};
                 (void)board->candidates(wish, 3, s_now);
                 (void)board->choose(wish, s_now);
             }
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -114,15 +114,15 @@
     {
         TargetBoard &board = *m_boards[router];
         const std::vector<PromptPart> prompt{{.id = draw, .tokens = tokens}};
-        PlacementWish wish{.service = "llm", .prompt = prompt, .draw = draw};
-        const std::vector<std::string> candidates = board.candidates(wish, s_asked, m_now);
+        PlacementRequest request{.service = "llm", .prompt = prompt, .seed = draw};
+        const std::vector<std::string> candidates = board.candidates(request, s_asked, m_now);
         if (m_shared) {
             for (const std::string &candidate : candidates) {
                 board.setRemoteLoad(candidate, report(router, candidate), m_now);
             }
         }
-        wish.among = candidates;
-        const Placement placement = *board.choose(wish, m_now);
+        request.shortlist = candidates;
+        const Placement placement = *board.choose(request, m_now);
         board.requestSent(placement.incarnation, prompt, placement.uncachedTokens, m_now);
         report(router, placement.incarnation);
         const std::size_t target = m_targets[placement.incarnation];
--- a/src/tests/targetboardtest.cpp
+++ b/src/tests/targetboardtest.cpp
@@ -30,9 +30,9 @@
         board.replaceAll(std::move(listings), now);
     }
 
-    std::optional<Placement> choose(std::span<const PromptPart> prompt = {}, std::span<const std::string> except = {}) const
+    std::optional<Placement> choose(std::span<const PromptPart> prompt = {}, std::span<const std::string> excluded = {}) const
     {
-        return board.choose({.service = "llm", .prompt = prompt, .except = except}, now);
+        return board.choose({.service = "llm", .prompt = prompt, .excluded = excluded}, now);
     }
 
     /// Sends a request to whichever target is chosen; returns which.
