--- a/src/gateway/callercodec.h
+++ b/src/gateway/callercodec.h
@@ -2,7 +2,7 @@
 
 #include "clock/instant.h"
 #include "failure/failure.h"
-#include "gateway/targetboard.h"
+#include "gateway/targetbalancer.h"
 #include "net/httpserver.h"
 
 #include <absl/status/statusor.h>
--- a/src/gateway/evacuationfollower.cpp
+++ b/src/gateway/evacuationfollower.cpp
@@ -10,8 +10,8 @@
 
 namespace bamboohold {
 
-EvacuationFollower::EvacuationFollower(TargetBoard &board, Metrics &metrics, Options options)
-    : m_board(board)
+EvacuationFollower::EvacuationFollower(TargetBalancer &balancer, Metrics &metrics, Options options)
+    : m_balancer(balancer)
     , m_metrics(metrics)
     , m_options(std::move(options))
 {
@@ -67,7 +67,7 @@
             "evacuations.in_force",
             {{"domains", absl::StrJoin(state.domains, ",")}, {"version", static_cast<std::int64_t>(state.version)}, {"source", source}});
     m_metrics.gauge("domains_evacuated", {.name = "host", .value = m_options.host}, static_cast<std::int64_t>(state.domains.size()));
-    m_board.setEvacuatedDomains(state.domains, now);
+    m_balancer.setEvacuatedDomains(state.domains, now);
 }
 
 }
--- a/src/gateway/evacuationfollower.h
+++ b/src/gateway/evacuationfollower.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/targetboard.h"
+#include "gateway/targetbalancer.h"
 #include "membership/evacuations.h"
 #include "operations/metrics.h"
 #include "store/rowstore.h"
@@ -32,7 +32,7 @@
     };
 
     /// What it fills outlives it.
-    EvacuationFollower(TargetBoard &board, Metrics &metrics, Options options);
+    EvacuationFollower(TargetBalancer &balancer, Metrics &metrics, Options options);
 
     /// The table as of one moment.
     void all(std::span<const StoredRow> rows);
@@ -56,7 +56,7 @@
     std::optional<std::string> domainOf(const StoredRow &row) const;
     void putInForce(std::string_view source, Instant now);
 
-    TargetBoard &m_board;
+    TargetBalancer &m_balancer;
     Metrics &m_metrics;
     Options m_options;
     Evacuations m_evacuations;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -31,7 +31,7 @@
 public:
     struct Options {
         CallerCodec codec;
-        TargetBoard::Options board;
+        TargetBalancer::Options board;
         TargetChooser::Options chooser;
         RetryBudget::Options retries;
         /// Routers that share the retry budget, this one included.
@@ -87,7 +87,7 @@
     }
 
     /// What is known of the targets.
-    TargetBoard &board()
+    TargetBalancer &board()
     {
         return m_board;
     }
@@ -131,7 +131,7 @@
     Options m_options;
     TeamLedger &m_ledger;
     Metrics &m_metrics;
-    TargetBoard m_board;
+    TargetBalancer m_board;
     TargetChooser m_chooser;
     LoadShedder m_shedder;
     bool m_shedding = false;
--- a/src/gateway/targetboard.cpp
+++ b/src/gateway/targetbalancer.cpp
@@ -1,4 +1,4 @@
-#include "gateway/targetboard.h"
+#include "gateway/targetbalancer.h"
 
 #include "routing/stablehash.h"
 
@@ -21,12 +21,12 @@
 
 }
 
-TargetBoard::TargetBoard(Options options)
+TargetBalancer::TargetBalancer(Options options)
     : m_options(std::move(options))
 {
 }
 
-void TargetBoard::replaceAll(std::vector<TargetListing> listings, Instant now, std::span<const std::string> unusableNames)
+void TargetBalancer::replaceAll(std::vector<TargetListing> listings, Instant now, std::span<const std::string> unusableNames)
 {
     std::set<std::string> present(unusableNames.begin(), unusableNames.end());
     for (TargetListing &listing : listings) {
@@ -47,13 +47,13 @@
     }
 }
 
-std::map<std::string, TargetState>::iterator TargetBoard::findByName(const std::string &name)
+std::map<std::string, TargetState>::iterator TargetBalancer::findByName(const std::string &name)
 {
     const auto incarnation = m_currentIncarnation.find(name);
     return incarnation == m_currentIncarnation.end() ? m_targets.end() : m_targets.find(incarnation->second);
 }
 
-void TargetBoard::eraseTarget(std::map<std::string, TargetState>::iterator target)
+void TargetBalancer::eraseTarget(std::map<std::string, TargetState>::iterator target)
 {
     const TargetListing &listing = target->second.listing;
     if (m_retainedDirectives.size() >= s_maxRetainedDirectives) {
@@ -65,7 +65,7 @@
     m_poolsValid = false;
 }
 
-void TargetBoard::setEvacuatedDomains(std::set<std::string> domains, Instant now)
+void TargetBalancer::setEvacuatedDomains(std::set<std::string> domains, Instant now)
 {
     for (auto &[incarnation, target] : m_targets) {
         const bool before = std::exchange(target.evacuated, domains.contains(target.listing.failureDomain));
@@ -76,7 +76,7 @@
     m_evacuated = std::move(domains);
 }
 
-void TargetBoard::updateListing(TargetListing listing, Instant now)
+void TargetBalancer::updateListing(TargetListing listing, Instant now)
 {
     const auto before = findByName(listing.name());
     if (before != m_targets.end() && before->second.listing.incarnation != listing.incarnation) {
@@ -98,7 +98,7 @@
     target.missingSince.reset();
 }
 
-void TargetBoard::markUnusable(const std::string &name)
+void TargetBalancer::markUnusable(const std::string &name)
 {
     const auto found = findByName(name);
     if (found != m_targets.end()) {
@@ -106,12 +106,12 @@
     }
 }
 
-bool TargetBoard::listUnreliable(Instant now) const
+bool TargetBalancer::listUnreliable(Instant now) const
 {
     return !m_storeReachable || (m_storeReachableSince && now - *m_storeReachableSince < m_options.listGracePeriod);
 }
 
-void TargetBoard::removeListing(const std::string &name, Instant now)
+void TargetBalancer::removeListing(const std::string &name, Instant now)
 {
     const auto found = findByName(name);
     if (found == m_targets.end()) {
@@ -126,7 +126,7 @@
     eraseTarget(found);
 }
 
-void TargetBoard::setStoreReachable(bool reachable, Instant now)
+void TargetBalancer::setStoreReachable(bool reachable, Instant now)
 {
     if (reachable && !m_storeReachable) {
         m_storeReachableSince = now;
@@ -134,7 +134,7 @@
     m_storeReachable = reachable;
 }
 
-void TargetBoard::removeExpired(Instant now)
+void TargetBalancer::removeExpired(Instant now)
 {
     if (listUnreliable(now)) {
         return;
@@ -148,13 +148,13 @@
     }
 }
 
-std::optional<OutOfServiceReason> TargetBoard::outOfServiceReason(const std::string &incarnation) const
+std::optional<OutOfServiceReason> TargetBalancer::outOfServiceReason(const std::string &incarnation) const
 {
     const auto found = m_targets.find(incarnation);
     return found == m_targets.end() ? std::nullopt : found->second.outOfServiceReason();
 }
 
-const TargetBoard::Pool &TargetBoard::pool(std::string_view service) const
+const TargetBalancer::Pool &TargetBalancer::pool(std::string_view service) const
 {
     static const Pool s_none;
     if (!m_poolsValid) {
@@ -174,7 +174,7 @@
     return found == m_pools.end() ? s_none : found->second;
 }
 
-std::vector<const TargetState *> TargetBoard::preferredTargets(const Pool &pool, std::span<const PromptPart> prompt) const
+std::vector<const TargetState *> TargetBalancer::preferredTargets(const Pool &pool, std::span<const PromptPart> prompt) const
 {
     if (prompt.size() < 2 || !m_options.prefixAffinity) {
         return {};
@@ -200,7 +200,7 @@
 }
 
 std::vector<const TargetState *>
-TargetBoard::sampleTargets(const Pool &pool, const PlacementRequest &request, std::span<const TargetState *const> preferredTargets) const
+TargetBalancer::sampleTargets(const Pool &pool, const PlacementRequest &request, std::span<const TargetState *const> preferredTargets) const
 {
     std::vector<const TargetState *> targets(preferredTargets.begin(), preferredTargets.end());
     const std::size_t size = pool.entries.size();
@@ -223,7 +223,7 @@
     return targets;
 }
 
-std::vector<TargetBoard::RankedTarget> TargetBoard::rankTargets(const PlacementRequest &request, bool backedOff, Instant now) const
+std::vector<TargetBalancer::RankedTarget> TargetBalancer::rankTargets(const PlacementRequest &request, bool backedOff, Instant now) const
 {
     const Pool &known = pool(request.service);
     const std::vector<const TargetState *> preferred = preferredTargets(known, request.prompt);
@@ -247,7 +247,7 @@
     return scored;
 }
 
-std::vector<std::string> TargetBoard::candidates(const PlacementRequest &request, std::size_t most, Instant now) const
+std::vector<std::string> TargetBalancer::candidates(const PlacementRequest &request, std::size_t most, Instant now) const
 {
     std::vector<std::string> names;
     for (const RankedTarget &scored : rankTargets(request, false, now)) {
@@ -259,7 +259,7 @@
     return names;
 }
 
-std::optional<Placement> TargetBoard::choose(const PlacementRequest &request, Instant now) const
+std::optional<Placement> TargetBalancer::choose(const PlacementRequest &request, Instant now) const
 {
     std::vector<RankedTarget> best = rankTargets(request, false, now);
     if (best.empty()) {
@@ -279,7 +279,7 @@
                      .rateLimit = target.directives.rateLimit};
 }
 
-std::optional<TargetBoard::OwnLoad> TargetBoard::ownLoad(const std::string &incarnation) const
+std::optional<TargetBalancer::OwnLoad> TargetBalancer::ownLoad(const std::string &incarnation) const
 {
     const auto found = m_targets.find(incarnation);
     if (found == m_targets.end() || found->second.listing.relay.empty()) {
@@ -289,7 +289,7 @@
     return OwnLoad{.relay = target.listing.relay, .load = {.outstanding = target.outstanding, .unread = target.unread}};
 }
 
-std::vector<std::string> TargetBoard::targetsInUse() const
+std::vector<std::string> TargetBalancer::targetsInUse() const
 {
     std::vector<std::string> names;
     for (const auto &[incarnation, target] : m_targets) {
@@ -300,7 +300,7 @@
     return names;
 }
 
-void TargetBoard::setRemoteLoad(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now)
+void TargetBalancer::setRemoteLoad(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
@@ -310,7 +310,7 @@
     }
 }
 
-void TargetBoard::relayTimedOut(const std::string &incarnation, Instant now)
+void TargetBalancer::relayTimedOut(const std::string &incarnation, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
@@ -318,7 +318,7 @@
     }
 }
 
-void TargetBoard::requestSent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now)
+void TargetBalancer::requestSent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
@@ -326,7 +326,7 @@
     }
 }
 
-void TargetBoard::firstByteReceived(const std::string &incarnation, Tokens uncachedTokens, Instant sentAt)
+void TargetBalancer::firstByteReceived(const std::string &incarnation, Tokens uncachedTokens, Instant sentAt)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
@@ -334,7 +334,7 @@
     }
 }
 
-void TargetBoard::attemptEnded(const std::string &incarnation, HealthSignal signal, Instant now)
+void TargetBalancer::attemptEnded(const std::string &incarnation, HealthSignal signal, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
@@ -342,7 +342,7 @@
     }
 }
 
-void TargetBoard::setRateLimit(const std::string &incarnation, double requestsPerSecond, Instant now)
+void TargetBalancer::setRateLimit(const std::string &incarnation, double requestsPerSecond, Instant now)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
@@ -351,7 +351,7 @@
     }
 }
 
-bool TargetBoard::clearRateLimit(const std::string &incarnation, Instant sentAt)
+bool TargetBalancer::clearRateLimit(const std::string &incarnation, Instant sentAt)
 {
     const auto found = m_targets.find(incarnation);
     if (found == m_targets.end() || !found->second.directives.rateLimit || sentAt < found->second.directives.rateLimitReportedAt) {
@@ -361,13 +361,13 @@
     return true;
 }
 
-std::optional<double> TargetBoard::rateLimit(const std::string &incarnation) const
+std::optional<double> TargetBalancer::rateLimit(const std::string &incarnation) const
 {
     const auto found = m_targets.find(incarnation);
     return found == m_targets.end() ? std::nullopt : found->second.directives.rateLimit;
 }
 
-void TargetBoard::suspendUntil(const std::string &incarnation, Instant until)
+void TargetBalancer::suspendUntil(const std::string &incarnation, Instant until)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
@@ -375,7 +375,7 @@
     }
 }
 
-std::optional<Instant> TargetBoard::nextResumption(std::string_view service, Instant now) const
+std::optional<Instant> TargetBalancer::nextResumption(std::string_view service, Instant now) const
 {
     std::optional<Instant> first;
     for (const PoolEntry &entry : pool(service).entries) {
@@ -386,7 +386,7 @@
     return first && *first > now ? first : std::nullopt;
 }
 
-void TargetBoard::markLeaving(const std::string &incarnation)
+void TargetBalancer::markLeaving(const std::string &incarnation)
 {
     const auto found = m_targets.find(incarnation);
     if (found != m_targets.end()) {
--- a/src/gateway/targetboard.h
+++ b/src/gateway/targetbalancer.h
@@ -54,12 +54,12 @@
 /// was in trouble stays for a grace time. A target's load is what this router sent there itself, and what the relay beside the target said
 /// a moment ago that others have there: a few candidates are asked for it before one of them is chosen. What is not known counts as
 /// nothing, so that without relays this is the least of own dispatches.
-class TargetBoard
+class TargetBalancer
 {
 public:
     using Options = TargetOptions;
 
-    explicit TargetBoard(Options options);
+    explicit TargetBalancer(Options options);
 
     /// Takes over the whole list. `unusable` names the entries that are there and name no target to use.
     void replaceAll(std::vector<TargetListing> listings, Instant now, std::span<const std::string> unusableNames = {});
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -21,8 +21,8 @@
 
 }
 
-TargetChooser::TargetChooser(TargetBoard &board, Metrics &metrics, Options options)
-    : m_board(board)
+TargetChooser::TargetChooser(TargetBalancer &balancer, Metrics &metrics, Options options)
+    : m_balancer(balancer)
     , m_metrics(metrics)
     , m_options(std::move(options))
     , m_shares(m_options.self)
@@ -34,19 +34,19 @@
     m_loads = &loads;
     m_loads->onAnswers(
         [this](const std::string &incarnation, const TargetNews &news) {
-            m_board.setRemoteLoad(incarnation, news.others, steadyNow());
+            m_balancer.setRemoteLoad(incarnation, news.others, steadyNow());
             if (news.limit) {
                 heardLimit(incarnation, *news.limit, news.askedAt);
             }
         },
         [this](const std::string &incarnation) {
-            m_board.relayTimedOut(incarnation, steadyNow());
+            m_balancer.relayTimedOut(incarnation, steadyNow());
         });
 }
 
 std::optional<LoadNotice> TargetChooser::loadNotice(const std::string &incarnation) const
 {
-    std::optional<TargetBoard::OwnLoad> own = m_board.ownLoad(incarnation);
+    std::optional<TargetBalancer::OwnLoad> own = m_balancer.ownLoad(incarnation);
     if (m_loads == nullptr || !own) {
         return std::nullopt;
     }
@@ -62,7 +62,7 @@
 
 void TargetChooser::countSent(const std::string &incarnation)
 {
-    const std::string_view limited = m_board.rateLimit(incarnation) ? "yes" : "no";
+    const std::string_view limited = m_balancer.rateLimit(incarnation) ? "yes" : "no";
     const std::array<MetricLabel, 2> labels{{{.name = "target", .value = incarnation}, {.name = "limited", .value = limited}}};
     m_metrics.count("target_requests_total", labels);
 }
@@ -72,17 +72,17 @@
     if (!answer.unreadable.empty()) {
         logLine(Severity::Warning, "target.header_unreadable", {{"target", incarnation}, {"header", answer.unreadable}});
     }
-    if (answer.leaving && m_board.outOfServiceReason(incarnation) != OutOfServiceReason::Leaving) {
+    if (answer.leaving && m_balancer.outOfServiceReason(incarnation) != OutOfServiceReason::Leaving) {
         logLine(Severity::Info, "target.says_leaving", {{"target", incarnation}});
     }
     if (answer.leaving || answer.otherProcess) {
-        m_board.markLeaving(incarnation);
+        m_balancer.markLeaving(incarnation);
     }
     if (answer.rest) {
         logLine(Severity::Info,
                 "target.asks_rest",
                 {{"target", incarnation}, {"rest_ms", std::chrono::duration_cast<std::chrono::milliseconds>(*answer.rest).count()}});
-        m_board.suspendUntil(incarnation, steadyNow() + *answer.rest);
+        m_balancer.suspendUntil(incarnation, steadyNow() + *answer.rest);
     }
     if (answer.limit) {
         const double limit = std::max(*answer.limit, LimitAdmissions::s_leastPerSecond);
@@ -96,15 +96,15 @@
 
 void TargetChooser::setLimit(const std::string &incarnation, double requestsPerSecond)
 {
-    if (m_board.rateLimit(incarnation) != requestsPerSecond) {
+    if (m_balancer.rateLimit(incarnation) != requestsPerSecond) {
         logLine(Severity::Info, "target.limited", {{"target", incarnation}, {"requests_per_second", absl::StrCat(requestsPerSecond)}});
     }
-    m_board.setRateLimit(incarnation, requestsPerSecond, steadyNow());
+    m_balancer.setRateLimit(incarnation, requestsPerSecond, steadyNow());
 }
 
 bool TargetChooser::endLimit(const std::string &incarnation, Instant askedAt)
 {
-    const bool ended = m_board.clearRateLimit(incarnation, askedAt);
+    const bool ended = m_balancer.clearRateLimit(incarnation, askedAt);
     if (ended) {
         logLine(Severity::Info, "target.limit_ended", {{"target", incarnation}});
     }
@@ -124,7 +124,7 @@
 {
     if (requestsPerSecond <= 0) {
         endLimit(incarnation, askedAt);
-    } else if (m_board.rateLimit(incarnation) != requestsPerSecond) {
+    } else if (m_balancer.rateLimit(incarnation) != requestsPerSecond) {
         // Only what a target itself says again makes a limit younger: an older answer does not end it.
         setLimit(incarnation, requestsPerSecond);
     }
@@ -132,7 +132,7 @@
 
 void TargetChooser::renewLoads()
 {
-    for (const std::string &incarnation : m_board.targetsInUse()) {
+    for (const std::string &incarnation : m_balancer.targetsInUse()) {
         tellLoad(incarnation);
     }
 }
@@ -191,17 +191,17 @@
         co_return m_shares.admit(placement.incarnation, shared.lowest(), steadyNow());
     }
     // Who admits may have said instead that the limit has ended.
-    const bool free = rates.cold <= 0 && !m_board.rateLimit(placement.incarnation);
+    const bool free = rates.cold <= 0 && !m_balancer.rateLimit(placement.incarnation);
     const bool granted = free || answer.admission == Admission::Granted;
     if (!granted) {
-        m_board.suspendUntil(placement.incarnation, steadyNow() + std::min(answer.wait, s_longestAdmissionWait));
+        m_balancer.suspendUntil(placement.incarnation, steadyNow() + std::min(answer.wait, s_longestAdmissionWait));
     }
     co_return granted;
 }
 
 boost::asio::awaitable<std::optional<Placement>> TargetChooser::leastLoaded(PlacementRequest request)
 {
-    const std::vector<std::string> candidates = m_board.candidates(request, m_options.targetsAsked, steadyNow());
+    const std::vector<std::string> candidates = m_balancer.candidates(request, m_options.targetsAsked, steadyNow());
     std::vector<LoadNotice> notices;
     for (const std::string &candidate : candidates) {
         if (std::optional<LoadNotice> notice = loadNotice(candidate)) {
@@ -213,11 +213,11 @@
         co_await m_loads->ask(notices);
         request.shortlist = candidates;
     }
-    std::optional<Placement> placement = m_board.choose(request, steadyNow());
+    std::optional<Placement> placement = m_balancer.choose(request, steadyNow());
     if (!placement && !request.shortlist.empty()) {
         // All of them left or failed in the meantime.
         request.shortlist = {};
-        placement = m_board.choose(request, steadyNow());
+        placement = m_balancer.choose(request, steadyNow());
     }
     co_return placement;
 }
--- a/src/gateway/targetchooser.h
+++ b/src/gateway/targetchooser.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/callercodec.h"
-#include "gateway/targetboard.h"
+#include "gateway/targetbalancer.h"
 #include "operations/metrics.h"
 #include "routing/admissionshares.h"
 #include "routing/loadlink.h"
@@ -33,7 +33,7 @@
     };
 
     /// The board and the metrics outlive this.
-    TargetChooser(TargetBoard &board, Metrics &metrics, Options options);
+    TargetChooser(TargetBalancer &balancer, Metrics &metrics, Options options);
 
     /// From now on loads of targets are asked for and told. The link outlives this.
     void setLoads(LoadLink &loads);
@@ -80,7 +80,7 @@
     /// What this router has at the target, for the relay beside it; none where no relay can be.
     std::optional<LoadNotice> loadNotice(const std::string &incarnation) const;
 
-    TargetBoard &m_board;
+    TargetBalancer &m_balancer;
     Metrics &m_metrics;
     Options m_options;
     LoadLink *m_loads = nullptr;
--- a/src/gateway/targetfollower.cpp
+++ b/src/gateway/targetfollower.cpp
@@ -9,8 +9,8 @@
 
 namespace bamboohold {
 
-TargetFollower::TargetFollower(TargetBoard &board, Detours &detours, Metrics &metrics, Options options)
-    : m_board(board)
+TargetFollower::TargetFollower(TargetBalancer &balancer, Detours &detours, Metrics &metrics, Options options)
+    : m_balancer(balancer)
     , m_detours(detours)
     , m_metrics(metrics)
     , m_options(std::move(options))
@@ -35,7 +35,7 @@
         return !m_versions.contains(entry.first);
     });
     countUnusable();
-    m_board.replaceAll(std::move(listings), now, unusable);
+    m_balancer.replaceAll(std::move(listings), now, unusable);
 }
 
 void TargetFollower::changed(const StoredRow &row, Instant now)
@@ -44,7 +44,7 @@
     if (row.version == 0) {
         logLine(Severity::Info, "target.unlisted", {{"target", name}});
         noteUsable(name);
-        m_board.removeListing(name, now);
+        m_balancer.removeListing(name, now);
         m_detours.unlisted(name);
         return;
     }
@@ -55,7 +55,7 @@
     newest = row.version;
     std::optional<TargetListing> listing = read(row);
     if (!listing) {
-        m_board.markUnusable(name);
+        m_balancer.markUnusable(name);
         return;
     }
     logLine(Severity::Info,
@@ -64,7 +64,7 @@
              {"service", listing->service},
              {"address", listing->address},
              {"leaving", static_cast<std::int64_t>(listing->leaving)}});
-    m_board.updateListing(*std::move(listing), now);
+    m_balancer.updateListing(*std::move(listing), now);
 }
 
 std::optional<TargetListing> TargetFollower::read(const StoredRow &row)
--- a/src/gateway/targetfollower.h
+++ b/src/gateway/targetfollower.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/targetboard.h"
+#include "gateway/targetbalancer.h"
 #include "membership/detours.h"
 #include "operations/metrics.h"
 #include "store/rowstore.h"
@@ -34,7 +34,7 @@
     };
 
     /// What it fills outlives it.
-    TargetFollower(TargetBoard &board, Detours &detours, Metrics &metrics, Options options);
+    TargetFollower(TargetBalancer &balancer, Detours &detours, Metrics &metrics, Options options);
 
     /// The list as of one moment.
     void all(std::span<const StoredRow> rows, Instant now);
@@ -49,7 +49,7 @@
     void noteUsable(const std::string &name);
     void countUnusable();
 
-    TargetBoard &m_board;
+    TargetBalancer &m_balancer;
     Detours &m_detours;
     Metrics &m_metrics;
     Options m_options;
--- a/src/measure/capacity.cpp
+++ b/src/measure/capacity.cpp
@@ -2,7 +2,7 @@
 #include "budget/nodeledger.h"
 #include "configuration/configuration.h"
 #include "engine/runtable.h"
-#include "gateway/targetboard.h"
+#include "gateway/targetbalancer.h"
 #include "inventory/teamkey.h"
 #include "link/link.pb.h"
 #include "membership/peerdirectory.h"
@@ -195,7 +195,7 @@
     std::vector<Point> choosing;
     for (const int targets : {50, 100, 200, 400, 870}) {
         const double before = heapBytes();
-        auto board = std::make_unique<TargetBoard>(TargetBoard::Options{.failureDomain = "domain-0"});
+        auto board = std::make_unique<TargetBalancer>(TargetBalancer::Options{.failureDomain = "domain-0"});
         std::vector<TargetListing> listings;
         listings.reserve(static_cast<std::size_t>(targets));
         for (int index = 0; index < targets; ++index) {
--- a/src/tests/evacuationfollowertest.cpp
+++ b/src/tests/evacuationfollowertest.cpp
@@ -37,8 +37,8 @@
 
 struct Scene {
     Scene()
-        : board({.failureDomain = "here"})
-        , follower(board,
+        : balancer({.failureDomain = "here"})
+        , follower(balancer,
                    metrics,
                    {.domainFrom = domainOf,
                     .announce =
@@ -47,7 +47,7 @@
                         },
                     .host = "me"})
     {
-        board.replaceAll({target("one", "here"), target("other", "there")}, s_now);
+        balancer.replaceAll({target("one", "here"), target("other", "there")}, s_now);
     }
 
     void all(std::vector<StoredRow> rows, std::uint64_t version)
@@ -64,10 +64,10 @@
 
     std::optional<Placement> choose(Instant now = s_now) const
     {
-        return board.choose({.service = "llm"}, now);
+        return balancer.choose({.service = "llm"}, now);
     }
 
-    TargetBoard board;
+    TargetBalancer balancer;
     Metrics metrics;
     std::vector<Evacuations::State> announced;
     EvacuationFollower follower;
@@ -83,9 +83,9 @@
     Scene scene;
     scene.changed(order("empty here", 7), 7);
     BOOST_TEST(scene.choose()->incarnation == "other");
-    BOOST_TEST((scene.board.outOfServiceReason("one") == OutOfServiceReason::Evacuated));
-    scene.board.updateListing(target("later", "here"), s_now);
-    scene.board.updateListing(target("one", "here"), s_now);
+    BOOST_TEST((scene.balancer.outOfServiceReason("one") == OutOfServiceReason::Evacuated));
+    scene.balancer.updateListing(target("later", "here"), s_now);
+    scene.balancer.updateListing(target("one", "here"), s_now);
     BOOST_TEST(scene.choose()->incarnation == "other");
     BOOST_TEST(scene.announced.size() == 1U);
 }
@@ -94,9 +94,9 @@
 BOOST_AUTO_TEST_CASE(orderMayComeBeforeItsTargets)
 {
     Scene scene;
-    scene.board.replaceAll({}, s_now);
+    scene.balancer.replaceAll({}, s_now);
     scene.all({order("empty here", 3), order("config", 4)}, 4);
-    scene.board.replaceAll({target("one", "here")}, s_now);
+    scene.balancer.replaceAll({target("one", "here")}, s_now);
     BOOST_TEST(!scene.choose().has_value());
 }
 
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/targetboard.h"
+#include "gateway/targetbalancer.h"
 #include "routing/loadbook.h"
 #include "routing/stablehash.h"
 
@@ -53,8 +53,8 @@
                                 .slots = 32});
         }
         for (std::size_t router = 0; router < s_routers; ++router) {
-            m_boards.push_back(std::make_unique<TargetBoard>(TargetBoard::Options{.failureDomain = domainName(router)}));
-            m_boards.back()->replaceAll(listings, m_now);
+            m_balancers.push_back(std::make_unique<TargetBalancer>(TargetBalancer::Options{.failureDomain = domainName(router)}));
+            m_balancers.back()->replaceAll(listings, m_now);
         }
     }
 
@@ -105,25 +105,25 @@
     /// The router tells the relay what it has at the target; returns what the others have.
     TargetLoad report(std::size_t router, const std::string &target)
     {
-        const TargetLoad own = m_boards[router]->ownLoad(target)->load;
+        const TargetLoad own = m_balancers[router]->ownLoad(target)->load;
         return m_books[m_targets[target]].noted({.router = router, .target = stableHash(target), .sequence = ++m_sequence, .load = own},
                                                 m_now);
     }
 
     void send(std::size_t router, Tokens tokens, std::uint64_t draw)
     {
-        TargetBoard &board = *m_boards[router];
+        TargetBalancer &balancer = *m_balancers[router];
         const std::vector<PromptPart> prompt{{.id = draw, .tokens = tokens}};
         PlacementRequest request{.service = "llm", .prompt = prompt, .seed = draw};
-        const std::vector<std::string> candidates = board.candidates(request, s_asked, m_now);
+        const std::vector<std::string> candidates = balancer.candidates(request, s_asked, m_now);
         if (m_shared) {
             for (const std::string &candidate : candidates) {
-                board.setRemoteLoad(candidate, report(router, candidate), m_now);
+                balancer.setRemoteLoad(candidate, report(router, candidate), m_now);
             }
         }
         request.shortlist = candidates;
-        const Placement placement = *board.choose(request, m_now);
-        board.requestSent(placement.incarnation, prompt, placement.uncachedTokens, m_now);
+        const Placement placement = *balancer.choose(request, m_now);
+        balancer.requestSent(placement.incarnation, prompt, placement.uncachedTokens, m_now);
         report(router, placement.incarnation);
         const std::size_t target = m_targets[placement.incarnation];
         ++m_sent[target];
@@ -143,11 +143,11 @@
         while (!m_events.empty() && m_events.top().at <= m_now) {
             Event event = m_events.top();
             m_events.pop();
-            TargetBoard &board = *m_boards[event.router];
+            TargetBalancer &balancer = *m_balancers[event.router];
             if (event.ends) {
-                board.attemptEnded(event.target, HealthSignal::Success, event.at);
+                balancer.attemptEnded(event.target, HealthSignal::Success, event.at);
             } else {
-                board.firstByteReceived(event.target, event.unread, event.sentAt);
+                balancer.firstByteReceived(event.target, event.unread, event.sentAt);
                 event.ends = true;
                 event.at += std::chrono::milliseconds(400);
                 m_events.push(event);
@@ -158,7 +158,7 @@
 
     bool m_shared;
     Instant m_now = Instant(std::chrono::seconds(100));
-    std::vector<std::unique_ptr<TargetBoard>> m_boards;
+    std::vector<std::unique_ptr<TargetBalancer>> m_balancers;
     std::map<std::string, std::size_t> m_targets;
     std::vector<Instant> m_readUntil;
     std::vector<LoadBook> m_books;
--- a/src/tests/targetfollowertest.cpp
+++ b/src/tests/targetfollowertest.cpp
@@ -37,9 +37,9 @@
 
 struct Scene {
     Scene()
-        : board({.failureDomain = "here"})
+        : balancer({.failureDomain = "here"})
         , detours({.self = "me"})
-        , follower(board, detours, metrics, {.listingFrom = readRecord, .host = "me"})
+        , follower(balancer, detours, metrics, {.listingFrom = readRecord, .host = "me"})
     {
     }
 
@@ -51,11 +51,11 @@
     /// Which life gets the next request; empty when none does.
     std::string chosen() const
     {
-        const auto placement = board.choose({.service = "llm"}, s_now);
+        const auto placement = balancer.choose({.service = "llm"}, s_now);
         return placement ? placement->incarnation : std::string();
     }
 
-    TargetBoard board;
+    TargetBalancer balancer;
     Detours detours;
     Metrics metrics;
     TargetFollower follower;
@@ -72,21 +72,21 @@
     Scene scene;
     scene.changed("a", "1000", 1);
     const std::vector<PromptPart> prompt{{.id = 1, .tokens = 5000}, {.id = 2, .tokens = 100}};
-    scene.board.requestSent("a@1000", prompt, 5100, s_now);
-    scene.board.firstByteReceived("a@1000", 5100, s_now);
-    scene.board.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
+    scene.balancer.requestSent("a@1000", prompt, 5100, s_now);
+    scene.balancer.firstByteReceived("a@1000", 5100, s_now);
+    scene.balancer.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
     scene.changed("b", "1000", 2);
     BOOST_TEST(scene.chosen() == "b@1000");
     scene.changed("a", "2000", 3);
-    scene.board.requestSent("b@1000", prompt, 5100, s_now);
-    const auto placement = scene.board.choose({.service = "llm"}, s_now);
+    scene.balancer.requestSent("b@1000", prompt, 5100, s_now);
+    const auto placement = scene.balancer.choose({.service = "llm"}, s_now);
     BOOST_REQUIRE(placement);
     BOOST_TEST(placement->incarnation == "a@2000");
     BOOST_TEST(placement->name == "a");
-    BOOST_TEST(!scene.board.isKnown("a@1000"));
+    BOOST_TEST(!scene.balancer.isKnown("a@1000"));
     // The former life's attempt ends late; it says nothing of the new one.
-    scene.board.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
-    scene.board.markLeaving("a@1000");
+    scene.balancer.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
+    scene.balancer.markLeaving("a@1000");
     BOOST_TEST(scene.chosen() == "a@2000");
 }
 
@@ -136,7 +136,7 @@
 {
     Scene scene;
     scene.changed("a", "1000", 1);
-    scene.board.setStoreReachable(false, s_now);
+    scene.balancer.setStoreReachable(false, s_now);
     scene.follower.all(std::vector{record("a", "?", 2)}, s_now);
     BOOST_TEST(scene.chosen().empty());
 }
@@ -158,9 +158,9 @@
             const int kind = *rc::gen::inRange(0, 6);
             const std::string life = absl::StrCat("a@", *rc::gen::inRange(1, 4));
             if (kind == 0) {
-                scene.board.attemptEnded(life, HealthSignal::Success, s_now);
+                scene.balancer.attemptEnded(life, HealthSignal::Success, s_now);
             } else if (kind == 1) {
-                scene.board.requestSent(life, {}, 0, s_now);
+                scene.balancer.requestSent(life, {}, 0, s_now);
             } else {
                 const std::uint64_t version = newest + static_cast<std::uint64_t>(*rc::gen::inRange(0, 3));
                 const bool spoilt = kind == 2;
