--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -96,7 +96,7 @@
             m_store.setDetours(m_detours, m_options.openDetour);
         }
         if (m_options.mechanisms.sharedLoads) {
-            m_gateway.chooser().setLoads(m_loads);
+            m_gateway.chooser().setLoadLink(m_loads);
         }
     }
 
@@ -189,7 +189,7 @@
         }
         options.gateway.sheds = on.shedding;
         options.gateway.quarantines = on.quarantine;
-        options.gateway.chooser.admissions = on.admissions;
+        options.gateway.chooser.centralAdmission = on.admissions;
         if (!on.silence) {
             options.gateway.board.firstByteAllowance = s_never;
         }
@@ -401,7 +401,7 @@
             m_gateway.board().removeExpired(steadyNow());
             m_gateway.prune();
             if (round % s_roundsPerRenewal == 0) {
-                m_gateway.chooser().renewLoads();
+                m_gateway.chooser().refreshLoads();
                 m_gateway.guard().expire();
             }
         }
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -188,7 +188,7 @@
         m_sign = HealthSignal::Neutral;
         m_gateway.m_board.requestSent(placement->incarnation, m_terms.prompt, placement->uncachedTokens, now);
         m_gateway.m_chooser.countSent(placement->incarnation);
-        m_gateway.m_chooser.tellLoad(placement->incarnation);
+        m_gateway.m_chooser.reportLoad(placement->incarnation);
         end = co_await attempt(*placement);
         noteAttemptEnd(end);
     } while (mayTryAgain(end, steadyNow()));
@@ -209,7 +209,7 @@
     if (!m_attemptBegun) {
         m_attemptBegun = true;
         m_gateway.m_board.firstByteReceived(m_placement->incarnation, m_placement->uncachedTokens, m_attemptAt);
-        m_gateway.m_chooser.tellLoad(m_placement->incarnation);
+        m_gateway.m_chooser.reportLoad(m_placement->incarnation);
     }
 }
 
@@ -217,7 +217,7 @@
 {
     noteFirstByte();
     m_gateway.m_board.attemptEnded(m_placement->incarnation, m_sign, steadyNow());
-    m_gateway.m_chooser.tellLoad(m_placement->incarnation);
+    m_gateway.m_chooser.reportLoad(m_placement->incarnation);
     if (end != AttemptEnd::NotRun) {
         ++m_ran;
     }
@@ -337,7 +337,7 @@
 {
     const AnswerTerms answer = m_gateway.m_options.codec.readAnswer(call.status(), call.headers());
     const unsigned status = call.status();
-    m_gateway.m_chooser.noteTargetTerms(m_placement->incarnation, answer, m_attemptAt);
+    m_gateway.m_chooser.applyAnswerTerms(m_placement->incarnation, answer, m_attemptAt);
     if (answer.notRun) {
         m_lastProblem = absl::StrCat("declined with ", status);
         m_sign = answer.otherProcess ? HealthSignal::Neutral : HealthSignal::Declined;
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 /// Targets asked to admit one request; each question is a round trip that its caller waits for.
-constexpr int s_admissionsAsked = 3;
+constexpr int s_maxAdmissionQueries = 3;
 /// The limit may end sooner than the next admission was promised for.
-constexpr Duration s_longestAdmissionWait = std::chrono::seconds(2);
+constexpr Duration s_maxAdmissionWait = std::chrono::seconds(2);
 
 }
 
@@ -29,14 +29,14 @@
 {
 }
 
-void TargetChooser::setLoads(LoadLink &loads)
+void TargetChooser::setLoadLink(LoadLink &link)
 {
-    m_loads = &loads;
-    m_loads->onAnswers(
+    m_loadLink = &link;
+    m_loadLink->onAnswers(
         [this](const std::string &incarnation, const TargetNews &news) {
             m_balancer.setRemoteLoad(incarnation, news.others, steadyNow());
             if (news.limit) {
-                heardLimit(incarnation, *news.limit, news.askedAt);
+                applyReportedLimit(incarnation, *news.limit, news.askedAt);
             }
         },
         [this](const std::string &incarnation) {
@@ -47,16 +47,16 @@
 std::optional<LoadNotice> TargetChooser::loadNotice(const std::string &incarnation) const
 {
     std::optional<TargetBalancer::OwnLoad> own = m_balancer.ownLoad(incarnation);
-    if (m_loads == nullptr || !own) {
+    if (m_loadLink == nullptr || !own) {
         return std::nullopt;
     }
     return LoadNotice{.incarnation = incarnation, .relay = std::move(own->relay), .load = own->load};
 }
 
-void TargetChooser::tellLoad(const std::string &incarnation)
+void TargetChooser::reportLoad(const std::string &incarnation)
 {
     if (const std::optional<LoadNotice> notice = loadNotice(incarnation)) {
-        m_loads->tell(*notice);
+        m_loadLink->tell(*notice);
     }
 }
 
@@ -67,7 +67,7 @@
     m_metrics.count("target_requests_total", labels);
 }
 
-void TargetChooser::noteTargetTerms(const std::string &incarnation, const AnswerTerms &answer, Instant sentAt)
+void TargetChooser::applyAnswerTerms(const std::string &incarnation, const AnswerTerms &answer, Instant sentAt)
 {
     if (!answer.unreadable.empty()) {
         logLine(Severity::Warning, "target.header_unreadable", {{"target", incarnation}, {"header", answer.unreadable}});
@@ -87,10 +87,10 @@
     if (answer.limit) {
         const double limit = std::max(*answer.limit, LimitAdmissions::s_leastPerSecond);
         setLimit(incarnation, limit);
-        tellLimit(incarnation, limit);
+        reportLimit(incarnation, limit);
     } else if (answer.sealed && endLimit(incarnation, sentAt)) {
         // An answer that its target does not vouch for says nothing by what it lacks.
-        tellLimit(incarnation, 0);
+        reportLimit(incarnation, 0);
     }
 }
 
@@ -104,23 +104,23 @@
 
 bool TargetChooser::endLimit(const std::string &incarnation, Instant askedAt)
 {
-    const bool ended = m_balancer.clearRateLimit(incarnation, askedAt);
-    if (ended) {
+    const bool cleared = m_balancer.clearRateLimit(incarnation, askedAt);
+    if (cleared) {
         logLine(Severity::Info, "target.limit_ended", {{"target", incarnation}});
     }
-    return ended;
+    return cleared;
 }
 
-void TargetChooser::tellLimit(const std::string &incarnation, double requestsPerSecond)
+void TargetChooser::reportLimit(const std::string &incarnation, double requestsPerSecond)
 {
-    if (m_loads != nullptr) {
+    if (m_loadLink != nullptr) {
         LoadNotice notice = admissionNotice(incarnation);
         notice.heardLimit = requestsPerSecond;
-        m_loads->tell(notice);
+        m_loadLink->tell(notice);
     }
 }
 
-void TargetChooser::heardLimit(const std::string &incarnation, double requestsPerSecond, Instant askedAt)
+void TargetChooser::applyReportedLimit(const std::string &incarnation, double requestsPerSecond, Instant askedAt)
 {
     if (requestsPerSecond <= 0) {
         endLimit(incarnation, askedAt);
@@ -130,19 +130,19 @@
     }
 }
 
-void TargetChooser::renewLoads()
+void TargetChooser::refreshLoads()
 {
     for (const std::string &incarnation : m_balancer.targetsInUse()) {
-        tellLoad(incarnation);
+        reportLoad(incarnation);
     }
 }
 
 boost::asio::awaitable<std::optional<Placement>> TargetChooser::place(PlacementRequest request, double coldPerSecond)
 {
     std::vector<std::string> excluded(request.excluded.begin(), request.excluded.end());
-    for (int asked = 0; asked < s_admissionsAsked; ++asked) {
+    for (int queries = 0; queries < s_maxAdmissionQueries; ++queries) {
         request.excluded = excluded;
-        std::optional<Placement> placement = co_await leastLoaded(request);
+        std::optional<Placement> placement = co_await chooseLeastLoaded(request);
         if (!placement) {
             co_return std::nullopt;
         }
@@ -151,7 +151,7 @@
             co_return placement;
         }
         const Instant askedAt = steadyNow();
-        const bool admits = co_await admitted(*placement, rates);
+        const bool admits = co_await requestAdmission(*placement, rates);
         if (admits) {
             placement->sendBefore = askedAt + s_admissionLifetime;
             co_return placement;
@@ -160,14 +160,14 @@
     }
     request.excluded = excluded;
     request.skipAdmissionControlled = true;
-    std::optional<Placement> free = co_await leastLoaded(request);
-    co_return free;
+    std::optional<Placement> unrestricted = co_await chooseLeastLoaded(request);
+    co_return unrestricted;
 }
 
 LoadNotice TargetChooser::admissionNotice(const std::string &incarnation) const
 {
     LoadNotice notice = loadNotice(incarnation).value_or(LoadNotice{.incarnation = incarnation});
-    if (!m_routers.empty() && !m_loads->answers(notice.relay)) {
+    if (!m_routers.empty() && !m_loadLink->answers(notice.relay)) {
         const std::uint64_t hash = stableHash(incarnation);
         notice.relay = *std::ranges::max_element(m_routers, {}, [hash](const std::string &router) {
             return mixed(stableHash(router) ^ hash);
@@ -176,32 +176,32 @@
     return notice;
 }
 
-boost::asio::awaitable<bool> TargetChooser::admitted(Placement placement, AdmissionRates rates)
+boost::asio::awaitable<bool> TargetChooser::requestAdmission(Placement placement, AdmissionRates rates)
 {
     AdmissionAnswer answer;
-    if (m_loads != nullptr && m_options.admissions) {
+    if (m_loadLink != nullptr && m_options.centralAdmission) {
         LoadNotice notice =
             rates.limit > 0 ? admissionNotice(placement.incarnation) : loadNotice(placement.incarnation).value_or(LoadNotice{});
-        answer = co_await m_loads->askAdmission(std::move(notice), rates);
+        answer = co_await m_loadLink->askAdmission(std::move(notice), rates);
     }
     // Where nobody answers, others may still be admitted by whoever does not answer here: half of a limit is left to them.
-    const bool alone = answer.admission == Admission::NoRelay || (answer.admission == Admission::Unanswered && rates.cold <= 0);
-    if (alone) {
+    const bool noAnswer = answer.admission == Admission::NoRelay || (answer.admission == Admission::Unanswered && rates.cold <= 0);
+    if (noAnswer) {
         const AdmissionRates shared{.cold = rates.cold, .limit = rates.limit / 2};
         co_return m_shares.admit(placement.incarnation, shared.lowest(), steadyNow());
     }
     // Who admits may have said instead that the limit has ended.
-    const bool free = rates.cold <= 0 && !m_balancer.rateLimit(placement.incarnation);
-    const bool granted = free || answer.admission == Admission::Granted;
+    const bool unrestricted = rates.cold <= 0 && !m_balancer.rateLimit(placement.incarnation);
+    const bool granted = unrestricted || answer.admission == Admission::Granted;
     if (!granted) {
-        m_balancer.suspendUntil(placement.incarnation, steadyNow() + std::min(answer.wait, s_longestAdmissionWait));
+        m_balancer.suspendUntil(placement.incarnation, steadyNow() + std::min(answer.wait, s_maxAdmissionWait));
     }
     co_return granted;
 }
 
-boost::asio::awaitable<std::optional<Placement>> TargetChooser::leastLoaded(PlacementRequest request)
+boost::asio::awaitable<std::optional<Placement>> TargetChooser::chooseLeastLoaded(PlacementRequest request)
 {
-    const std::vector<std::string> candidates = m_balancer.candidates(request, m_options.targetsAsked, steadyNow());
+    const std::vector<std::string> candidates = m_balancer.candidates(request, m_options.candidatesQueried, steadyNow());
     std::vector<LoadNotice> notices;
     for (const std::string &candidate : candidates) {
         if (std::optional<LoadNotice> notice = loadNotice(candidate)) {
@@ -210,7 +210,7 @@
     }
     // A single candidate is chosen whatever its load.
     if (candidates.size() > 1 && !notices.empty()) {
-        co_await m_loads->ask(notices);
+        co_await m_loadLink->ask(notices);
         request.shortlist = candidates;
     }
     std::optional<Placement> placement = m_balancer.choose(request, steadyNow());
--- a/src/gateway/targetchooser.h
+++ b/src/gateway/targetchooser.h
@@ -25,18 +25,18 @@
     struct Options {
         /// Targets asked for their load before one is chosen. With two the busier of two is avoided; more bring little, and each takes a
         /// datagram either way.
-        std::size_t targetsAsked = 3;
+        std::size_t candidatesQueried = 3;
         /// This router's name among all of them.
         std::string self;
         /// Whether one process admits requests to a target that takes few, rather than shares of all routers.
-        bool admissions = true;
+        bool centralAdmission = true;
     };
 
     /// The board and the metrics outlive this.
     TargetChooser(TargetBalancer &balancer, Metrics &metrics, Options options);
 
     /// From now on loads of targets are asked for and told. The link outlives this.
-    void setLoads(LoadLink &loads);
+    void setLoadLink(LoadLink &link);
 
     /// The routers that live, this one included, by the addresses at which they answer questions about targets.
     void setRouters(std::span<const std::string> routers)
@@ -53,27 +53,27 @@
     void countSent(const std::string &incarnation);
 
     /// Tells the relay beside the target what this router has there now.
-    void tellLoad(const std::string &incarnation);
+    void reportLoad(const std::string &incarnation);
 
     /// Tells again what is under way at each target, so that the relays do not take this router for gone. Call once a second.
-    void renewLoads();
+    void refreshLoads();
 
     /// Takes what an answer to a request that was sent at that instant says about its target.
-    void noteTargetTerms(const std::string &incarnation, const AnswerTerms &answer, Instant sentAt);
+    void applyAnswerTerms(const std::string &incarnation, const AnswerTerms &answer, Instant sentAt);
 
 private:
     /// Chooses a target after it has asked a few for what others have there.
-    boost::asio::awaitable<std::optional<Placement>> leastLoaded(PlacementRequest request);
+    boost::asio::awaitable<std::optional<Placement>> chooseLeastLoaded(PlacementRequest request);
     /// Whether one request may go to a target that takes so few: by whoever admits requests there, or by this router's share of them.
-    boost::asio::awaitable<bool> admitted(Placement placement, AdmissionRates rates);
+    boost::asio::awaitable<bool> requestAdmission(Placement placement, AdmissionRates rates);
     /// The target takes so many requests a second from all routers together from now on.
     void setLimit(const std::string &incarnation, double requestsPerSecond);
     /// Something asked at that instant was answered without a limit. Returns whether that ends one.
     bool endLimit(const std::string &incarnation, Instant askedAt);
     /// Tells who admits requests to the target what the target said of its limit; 0: it has none any more.
-    void tellLimit(const std::string &incarnation, double requestsPerSecond);
+    void reportLimit(const std::string &incarnation, double requestsPerSecond);
     /// Other routers heard of the target's limit, as who admits requests there answered to a question of that instant.
-    void heardLimit(const std::string &incarnation, double requestsPerSecond, Instant askedAt);
+    void applyReportedLimit(const std::string &incarnation, double requestsPerSecond, Instant askedAt);
     /// What this router has at the target, for who admits requests there: the relay beside it, or else one of the routers, the same one for
     /// all.
     LoadNotice admissionNotice(const std::string &incarnation) const;
@@ -83,7 +83,7 @@
     TargetBalancer &m_balancer;
     Metrics &m_metrics;
     Options m_options;
-    LoadLink *m_loads = nullptr;
+    LoadLink *m_loadLink = nullptr;
     std::vector<std::string> m_routers;
     AdmissionShares m_shares;
 };
--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -49,7 +49,7 @@
         BOOST_REQUIRE(loadServer.open().ok());
         BOOST_REQUIRE(loads.open().ok());
         BOOST_REQUIRE(server.open().ok());
-        gateway.chooser().setLoads(loads);
+        gateway.chooser().setLoadLink(loads);
         gateway.chooser().setRouters(std::vector{loadAddress(0), loadAddress(1), loadAddress(2)});
         gateway.setPlan(testPlan());
     }
