--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -85,7 +85,7 @@
         , m_help(m_link, m_store, m_ledger, m_gateway, m_evacuations, documentTaker())
         , m_quarantine(m_store, m_gateway.guard())
         , m_targetFollower(
-              m_gateway.board(), m_detours, m_metrics, {.listingFrom = m_options.listingFrom, .host = m_options.callers.address})
+              m_gateway.board(), m_detours, m_metrics, {.decodeListing = m_options.listingFrom, .host = m_options.callers.address})
         , m_plans(m_store, planWatch())
         , m_targets(m_store, targetWatch())
         , m_callers(pool, callerOptions(), callerHandler())
@@ -381,12 +381,12 @@
                 .onAll =
                     [this](const std::vector<StoredRow> &rows) {
                         m_targetsKnown = true;
-                        m_targetFollower.all(rows, steadyNow());
+                        m_targetFollower.applyTable(rows, steadyNow());
                         m_gateway.targetsKnown();
                     },
                 .onChange =
                     [this](const StoredRow &row) {
-                        m_targetFollower.changed(row, steadyNow());
+                        m_targetFollower.applyChange(row, steadyNow());
                     },
                 .onReachable =
                     [this](bool reachable) {
--- a/src/gateway/targetfollower.cpp
+++ b/src/gateway/targetfollower.cpp
@@ -17,43 +17,43 @@
 {
 }
 
-void TargetFollower::all(std::span<const StoredRow> rows, Instant now)
+void TargetFollower::applyTable(std::span<const StoredRow> rows, Instant now)
 {
     std::vector<TargetListing> listings;
     std::vector<std::string> unusable;
-    m_versions.clear();
+    m_newestVersions.clear();
     for (const StoredRow &row : rows) {
-        m_versions[row.address.key] = row.version;
-        std::optional<TargetListing> listing = read(row);
+        m_newestVersions[row.address.key] = row.version;
+        std::optional<TargetListing> listing = readListing(row);
         if (listing) {
             listings.push_back(*std::move(listing));
         } else {
             unusable.push_back(row.address.key);
         }
     }
-    std::erase_if(m_unusable, [this](const auto &entry) {
-        return !m_versions.contains(entry.first);
+    std::erase_if(m_unusableReasons, [this](const auto &entry) {
+        return !m_newestVersions.contains(entry.first);
     });
-    countUnusable();
+    updateUnusableMetric();
     m_balancer.replaceAll(std::move(listings), now, unusable);
 }
 
-void TargetFollower::changed(const StoredRow &row, Instant now)
+void TargetFollower::applyChange(const StoredRow &row, Instant now)
 {
     const std::string &name = row.address.key;
     if (row.version == 0) {
         logLine(Severity::Info, "target.unlisted", {{"target", name}});
-        noteUsable(name);
+        recordUsable(name);
         m_balancer.removeListing(name, now);
         m_detours.unlisted(name);
         return;
     }
-    std::uint64_t &newest = m_versions[name];
+    std::uint64_t &newest = m_newestVersions[name];
     if (row.version < newest) {
         return;
     }
     newest = row.version;
-    std::optional<TargetListing> listing = read(row);
+    std::optional<TargetListing> listing = readListing(row);
     if (!listing) {
         m_balancer.markUnusable(name);
         return;
@@ -67,40 +67,41 @@
     m_balancer.updateListing(*std::move(listing), now);
 }
 
-std::optional<TargetListing> TargetFollower::read(const StoredRow &row)
+std::optional<TargetListing> TargetFollower::readListing(const StoredRow &row)
 {
-    absl::StatusOr<TargetListing> listing = m_options.listingFrom(row);
+    absl::StatusOr<TargetListing> listing = m_options.decodeListing(row);
     if (!listing.ok()) {
-        noteUnusable(row.address.key, toFailure(listing.status()).detail);
+        recordUnusable(row.address.key, toFailure(listing.status()).detail);
         return std::nullopt;
     }
-    noteUsable(row.address.key);
+    recordUsable(row.address.key);
     m_detours.listed(row.address.key, listing->relay, listing->failureDomain);
     return *std::move(listing);
 }
 
-void TargetFollower::noteUnusable(const std::string &name, const std::string &reason)
+void TargetFollower::recordUnusable(const std::string &name, const std::string &reason)
 {
-    const auto [known, added] = m_unusable.try_emplace(name, reason);
+    const auto [known, added] = m_unusableReasons.try_emplace(name, reason);
     if (!added && known->second == reason) {
         return;
     }
     known->second = reason;
     logLine(Severity::Error, "target.unusable", {{"target", name}, {"detail", reason}});
-    countUnusable();
+    updateUnusableMetric();
 }
 
-void TargetFollower::noteUsable(const std::string &name)
+void TargetFollower::recordUsable(const std::string &name)
 {
-    if (m_unusable.erase(name) > 0) {
+    if (m_unusableReasons.erase(name) > 0) {
         logLine(Severity::Info, "target.usable_again", {{"target", name}});
-        countUnusable();
+        updateUnusableMetric();
     }
 }
 
-void TargetFollower::countUnusable()
+void TargetFollower::updateUnusableMetric()
 {
-    m_metrics.gauge("target_records_unusable", {.name = "host", .value = m_options.host}, static_cast<std::int64_t>(m_unusable.size()));
+    m_metrics.gauge(
+        "target_records_unusable", {.name = "host", .value = m_options.host}, static_cast<std::int64_t>(m_unusableReasons.size()));
 }
 
 }
--- a/src/gateway/targetfollower.h
+++ b/src/gateway/targetfollower.h
@@ -28,7 +28,7 @@
 public:
     struct Options {
         /// Decodes a row; fails with InvalidDocument for one that names no target to use.
-        std::function<absl::StatusOr<TargetListing>(const StoredRow &)> listingFrom;
+        std::function<absl::StatusOr<TargetListing>(const StoredRow &)> decodeListing;
         /// Label of this router's metrics.
         std::string host;
     };
@@ -37,26 +37,26 @@
     TargetFollower(TargetBalancer &balancer, Detours &detours, Metrics &metrics, Options options);
 
     /// The list as of one moment.
-    void all(std::span<const StoredRow> rows, Instant now);
+    void applyTable(std::span<const StoredRow> rows, Instant now);
 
     /// A row that changed; version 0 when it was removed. An older one than the newest seen of its name is ignored.
-    void changed(const StoredRow &row, Instant now);
+    void applyChange(const StoredRow &row, Instant now);
 
 private:
     /// The row's listing; none when it cannot be used, which is noted.
-    std::optional<TargetListing> read(const StoredRow &row);
-    void noteUnusable(const std::string &name, const std::string &reason);
-    void noteUsable(const std::string &name);
-    void countUnusable();
+    std::optional<TargetListing> readListing(const StoredRow &row);
+    void recordUnusable(const std::string &name, const std::string &reason);
+    void recordUsable(const std::string &name);
+    void updateUnusableMetric();
 
     TargetBalancer &m_balancer;
     Detours &m_detours;
     Metrics &m_metrics;
     Options m_options;
     /// The newest version seen of each row, removed ones included until the next whole list.
-    std::map<std::string, std::uint64_t> m_versions;
+    std::map<std::string, std::uint64_t> m_newestVersions;
     /// Rows that cannot be used, by name, with the reason that was logged: rows are written every second, and one line a change is enough.
-    std::map<std::string, std::string> m_unusable;
+    std::map<std::string, std::string> m_unusableReasons;
 };
 
 }
--- a/src/tests/targetfollowertest.cpp
+++ b/src/tests/targetfollowertest.cpp
@@ -19,11 +19,11 @@
 absl::StatusOr<TargetListing> readRecord(const StoredRow &row)
 {
     const bool leaving = row.value.ends_with('l');
-    std::int64_t born = 0;
-    if (!absl::SimpleAtoi(row.value.substr(0, row.value.size() - (leaving ? 1 : 0)), &born)) {
+    std::int64_t start = 0;
+    if (!absl::SimpleAtoi(row.value.substr(0, row.value.size() - (leaving ? 1 : 0)), &start)) {
         return failed(FailureKind::InvalidDocument, absl::StrCat("no number: ", row.value));
     }
-    return TargetListing{.incarnation = absl::StrCat(row.address.key, "@", born),
+    return TargetListing{.incarnation = absl::StrCat(row.address.key, "@", start),
                          .service = "llm",
                          .address = "10.0.0.1:80",
                          .leaving = leaving,
@@ -35,17 +35,17 @@
     return {.address = {.table = "t", .part = "", .key = std::move(name)}, .value = std::move(value), .version = version};
 }
 
-struct Scene {
-    Scene()
+struct Fixture {
+    Fixture()
         : balancer({.failureDomain = "here"})
         , detours({.self = "me"})
-        , follower(balancer, detours, metrics, {.listingFrom = readRecord, .host = "me"})
+        , follower(balancer, detours, metrics, {.decodeListing = readRecord, .host = "me"})
     {
     }
 
     void changed(std::string name, std::string value, std::uint64_t version)
     {
-        follower.changed(record(std::move(name), std::move(value), version), s_now);
+        follower.applyChange(record(std::move(name), std::move(value), version), s_now);
     }
 
     /// Which life gets the next request; empty when none does.
@@ -69,76 +69,76 @@
 // prompts, and it rested for the failures of its former life.
 BOOST_AUTO_TEST_CASE(aNewLifeInheritsNothing)
 {
-    Scene scene;
-    scene.changed("a", "1000", 1);
+    Fixture fixture;
+    fixture.changed("a", "1000", 1);
     const std::vector<PromptPart> prompt{{.id = 1, .tokens = 5000}, {.id = 2, .tokens = 100}};
-    scene.balancer.requestSent("a@1000", prompt, 5100, s_now);
-    scene.balancer.firstByteReceived("a@1000", 5100, s_now);
-    scene.balancer.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
-    scene.changed("b", "1000", 2);
-    BOOST_TEST(scene.chosen() == "b@1000");
-    scene.changed("a", "2000", 3);
-    scene.balancer.requestSent("b@1000", prompt, 5100, s_now);
-    const auto placement = scene.balancer.choose({.service = "llm"}, s_now);
+    fixture.balancer.requestSent("a@1000", prompt, 5100, s_now);
+    fixture.balancer.firstByteReceived("a@1000", 5100, s_now);
+    fixture.balancer.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
+    fixture.changed("b", "1000", 2);
+    BOOST_TEST(fixture.chosen() == "b@1000");
+    fixture.changed("a", "2000", 3);
+    fixture.balancer.requestSent("b@1000", prompt, 5100, s_now);
+    const auto placement = fixture.balancer.choose({.service = "llm"}, s_now);
     BOOST_REQUIRE(placement);
     BOOST_TEST(placement->incarnation == "a@2000");
     BOOST_TEST(placement->name == "a");
-    BOOST_TEST(!scene.balancer.isKnown("a@1000"));
+    BOOST_TEST(!fixture.balancer.isKnown("a@1000"));
     // The former life's attempt ends late; it says nothing of the new one.
-    scene.balancer.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
-    scene.balancer.markLeaving("a@1000");
-    BOOST_TEST(scene.chosen() == "a@2000");
+    fixture.balancer.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
+    fixture.balancer.markLeaving("a@1000");
+    BOOST_TEST(fixture.chosen() == "a@2000");
 }
 
 // A target says that it leaves, ends, and starts again under its name: the new life is ready. Then the new one leaves, and the record of
 // the ready one arrives late.
 BOOST_AUTO_TEST_CASE(leavingBelongsToOneLife)
 {
-    Scene scene;
-    scene.changed("a", "1000l", 1);
-    BOOST_TEST(scene.chosen().empty());
-    scene.changed("a", "2000", 2);
-    BOOST_TEST(scene.chosen() == "a@2000");
-    scene.changed("a", "2000l", 3);
-    scene.changed("a", "2000", 4);
-    BOOST_TEST(scene.chosen().empty());
+    Fixture fixture;
+    fixture.changed("a", "1000l", 1);
+    BOOST_TEST(fixture.chosen().empty());
+    fixture.changed("a", "2000", 2);
+    BOOST_TEST(fixture.chosen() == "a@2000");
+    fixture.changed("a", "2000l", 3);
+    fixture.changed("a", "2000", 4);
+    BOOST_TEST(fixture.chosen().empty());
 }
 
 // The clock of a target's host is set back before the target starts again: the newer record says which life is the newer one.
 BOOST_AUTO_TEST_CASE(recordsAreOrderedByTheStoreNotByClocks)
 {
-    Scene scene;
-    scene.changed("a", "2000", 5);
-    scene.changed("a", "1000", 6);
-    BOOST_TEST(scene.chosen() == "a@1000");
-    scene.changed("a", "2000", 5);
-    BOOST_TEST(scene.chosen() == "a@1000");
+    Fixture fixture;
+    fixture.changed("a", "2000", 5);
+    fixture.changed("a", "1000", 6);
+    BOOST_TEST(fixture.chosen() == "a@1000");
+    fixture.changed("a", "2000", 5);
+    BOOST_TEST(fixture.chosen() == "a@1000");
 }
 
 // Somebody else writes into the list. The record of a target that could be read before was kept in use, and a word that stands for no
 // known state was taken for readiness.
 BOOST_AUTO_TEST_CASE(aRecordThatCannotBeUsedNamesNoTarget)
 {
-    Scene scene;
-    scene.changed("a", "1000", 1);
-    scene.changed("b", "1000", 2);
-    scene.changed("a", "?", 3);
-    BOOST_TEST(scene.chosen() == "b@1000");
-    scene.follower.all(std::vector{record("a", "?", 3), record("b", "??", 4)}, s_now);
-    BOOST_TEST(scene.chosen().empty());
-    BOOST_TEST(scene.metrics.text().find("target_records_unusable{host=\"me\"} 2") != std::string::npos);
-    scene.changed("a", "1000", 5);
-    BOOST_TEST(scene.chosen() == "a@1000");
+    Fixture fixture;
+    fixture.changed("a", "1000", 1);
+    fixture.changed("b", "1000", 2);
+    fixture.changed("a", "?", 3);
+    BOOST_TEST(fixture.chosen() == "b@1000");
+    fixture.follower.applyTable(std::vector{record("a", "?", 3), record("b", "??", 4)}, s_now);
+    BOOST_TEST(fixture.chosen().empty());
+    BOOST_TEST(fixture.metrics.text().find("target_records_unusable{host=\"me\"} 2") != std::string::npos);
+    fixture.changed("a", "1000", 5);
+    BOOST_TEST(fixture.chosen() == "a@1000");
 }
 
 // The same while the store is in trouble, when entries that vanished are doubted and stay in use.
 BOOST_AUTO_TEST_CASE(anUnusableRecordIsNotDoubted)
 {
-    Scene scene;
-    scene.changed("a", "1000", 1);
-    scene.balancer.setStoreReachable(false, s_now);
-    scene.follower.all(std::vector{record("a", "?", 2)}, s_now);
-    BOOST_TEST(scene.chosen().empty());
+    Fixture fixture;
+    fixture.changed("a", "1000", 1);
+    fixture.balancer.setStoreReachable(false, s_now);
+    fixture.follower.applyTable(std::vector{record("a", "?", 2)}, s_now);
+    BOOST_TEST(fixture.chosen().empty());
 }
 
 // Records in any order, answers of any life at any time: the board sends only to the life of the newest record, and only if that one is
@@ -146,42 +146,42 @@
 BOOST_AUTO_TEST_CASE(onlyTheNewestRecordCounts)
 {
     const bool holds = rc::check("the newest record counts", [] {
-        Scene scene;
+        Fixture fixture;
         // Version 0 would be a removal.
         std::uint64_t newest = 1;
-        bool any = false;
+        bool anyRecord = false;
         std::string expected;
-        std::string born;
-        bool left = false;
+        std::string start;
+        bool leftAlready = false;
         const int steps = *rc::gen::inRange(1, 40);
         for (int step = 0; step < steps; ++step) {
             const int kind = *rc::gen::inRange(0, 6);
-            const std::string life = absl::StrCat("a@", *rc::gen::inRange(1, 4));
+            const std::string affected = absl::StrCat("a@", *rc::gen::inRange(1, 4));
             if (kind == 0) {
-                scene.balancer.attemptEnded(life, HealthSignal::Success, s_now);
+                fixture.balancer.attemptEnded(affected, HealthSignal::Success, s_now);
             } else if (kind == 1) {
-                scene.balancer.requestSent(life, {}, 0, s_now);
+                fixture.balancer.requestSent(affected, {}, 0, s_now);
             } else {
                 const std::uint64_t version = newest + static_cast<std::uint64_t>(*rc::gen::inRange(0, 3));
-                const bool spoilt = kind == 2;
+                const bool unreadable = kind == 2;
                 const bool leaving = kind == 3;
-                const std::string next = life.substr(2);
-                if (version <= newest && any && !spoilt) {
+                const std::string next = affected.substr(2);
+                if (version <= newest && anyRecord && !unreadable) {
                     // A late copy of an older record.
-                    scene.changed("a", next, newest - 1);
-                    RC_ASSERT(scene.chosen() == expected);
+                    fixture.changed("a", next, newest - 1);
+                    RC_ASSERT(fixture.chosen() == expected);
                     continue;
                 }
                 newest = version + 1;
-                any = true;
-                scene.changed("a", spoilt ? "?" : next + (leaving ? "l" : ""), newest);
-                if (!spoilt) {
-                    left = leaving || (left && next == born);
-                    born = next;
+                anyRecord = true;
+                fixture.changed("a", unreadable ? "?" : next + (leaving ? "l" : ""), newest);
+                if (!unreadable) {
+                    leftAlready = leaving || (leftAlready && next == start);
+                    start = next;
                 }
-                expected = spoilt || left ? std::string() : life;
+                expected = unreadable || leftAlready ? std::string() : affected;
             }
-            RC_ASSERT(scene.chosen() == expected);
+            RC_ASSERT(fixture.chosen() == expected);
         }
     });
     BOOST_TEST(holds);
