--- a/src/gateway/evacuationfollower.cpp
+++ b/src/gateway/evacuationfollower.cpp
@@ -17,9 +17,9 @@
 {
 }
 
-std::optional<std::string> EvacuationFollower::domainOf(const StoredRow &row) const
+std::optional<std::string> EvacuationFollower::readDomain(const StoredRow &row) const
 {
-    absl::StatusOr<std::optional<std::string>> domain = m_options.domainFrom(row);
+    absl::StatusOr<std::optional<std::string>> domain = m_options.decodeDomain(row);
     if (!domain.ok()) {
         logLine(Severity::Error, "evacuation.unreadable", {{"key", row.address.key}, {"detail", toFailure(domain.status()).detail}});
         return std::nullopt;
@@ -27,40 +27,40 @@
     return *std::move(domain);
 }
 
-void EvacuationFollower::all(std::span<const StoredRow> rows)
+void EvacuationFollower::applyTable(std::span<const StoredRow> rows)
 {
     std::set<std::string> domains;
     for (const StoredRow &row : rows) {
-        if (std::optional<std::string> domain = domainOf(row)) {
+        if (std::optional<std::string> domain = readDomain(row)) {
             domains.insert(*std::move(domain));
         }
     }
     m_evacuations.readWhole(std::move(domains));
 }
 
-void EvacuationFollower::changed(const StoredRow &row)
+void EvacuationFollower::applyChange(const StoredRow &row)
 {
-    if (const std::optional<std::string> domain = domainOf(row)) {
+    if (const std::optional<std::string> domain = readDomain(row)) {
         m_evacuations.changed(*domain, row.version != 0);
     }
 }
 
-void EvacuationFollower::storeAsOf(std::uint64_t version, Instant now)
+void EvacuationFollower::commitStoreVersion(std::uint64_t version, Instant now)
 {
     if (m_evacuations.storeAsOf(version)) {
-        putInForce("store", now);
+        activate("store", now);
         m_options.announce(*inForce());
     }
 }
 
-void EvacuationFollower::heard(const Evacuations::State &state, Instant now)
+void EvacuationFollower::applyPeerState(const Evacuations::State &state, Instant now)
 {
     if (m_evacuations.heard(state)) {
-        putInForce("peer", now);
+        activate("peer", now);
     }
 }
 
-void EvacuationFollower::putInForce(std::string_view source, Instant now)
+void EvacuationFollower::activate(std::string_view source, Instant now)
 {
     const Evacuations::State &state = *inForce();
     logLine(Severity::Info,
--- a/src/gateway/evacuationfollower.h
+++ b/src/gateway/evacuationfollower.h
@@ -24,7 +24,7 @@
 public:
     struct Options {
         /// The failure domain that a row evacuates; none for a row that is no such order; InvalidDocument for one that names no domain.
-        std::function<absl::StatusOr<std::optional<std::string>>(const StoredRow &)> domainFrom;
+        std::function<absl::StatusOr<std::optional<std::string>>(const StoredRow &)> decodeDomain;
         /// Called with what the store has changed, for peers that do not hear of it from the store.
         std::function<void(const Evacuations::State &)> announce = [](const Evacuations::State &) {};
         /// Label of this router's metrics.
@@ -35,16 +35,16 @@
     EvacuationFollower(TargetBalancer &balancer, Metrics &metrics, Options options);
 
     /// The table as of one moment.
-    void all(std::span<const StoredRow> rows);
+    void applyTable(std::span<const StoredRow> rows);
 
     /// A row that changed; version 0 when it was removed.
-    void changed(const StoredRow &row);
+    void applyChange(const StoredRow &row);
 
     /// What was told so far is the store's state as of this version; from now on it is in force.
-    void storeAsOf(std::uint64_t version, Instant now);
+    void commitStoreVersion(std::uint64_t version, Instant now);
 
     /// A peer's state.
-    void heard(const Evacuations::State &state, Instant now);
+    void applyPeerState(const Evacuations::State &state, Instant now);
 
     /// What is in force; none until the store or a peer has told.
     const std::optional<Evacuations::State> &inForce() const
@@ -53,8 +53,8 @@
     }
 
 private:
-    std::optional<std::string> domainOf(const StoredRow &row) const;
-    void putInForce(std::string_view source, Instant now);
+    std::optional<std::string> readDomain(const StoredRow &row) const;
+    void activate(std::string_view source, Instant now);
 
     TargetBalancer &m_balancer;
     Metrics &m_metrics;
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -313,26 +313,26 @@
         return {.table = m_options.planTable,
                 .onAll =
                     [this](const std::vector<StoredRow> &rows) {
-                        m_evacuations.all(rows);
+                        m_evacuations.applyTable(rows);
                         for (const StoredRow &row : rows) {
                             takePlan(row);
                         }
                     },
                 .onChange =
                     [this](const StoredRow &row) {
-                        m_evacuations.changed(row);
+                        m_evacuations.applyChange(row);
                         takePlan(row);
                     },
                 .onReachable = [](bool) {},
                 .onVersion =
                     [this](std::uint64_t version) {
-                        m_evacuations.storeAsOf(version, steadyNow());
+                        m_evacuations.commitStoreVersion(version, steadyNow());
                     }};
     }
 
     EvacuationFollower::Options evacuationOptions()
     {
-        return {.domainFrom = m_options.evacuationFrom,
+        return {.decodeDomain = m_options.evacuationFrom,
                 .announce =
                     [this](const Evacuations::State &state) {
                         m_link.announceEvacuations(toWire(state));
--- a/src/gateway/peerhelp.h
+++ b/src/gateway/peerhelp.h
@@ -81,7 +81,7 @@
             });
         shareCrashes();
         m_link.onEvacuations([this](const wire::EvacuationNotice &notice) {
-            m_evacuations.heard(fromWire(notice), steadyNow());
+            m_evacuations.applyPeerState(fromWire(notice), steadyNow());
         });
         m_ledger.onShortage(
             [this](std::string team, Tokens asked, std::vector<std::string> lenders) {
@@ -383,7 +383,7 @@
         m_piecePatience.answered(now - begun);
         const wire::PlanDocument &document = answer->plan();
         if (document.has_evacuations()) {
-            m_evacuations.heard(fromWire(document.evacuations()), now);
+            m_evacuations.applyPeerState(fromWire(document.evacuations()), now);
         }
         const std::optional<std::string> whole = m_seeker.answered(ask.peer,
                                                                    {.version = document.version(),
--- a/src/tests/evacuationfollowertest.cpp
+++ b/src/tests/evacuationfollowertest.cpp
@@ -11,7 +11,7 @@
 constexpr Instant s_now{std::chrono::seconds(100)};
 
 /// Rows of this test: "empty DOMAIN" evacuates; "empty " names no domain; all others are no orders.
-absl::StatusOr<std::optional<std::string>> domainOf(const StoredRow &row)
+absl::StatusOr<std::optional<std::string>> decodeOrder(const StoredRow &row)
 {
     const std::string_view prefix = "empty ";
     if (!row.address.key.starts_with(prefix)) {
@@ -35,12 +35,12 @@
         .incarnation = std::move(name), .service = "llm", .address = "10.0.0.1:80", .failureDomain = std::move(domain), .warmup = warmup};
 }
 
-struct Scene {
-    Scene()
+struct Fixture {
+    Fixture()
         : balancer({.failureDomain = "here"})
         , follower(balancer,
                    metrics,
-                   {.domainFrom = domainOf,
+                   {.decodeDomain = decodeOrder,
                     .announce =
                         [this](const Evacuations::State &state) {
                             announced.push_back(state);
@@ -52,14 +52,14 @@
 
     void all(std::vector<StoredRow> rows, std::uint64_t version)
     {
-        follower.all(rows);
-        follower.storeAsOf(version, s_now);
+        follower.applyTable(rows);
+        follower.commitStoreVersion(version, s_now);
     }
 
     void changed(const StoredRow &row, std::uint64_t version)
     {
-        follower.changed(row);
-        follower.storeAsOf(version, s_now);
+        follower.applyChange(row);
+        follower.commitStoreVersion(version, s_now);
     }
 
     std::optional<Placement> choose(Instant now = s_now) const
@@ -80,71 +80,71 @@
 // Guards against requests to a domain that its operators are emptying: also to a target that is listed after the order, or again.
 BOOST_AUTO_TEST_CASE(evacuatedDomainGetsNothing)
 {
-    Scene scene;
-    scene.changed(order("empty here", 7), 7);
-    BOOST_TEST(scene.choose()->incarnation == "other");
-    BOOST_TEST((scene.balancer.outOfServiceReason("one") == OutOfServiceReason::Evacuated));
-    scene.balancer.updateListing(target("later", "here"), s_now);
-    scene.balancer.updateListing(target("one", "here"), s_now);
-    BOOST_TEST(scene.choose()->incarnation == "other");
-    BOOST_TEST(scene.announced.size() == 1U);
+    Fixture fixture;
+    fixture.changed(order("empty here", 7), 7);
+    BOOST_TEST(fixture.choose()->incarnation == "other");
+    BOOST_TEST((fixture.balancer.outOfServiceReason("one") == OutOfServiceReason::Evacuated));
+    fixture.balancer.updateListing(target("later", "here"), s_now);
+    fixture.balancer.updateListing(target("one", "here"), s_now);
+    BOOST_TEST(fixture.choose()->incarnation == "other");
+    BOOST_TEST(fixture.announced.size() == 1U);
 }
 
 // Guards against an order that is read before any target of its domain is known, as by a router that starts.
 BOOST_AUTO_TEST_CASE(orderMayComeBeforeItsTargets)
 {
-    Scene scene;
-    scene.balancer.replaceAll({}, s_now);
-    scene.all({order("empty here", 3), order("config", 4)}, 4);
-    scene.balancer.replaceAll({target("one", "here")}, s_now);
-    BOOST_TEST(!scene.choose().has_value());
+    Fixture fixture;
+    fixture.balancer.replaceAll({}, s_now);
+    fixture.all({order("empty here", 3), order("config", 4)}, 4);
+    fixture.balancer.replaceAll({target("one", "here")}, s_now);
+    BOOST_TEST(!fixture.choose().has_value());
 }
 
 // Guards against a domain that stays empty after its order was taken back, by a change or by its absence from a whole read.
 BOOST_AUTO_TEST_CASE(takenBackDomainServesAgain)
 {
-    Scene scene;
-    scene.all({order("empty here", 3), order("empty there", 4)}, 4);
-    BOOST_TEST(!scene.choose().has_value());
-    scene.changed(order("empty here", 0), 5);
-    BOOST_TEST(scene.choose()->incarnation == "one");
-    scene.changed(order("empty here", 6), 6);
-    BOOST_TEST(!scene.choose().has_value());
-    scene.all({}, 7);
-    BOOST_TEST(scene.choose().has_value());
+    Fixture fixture;
+    fixture.all({order("empty here", 3), order("empty there", 4)}, 4);
+    BOOST_TEST(!fixture.choose().has_value());
+    fixture.changed(order("empty here", 0), 5);
+    BOOST_TEST(fixture.choose()->incarnation == "one");
+    fixture.changed(order("empty here", 6), 6);
+    BOOST_TEST(!fixture.choose().has_value());
+    fixture.all({}, 7);
+    BOOST_TEST(fixture.choose().has_value());
 }
 
 // Guards against a burst at targets that became cold while their domain was empty, before their records say so.
 BOOST_AUTO_TEST_CASE(takenBackTargetsMayBeCold)
 {
-    Scene scene;
-    scene.all({order("empty here", 3), order("empty there", 4)}, 4);
-    BOOST_TEST(!scene.choose().has_value());
-    scene.all({}, 5);
-    BOOST_TEST(scene.choose()->cold);
-    BOOST_TEST(!scene.choose(s_now + std::chrono::seconds(3))->cold);
+    Fixture fixture;
+    fixture.all({order("empty here", 3), order("empty there", 4)}, 4);
+    BOOST_TEST(!fixture.choose().has_value());
+    fixture.all({}, 5);
+    BOOST_TEST(fixture.choose()->cold);
+    BOOST_TEST(!fixture.choose(s_now + std::chrono::seconds(3))->cold);
 }
 
 // Guards against a record with an empty name that empties the fleet, or hides the orders beside it.
 BOOST_AUTO_TEST_CASE(unreadableOrderHarmsNoOther)
 {
-    Scene scene;
-    scene.all({order("empty ", 3), order("empty here", 4)}, 4);
-    BOOST_TEST(scene.choose()->incarnation == "other");
+    Fixture fixture;
+    fixture.all({order("empty ", 3), order("empty here", 4)}, 4);
+    BOOST_TEST(fixture.choose()->incarnation == "other");
 }
 
 // Guards against a router that is cut off from the store and goes on sending to a domain of which its peers know that it is evacuated.
 BOOST_AUTO_TEST_CASE(peersTellOfOrders)
 {
-    Scene scene;
-    scene.all({}, 4);
-    scene.follower.heard({.version = 9, .domains = {"here"}}, s_now);
-    BOOST_TEST(scene.choose()->incarnation == "other");
+    Fixture fixture;
+    fixture.all({}, 4);
+    fixture.follower.applyPeerState({.version = 9, .domains = {"here"}}, s_now);
+    BOOST_TEST(fixture.choose()->incarnation == "other");
     // The store's feed is behind the peer.
-    scene.follower.storeAsOf(6, s_now);
-    BOOST_TEST(scene.choose()->incarnation == "other");
-    scene.follower.storeAsOf(10, s_now);
-    BOOST_TEST(scene.choose()->incarnation == "one");
+    fixture.follower.commitStoreVersion(6, s_now);
+    BOOST_TEST(fixture.choose()->incarnation == "other");
+    fixture.follower.commitStoreVersion(10, s_now);
+    BOOST_TEST(fixture.choose()->incarnation == "one");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
