--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -4,7 +4,7 @@
 #include "budget/ledgerkeeper.h"
 #include "gateway/gateway.h"
 #include "gateway/mechanisms.h"
-#include "gateway/peerhelp.h"
+#include "gateway/peerexchange.h"
 #include "gateway/targetfollower.h"
 #include "membership/routerregistry.h"
 #include "quarantine/quarantinekeeper.h"
@@ -128,13 +128,13 @@
         asio::co_spawn(m_executor, m_registry.run(m_options.together), asio::detached);
         asio::co_spawn(m_executor, m_plans.run(), asio::detached);
         if (!m_options.together) {
-            asio::co_spawn(m_executor, m_help.seekFirstPlan(), asio::detached);
+            asio::co_spawn(m_executor, m_help.fetchInitialPlan(), asio::detached);
         }
         asio::co_spawn(m_executor, m_targets.run(), asio::detached);
         if (m_options.mechanisms.quarantine) {
             asio::co_spawn(m_executor, m_quarantine.run(), asio::detached);
             if (!m_options.together) {
-                asio::co_spawn(m_executor, m_help.learnCrashes(), asio::detached);
+                asio::co_spawn(m_executor, m_help.fetchKnownCrashes(), asio::detached);
             }
         }
         asio::co_spawn(m_executor, expireTargets(), asio::detached);
@@ -371,7 +371,7 @@
                 {{"version", version}, {"bytes", static_cast<std::int64_t>(row.value.size())}});
         if (newer) {
             m_metrics.gauge("plan_version", {.name = "host", .value = m_options.callers.address}, version);
-            m_help.announce(row.value);
+            m_help.publishPlan(row.value);
         }
     }
 
@@ -471,7 +471,7 @@
     LoadServer m_loadServer;
     LoadLink m_loads;
     EvacuationFollower m_evacuations;
-    PeerHelp<Store> m_help;
+    PeerExchange<Store> m_help;
     QuarantineKeeper<Relayed> m_quarantine;
     TargetFollower m_targetFollower;
     TableWatcher<Relayed> m_plans;
--- a/src/gateway/peerhelp.h
+++ b/src/gateway/peerexchange.h
@@ -33,107 +33,107 @@
 /// What routers do for each other: carry store calls, lend tokens, pass configurations on. Answers peers' calls and makes this router's
 /// own.
 template<RowStore Store>
-class PeerHelp
+class PeerExchange
 {
 public:
     struct Options {
         /// Peers answer within a few milliseconds.
         Duration peerTimeout = std::chrono::milliseconds(120);
         /// A loan that comes later than that is taken as long as this.
-        Duration longestLoan = std::chrono::seconds(3);
+        Duration maxLoanWait = std::chrono::seconds(3);
         /// For a piece of a configuration, which may queue behind callers' answers on a slow link.
-        Patience::Options piecePatience{.least = std::chrono::milliseconds(800), .most = std::chrono::seconds(3)};
+        Patience::Options pieceTimeout{.least = std::chrono::milliseconds(800), .most = std::chrono::seconds(3)};
         /// A router without a configuration asks this often whether a peer has one.
-        Duration firstPlanPause = std::chrono::milliseconds(250);
+        Duration initialPlanInterval = std::chrono::milliseconds(250);
         /// Peers asked for one loan. Each of a large fleet holds about as much as the next.
-        std::size_t lendersAsked = 4;
+        std::size_t maxLenders = 4;
         /// Peers that tell a router, when it starts, what they know of crashes; how many it asks for that at the most, as many may have
         /// started with it, and for how long it looks for them.
-        std::size_t crashAnswers = 3;
-        std::size_t mostCrashQueries = 9;
-        Duration longestCrashQuery = std::chrono::seconds(5);
+        std::size_t crashAnswersWanted = 3;
+        std::size_t maxCrashQueries = 9;
+        Duration maxCrashQueryTime = std::chrono::seconds(5);
         /// A peer that did not answer is not asked for a loan for this long: each such wait is a caller's.
-        Duration silencePause = std::chrono::seconds(1);
+        Duration unresponsiveBackoff = std::chrono::seconds(1);
     };
 
     /// `takeDocument` is given a configuration that came from a peer.
-    PeerHelp(PeerLink &link,
-             RelayedStore<Store> &store,
-             TeamLedger &ledger,
-             Gateway &gateway,
-             EvacuationFollower &evacuations,
-             std::function<void(const std::string &)> takeDocument)
+    PeerExchange(PeerLink &link,
+                 RelayedStore<Store> &store,
+                 TeamLedger &ledger,
+                 Gateway &gateway,
+                 EvacuationFollower &evacuations,
+                 std::function<void(const std::string &)> acceptDocument)
         : m_link(link)
         , m_store(store)
         , m_ledger(ledger)
         , m_gateway(gateway)
         , m_evacuations(evacuations)
-        , m_takeDocument(std::move(takeDocument))
+        , m_acceptDocument(std::move(acceptDocument))
         , m_seeker({.self = link.self()})
-        , m_piecePatience(m_options.piecePatience)
+        , m_pieceTimeout(m_options.pieceTimeout)
     {
         m_link.serve(
             [this](wire::PeerCall call) {
                 return serve(std::move(call));
             },
             [this](const std::string &peer, std::uint64_t version) {
-                hearOfPlan(peer, version);
+                notePeerPlan(peer, version);
             });
-        shareCrashes();
+        connectCrashReports();
         m_link.onEvacuations([this](const wire::EvacuationNotice &notice) {
             m_evacuations.applyPeerState(fromWire(notice), steadyNow());
         });
         m_ledger.onShortage(
             [this](std::string team, Tokens asked, std::vector<std::string> lenders) {
-                return borrow(std::move(team), asked, std::move(lenders));
+                return borrowTokens(std::move(team), asked, std::move(lenders));
             },
             [this](const std::string &peer, const std::string &team, Tokens tokens) {
-                asio::co_spawn(m_link.executor(), give(peer, team, tokens), asio::detached);
+                asio::co_spawn(m_link.executor(), sendTokens(peer, team, tokens), asio::detached);
             });
     }
 
     /// A newer configuration is in force here: tells every peer, and gives the document to those who ask.
-    void announce(std::string document)
+    void publishPlan(std::string document)
     {
         m_source.set(m_gateway.plan()->version(), std::move(document));
         m_link.announcePlan(m_gateway.plan()->version());
     }
 
     /// A router that starts while the store is away takes its first configuration from a peer.
-    asio::awaitable<void> seekFirstPlan()
+    asio::awaitable<void> fetchInitialPlan()
     {
         // What they have is not known yet; any version is newer than none.
-        constexpr std::uint64_t anyVersion = 1;
+        constexpr std::uint64_t lowestVersion = 1;
         while (m_gateway.plan() == nullptr) {
             for (const std::string &peer : m_link.peers()) {
-                hearOfPlan(peer, anyVersion);
+                notePeerPlan(peer, lowestVersion);
             }
-            co_await pause(m_options.firstPlanPause);
+            co_await pause(m_options.initialPlanInterval);
         }
     }
 
     /// A router that starts asks some peers what they know of crashes: what it knew itself has ended with it.
-    asio::awaitable<void> learnCrashes()
+    asio::awaitable<void> fetchKnownCrashes()
     {
-        const Instant begun = steadyNow();
+        const Instant startedAt = steadyNow();
         std::size_t answers = 0;
         std::set<std::string> asked;
-        while (answers < m_options.crashAnswers && asked.size() < m_options.mostCrashQueries
-               && steadyNow() < begun + m_options.longestCrashQuery) {
-            const std::optional<std::string> peer = nextPeer(asked);
+        while (answers < m_options.crashAnswersWanted && asked.size() < m_options.maxCrashQueries
+               && steadyNow() < startedAt + m_options.maxCrashQueryTime) {
+            const std::optional<std::string> peer = nextUnaskedPeer(asked);
             if (!peer) {
-                co_await pause(m_options.firstPlanPause);
+                co_await pause(m_options.initialPlanInterval);
                 continue;
             }
             asked.insert(*peer);
-            const bool answered = co_await askCrashes(*peer);
+            const bool answered = co_await requestCrashes(*peer);
             answers += answered ? 1 : 0;
         }
     }
 
 private:
     /// A peer that was not asked yet: the next ones by address, so that routers which start together ask different ones.
-    std::optional<std::string> nextPeer(const std::set<std::string> &asked) const
+    std::optional<std::string> nextUnaskedPeer(const std::set<std::string> &asked) const
     {
         std::vector<std::string> peers = m_link.peers();
         std::rotate(peers.begin(), std::upper_bound(peers.begin(), peers.end(), m_link.self()), peers.end());
@@ -145,8 +145,8 @@
 
     /// A loan that one peer was asked for.
     struct PendingLoan {
-        PendingLoan(const asio::any_io_executor &executor, std::string ofTeam, Tokens tokens)
-            : team(std::move(ofTeam))
+        PendingLoan(const asio::any_io_executor &executor, std::string teamName, Tokens tokens)
+            : team(std::move(teamName))
             , asked(tokens)
             , answered(executor)
         {
@@ -157,11 +157,11 @@
         Signal answered;
         std::optional<TeamLedger::Loan> answer;
         /// False once whoever needed it has gone on without.
-        bool waitedFor = true;
+        bool awaited = true;
     };
 
     /// What crashes targets is seen in pieces: each copy of a request may come to another router.
-    void shareCrashes()
+    void connectCrashReports()
     {
         PoisonGuard &guard = m_gateway.guard();
         guard.setAnnouncers(
@@ -198,7 +198,7 @@
             co_return answer;
         }
         if (call.has_plan()) {
-            givePiece(call.plan(), answer);
+            answerPlanRequest(call.plan(), answer);
             co_return answer;
         }
         if (call.has_crashes()) {
@@ -213,7 +213,7 @@
     }
 
     /// True when the peer answered.
-    asio::awaitable<bool> askCrashes(std::string peer)
+    asio::awaitable<bool> requestCrashes(std::string peer)
     {
         wire::PeerCall call;
         call.mutable_crashes();
@@ -229,25 +229,25 @@
     }
 
     /// Asks peers for tokens, one after the other, until there are enough. One that did not answer lately is left out.
-    asio::awaitable<TeamLedger::Loan> borrow(std::string team, Tokens asked, std::vector<std::string> lenders)
+    asio::awaitable<TeamLedger::Loan> borrowTokens(std::string team, Tokens asked, std::vector<std::string> lenders)
     {
         TeamLedger::Loan total;
         std::erase_if(lenders, [this](const std::string &peer) {
-            const auto silent = m_silentUntil.find(peer);
-            return silent != m_silentUntil.end() && steadyNow() < silent->second;
+            const auto backoff = m_backoffUntil.find(peer);
+            return backoff != m_backoffUntil.end() && steadyNow() < backoff->second;
         });
-        lenders.resize(std::min(lenders.size(), m_options.lendersAsked));
+        lenders.resize(std::min(lenders.size(), m_options.maxLenders));
         for (const std::string &peer : lenders) {
             if (total.tokens >= asked) {
                 break;
             }
             const auto loan = std::make_shared<PendingLoan>(m_link.executor(), team, asked - total.tokens);
-            asio::co_spawn(m_link.executor(), askLoan(peer, loan), asio::detached);
+            asio::co_spawn(m_link.executor(), requestLoan(peer, loan), asio::detached);
             co_await loan->answered.wait(m_options.peerTimeout);
-            loan->waitedFor = false;
+            loan->awaited = false;
             if (!loan->answer) {
                 logLine(Severity::Warning, "budget.loan_late", {{"team", team}, {"peer", peer}, {"asked", loan->asked}});
-                m_silentUntil[peer] = steadyNow() + m_options.silencePause;
+                m_backoffUntil[peer] = steadyNow() + m_options.unresponsiveBackoff;
                 continue;
             }
             total.tokens += loan->answer->tokens;
@@ -258,18 +258,18 @@
 
     /// Asks one peer. An answer that comes when nobody waits for it any more is still the team's: the lender has counted it as spent, so it
     /// would be lost to the team.
-    asio::awaitable<void> askLoan(std::string peer, std::shared_ptr<PendingLoan> loan)
+    asio::awaitable<void> requestLoan(std::string peer, std::shared_ptr<PendingLoan> loan)
     {
         wire::PeerCall call;
         call.mutable_loan()->set_team(loan->team);
         call.mutable_loan()->set_tokens(loan->asked);
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.longestLoan);
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.maxLoanWait);
         if (!answer.ok()) {
             // What the peer may have set aside for this is lost to the team.
             logLine(Severity::Warning, "budget.loan_unanswered", {{"team", loan->team}, {"peer", peer}, {"asked", loan->asked}});
             co_return;
         }
-        if (!loan->waitedFor) {
+        if (!loan->awaited) {
             m_ledger.takeGift(loan->team, answer->lent().tokens());
             co_return;
         }
@@ -278,7 +278,7 @@
     }
 
     /// What does not arrive is lost to the team; sent twice it could be spent twice.
-    asio::awaitable<void> give(std::string peer, std::string team, Tokens tokens)
+    asio::awaitable<void> sendTokens(std::string peer, std::string team, Tokens tokens)
     {
         wire::PeerCall call;
         call.mutable_gift()->set_team(team);
@@ -289,7 +289,7 @@
         }
     }
 
-    void givePiece(const wire::PlanRequest &request, wire::PeerAnswer &answer)
+    void answerPlanRequest(const wire::PlanRequest &request, wire::PeerAnswer &answer)
     {
         const PlanSeeker::Ask ask{.peer = request.asker(),
                                   .newerThan = request.newer_than(),
@@ -319,20 +319,20 @@
     }
 
     /// A peer has a newer configuration. Most often the store brings it within moments; where it does not, the peer does.
-    void hearOfPlan(const std::string &peer, std::uint64_t version)
+    void notePeerPlan(const std::string &peer, std::uint64_t version)
     {
         m_seeker.heard(peer, version, steadyNow());
-        if (!m_seeking) {
-            m_seeking = true;
-            asio::co_spawn(m_link.executor(), seekPlan(), asio::detached);
+        if (!m_seekerRunning) {
+            m_seekerRunning = true;
+            asio::co_spawn(m_link.executor(), fetchNewerPlans(), asio::detached);
         }
     }
 
     /// Takes what the seeker decides to take, until there is nothing newer to be had.
-    asio::awaitable<void> seekPlan()
+    asio::awaitable<void> fetchNewerPlans()
     {
         while (true) {
-            noteInForce();
+            updateSeeker();
             const std::optional<Instant> due = m_seeker.due();
             if (!due) {
                 break;
@@ -340,16 +340,16 @@
             const Instant now = steadyNow();
             const std::optional<PlanSeeker::Ask> ask = m_seeker.next(now);
             if (ask) {
-                co_await askForPiece(*ask);
+                co_await requestPlanPiece(*ask);
             } else {
                 // What is sought may arrive from the store in the meantime, so a long wait is taken in steps.
-                co_await pause(std::clamp(Duration(*due - now), s_shortestStep, s_longestStep));
+                co_await pause(std::clamp(Duration(*due - now), s_minSeekInterval, s_maxSeekInterval));
             }
         }
-        m_seeking = false;
+        m_seekerRunning = false;
     }
 
-    void noteInForce()
+    void updateSeeker()
     {
         m_seeker.setStoreReachable(m_store.directReachable());
         if (m_gateway.plan()) {
@@ -357,7 +357,7 @@
         }
     }
 
-    asio::awaitable<void> askForPiece(PlanSeeker::Ask ask)
+    asio::awaitable<void> requestPlanPiece(PlanSeeker::Ask ask)
     {
         wire::PeerCall call;
         wire::PlanRequest &request = *call.mutable_plan();
@@ -366,11 +366,11 @@
         request.set_offset(ask.offset);
         request.set_most_bytes(ask.mostBytes);
         request.set_asker(m_link.self());
-        const Instant begun = steadyNow();
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(ask.peer, std::move(call), m_piecePatience.current());
+        const Instant startedAt = steadyNow();
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(ask.peer, std::move(call), m_pieceTimeout.current());
         const Instant now = steadyNow();
         if (!answer.ok()) {
-            m_piecePatience.missed();
+            m_pieceTimeout.missed();
             logLine(Severity::Warning,
                     "plan.fetch_failed",
                     {{"peer", ask.peer}, {"offset", static_cast<std::int64_t>(ask.offset)}, {"detail", toFailure(answer.status()).detail}});
@@ -380,7 +380,7 @@
             m_seeker.failed(ask.peer, now);
             co_return;
         }
-        m_piecePatience.answered(now - begun);
+        m_pieceTimeout.answered(now - startedAt);
         const wire::PlanDocument &document = answer->plan();
         if (document.has_evacuations()) {
             m_evacuations.applyPeerState(fromWire(document.evacuations()), now);
@@ -392,28 +392,28 @@
                                                                     .totalBytes = document.total_bytes()},
                                                                    now);
         if (whole) {
-            m_takeDocument(*whole);
+            m_acceptDocument(*whole);
         }
     }
 
     /// Between two looks at whether the store has brought what is sought: often enough that no piece is asked for in vain, and never a
     /// busy loop.
-    static constexpr Duration s_shortestStep = std::chrono::milliseconds(5);
-    static constexpr Duration s_longestStep = std::chrono::milliseconds(100);
+    static constexpr Duration s_minSeekInterval = std::chrono::milliseconds(5);
+    static constexpr Duration s_maxSeekInterval = std::chrono::milliseconds(100);
 
     PeerLink &m_link;
     RelayedStore<Store> &m_store;
     TeamLedger &m_ledger;
     Gateway &m_gateway;
     EvacuationFollower &m_evacuations;
-    std::function<void(const std::string &)> m_takeDocument;
+    std::function<void(const std::string &)> m_acceptDocument;
     Options m_options;
     /// Peers that did not answer a loan, and until when they are left alone.
-    std::map<std::string, Instant> m_silentUntil;
+    std::map<std::string, Instant> m_backoffUntil;
     PlanSeeker m_seeker;
     PlanSource m_source;
-    Patience m_piecePatience;
-    bool m_seeking = false;
+    Patience m_pieceTimeout;
+    bool m_seekerRunning = false;
 };
 
 }
--- a/src/tests/peerhelptest.cpp
+++ b/src/tests/peerhelptest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/peerhelp.h"
+#include "gateway/peerexchange.h"
 #include "ownaddress.h"
 
 #include "store/memoryrows.h"
@@ -29,7 +29,7 @@
 }
 
 /// The store is out of reach all the while.
-struct NoStore {
+struct UnreachableStore {
     asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &)
     {
         co_return failed(FailureKind::TableUnreachable, "away");
@@ -64,7 +64,7 @@
     {
         wire::PeerAnswer answer;
         if (call.has_plan()) {
-            ++documentsAsked;
+            ++documentRequests;
             co_await pause(s_transferTime);
             answer.set_done(true);
             answer.mutable_plan()->set_version(2);
@@ -76,19 +76,19 @@
     }
 
     PeerLink link;
-    int documentsAsked = 0;
+    int documentRequests = 0;
 };
 
 /// A router without the store, among peers that all have a newer configuration.
-struct Scene {
-    Scene()
+struct Fixture {
+    Fixture()
         : link(loop.get_executor(), {.self = linkAddress(0)})
         , relayed(store, link)
         , ledger(loop.get_executor(), {.holder = "router", .incarnation = "router~1"})
         , gateway(loop.get_executor(), {}, ledger, metrics)
         , evacuations(gateway.board(), metrics, {})
-        , help(link, relayed, ledger, gateway, evacuations, [this](const std::string &document) {
-            taken.push_back(document);
+        , exchange(link, relayed, ledger, gateway, evacuations, [this](const std::string &document) {
+            accepted.push_back(document);
             gateway.setPlan(std::make_shared<const RoutingPlan>(RoutingPlan::Content{.version = 2}));
             loop.stop();
         })
@@ -102,17 +102,17 @@
         link.setPeers(addresses);
     }
 
-    int documentsAsked() const
+    int documentRequests() const
     {
-        int asked = 0;
+        int requests = 0;
         for (const auto &peer : peers) {
-            asked += peer->documentsAsked;
+            requests += peer->documentRequests;
         }
-        return asked;
+        return requests;
     }
 
     /// All peers tell of their configuration, until it has come.
-    void announceUntilTaken()
+    void announceUntilAccepted()
     {
         asio::co_spawn(
             loop,
@@ -131,14 +131,14 @@
 
     asio::io_context loop;
     Metrics metrics;
-    NoStore store;
+    UnreachableStore store;
     PeerLink link;
-    RelayedStore<NoStore> relayed;
+    RelayedStore<UnreachableStore> relayed;
     TeamLedger ledger;
     Gateway gateway;
     EvacuationFollower evacuations;
-    PeerHelp<NoStore> help;
-    std::vector<std::string> taken;
+    PeerExchange<UnreachableStore> exchange;
+    std::vector<std::string> accepted;
     std::vector<std::unique_ptr<SlowPeer>> peers;
 };
 
@@ -152,20 +152,20 @@
 // seconds, 0.3 MB/s otherwise, and every slow link was full.
 BOOST_AUTO_TEST_CASE(oneOfManyPeersSendsTheDocument)
 {
-    Scene scene;
-    scene.announceUntilTaken();
-    BOOST_TEST(scene.taken.size() == 1U);
-    BOOST_TEST(scene.documentsAsked() == 1);
+    Fixture fixture;
+    fixture.announceUntilAccepted();
+    BOOST_TEST(fixture.accepted.size() == 1U);
+    BOOST_TEST(fixture.documentRequests() == 1);
 }
 
 // Guards against a router that starts while the store is away, takes its configuration from a peer, and sends to an evacuated domain.
 BOOST_AUTO_TEST_CASE(evacuationsComeWithTheConfiguration)
 {
-    Scene scene;
-    scene.announceUntilTaken();
-    BOOST_REQUIRE(scene.evacuations.inForce().has_value());
-    BOOST_TEST(scene.evacuations.inForce()->version == 5U);
-    BOOST_TEST(scene.evacuations.inForce()->domains.contains("there"));
+    Fixture fixture;
+    fixture.announceUntilAccepted();
+    BOOST_REQUIRE(fixture.evacuations.inForce().has_value());
+    BOOST_TEST(fixture.evacuations.inForce()->version == 5U);
+    BOOST_TEST(fixture.evacuations.inForce()->domains.contains("there"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/poisonrequesttest.cpp
+++ b/src/tests/poisonrequesttest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/peerhelp.h"
+#include "gateway/peerexchange.h"
 #include "ownaddress.h"
 
 #include "net/pause.h"
@@ -99,7 +99,7 @@
     TeamLedger ledger;
     Gateway gateway;
     EvacuationFollower evacuations;
-    PeerHelp<SharedRows> help;
+    PeerExchange<SharedRows> help;
     HttpServer server;
 };
 
@@ -285,7 +285,7 @@
         BOOST_TEST(started.suspects() == 0U);
         scene.linkRouters(s_routers);
         co_await pause(s_spreadTime);
-        co_await scene.router(2).help.learnCrashes();
+        co_await scene.router(2).help.fetchKnownCrashes();
         BOOST_TEST(started.suspects() > 0U);
         co_await scene.send(2, draftRequest("third", s_poison));
         co_await pause(s_spreadTime);
