--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -105,13 +105,13 @@
         // Whether the route or the key exists cannot be told without a plan; saying "no such route" could be false.
         return toStatus({.kind = FailureKind::Draining, .detail = "no configuration known yet", .retryAfterMs = s_retryAfterStartMs});
     }
-    m_route = m_plan->routeFor(m_exchange.header("Host"), m_exchange.path());
+    m_route = m_plan->findRoute(m_exchange.header("Host"), m_exchange.path());
     if (m_route == nullptr) {
         return failed(FailureKind::NotFound, absl::StrCat("no route for ", std::string(m_exchange.path())));
     }
     m_priority = m_route->priority;
-    if (m_plan->hasTeams() && !m_route->open) {
-        const TeamPlan *team = m_plan->teamOf(m_terms.key);
+    if (m_plan->hasTeams() && !m_route->allowsAnonymous) {
+        const TeamPlan *team = m_plan->findTeamByKey(m_terms.key);
         if (team == nullptr) {
             return failed(FailureKind::Unauthenticated, "no team has this key");
         }
@@ -134,7 +134,7 @@
     m_countedStream = m_route->repeatability == Repeatability::Stream;
     m_gateway.m_streamsInFlight += m_countedStream ? 1 : 0;
     m_serviceName = m_gateway.chooseService(*m_route);
-    m_service = m_plan->service(m_serviceName);
+    m_service = m_plan->findService(m_serviceName);
     m_deadline = m_arrived + std::min(m_terms.patience, m_route->timeout);
     m_gateway.m_retries.noteRequest(m_serviceName, m_arrived);
     return absl::OkStatus();
@@ -585,7 +585,7 @@
     if (m_firstByte) {
         m_gateway.m_metrics.observe("first_byte_seconds", {.name = "route", .value = route}, seconds(*m_firstByte - m_arrived));
     }
-    const bool well = outcome == "answered" && m_firstByte && *m_firstByte - m_arrived <= m_route->objective;
+    const bool well = outcome == "answered" && m_firstByte && *m_firstByte - m_arrived <= m_route->latencyObjective;
     static std::uint64_t s_successes = 0;
     if (well && ++s_successes % s_sampledSuccess != 0) {
         return;
--- a/src/gateway/requesttimes.cpp
+++ b/src/gateway/requesttimes.cpp
@@ -49,12 +49,12 @@
     if (!mayTryElsewhere) {
         return clampedWait(left);
     }
-    return clampedWait(std::min(left, std::max(left / 2, route.objective * 13 / 10)));
+    return clampedWait(std::min(left, std::max(left / 2, route.latencyObjective * 13 / 10)));
 }
 
 Duration longestSilence(const Route &route)
 {
-    return route.resumable ? std::max(s_longestSilence, s_pausesOfSilence * route.pauseObjective) : s_deadSilence;
+    return route.resumable ? std::max(s_longestSilence, s_pausesOfSilence * route.eventGapObjective) : s_deadSilence;
 }
 
 }
--- a/src/gateway/routingplan.cpp
+++ b/src/gateway/routingplan.cpp
@@ -20,12 +20,12 @@
     : m_content(std::move(content))
 {
     for (std::size_t index = 0; index < m_content.routes.size(); ++index) {
-        m_byHost[hostKey(m_content.routes[index].host)].push_back(index);
+        m_routesByHost[hostKey(m_content.routes[index].host)].push_back(index);
     }
     const auto longer = [this](std::size_t left, std::size_t right) {
         return m_content.routes[left].prefix.size() > m_content.routes[right].prefix.size();
     };
-    for (auto &[host, routes] : m_byHost) {
+    for (auto &[host, routes] : m_routesByHost) {
         std::ranges::stable_sort(routes, longer);
     }
     for (std::size_t index = 0; index < m_content.teams.size(); ++index) {
@@ -38,10 +38,10 @@
     }
 }
 
-const Route *RoutingPlan::routeFor(std::string_view host, std::string_view path) const
+const Route *RoutingPlan::findRoute(std::string_view host, std::string_view path) const
 {
-    const auto found = m_byHost.find(hostKey(host));
-    if (found == m_byHost.end()) {
+    const auto found = m_routesByHost.find(hostKey(host));
+    if (found == m_routesByHost.end()) {
         return nullptr;
     }
     for (const std::size_t index : found->second) {
@@ -52,13 +52,13 @@
     return nullptr;
 }
 
-const TeamPlan *RoutingPlan::teamOf(std::string_view key) const
+const TeamPlan *RoutingPlan::findTeamByKey(std::string_view key) const
 {
     const auto found = m_teamByKey.find(std::string(key));
     return found == m_teamByKey.end() ? nullptr : &m_content.teams[found->second];
 }
 
-const ServicePlan *RoutingPlan::service(std::string_view name) const
+const ServicePlan *RoutingPlan::findService(std::string_view name) const
 {
     const auto found = m_serviceByName.find(std::string(name));
     return found == m_serviceByName.end() ? nullptr : &m_content.services[found->second];
--- a/src/gateway/routingplan.h
+++ b/src/gateway/routingplan.h
@@ -39,15 +39,15 @@
     /// The longest time that a caller is kept waiting for the end of an answer.
     Duration timeout = std::chrono::seconds(30);
     /// The time to the answer, or to a stream's first event, that callers expect.
-    Duration objective = std::chrono::seconds(1);
+    Duration latencyObjective = std::chrono::seconds(1);
     /// The longest pause within a stream that callers expect.
-    Duration pauseObjective = std::chrono::seconds(1);
+    Duration eventGapObjective = std::chrono::seconds(1);
     /// 0 is the most urgent.
     int priority = 0;
     /// Targets that one request may run on.
     unsigned maxAttempts = 1;
     /// Open to callers without a team's key.
-    bool open = false;
+    bool allowsAnonymous = false;
     /// A broken stream may go on at another target after its last event.
     bool resumable = false;
 
@@ -100,10 +100,10 @@
     explicit RoutingPlan(Content content);
 
     /// The route with the longest prefix that begins the path, among those of the host; null when there is none.
-    const Route *routeFor(std::string_view host, std::string_view path) const;
+    const Route *findRoute(std::string_view host, std::string_view path) const;
 
     /// The team that holds the key; null when nobody does.
-    const TeamPlan *teamOf(std::string_view key) const;
+    const TeamPlan *findTeamByKey(std::string_view key) const;
 
     /// True when callers need a key at all.
     bool hasTeams() const
@@ -112,7 +112,7 @@
     }
 
     /// The service, or null.
-    const ServicePlan *service(std::string_view name) const;
+    const ServicePlan *findService(std::string_view name) const;
 
     const std::vector<TeamPlan> &teams() const
     {
@@ -132,7 +132,7 @@
 private:
     Content m_content;
     /// Per host, indices of routes with the longest prefix first.
-    absl::flat_hash_map<std::string, std::vector<std::size_t>> m_byHost;
+    absl::flat_hash_map<std::string, std::vector<std::size_t>> m_routesByHost;
     absl::flat_hash_map<std::string, std::size_t> m_teamByKey;
     absl::flat_hash_map<std::string, std::size_t> m_serviceByName;
 };
--- a/src/tests/gatewayscene.cpp
+++ b/src/tests/gatewayscene.cpp
@@ -72,7 +72,7 @@
     };
     // Whoever expects an answer this late only gets no second attempt by time alone.
     Route patient = route("/patient/", Repeatability::Idempotent, 2, false);
-    patient.objective = patient.timeout;
+    patient.latencyObjective = patient.timeout;
     RoutingPlan::Content content{.version = 5,
                                  .routes = {route("/once/", Repeatability::AtMostOnce, 2, false),
                                             route("/again/", Repeatability::Idempotent, 2, false),
--- a/src/tests/requesttimestest.cpp
+++ b/src/tests/requesttimestest.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration s_second = std::chrono::seconds(1);
-const Route s_stream{.repeatability = Repeatability::Stream, .timeout = 20 * s_second, .objective = s_second};
+const Route s_stream{.repeatability = Repeatability::Stream, .timeout = 20 * s_second, .latencyObjective = s_second};
 
 }
 
@@ -44,7 +44,7 @@
 {
     Route resumable = s_stream;
     resumable.resumable = true;
-    resumable.pauseObjective = std::chrono::milliseconds(300);
+    resumable.eventGapObjective = std::chrono::milliseconds(300);
     BOOST_TEST((longestSilence(resumable) < 2 * s_second));
     BOOST_TEST((longestSilence(s_stream) > 2 * s_second));
 }
--- a/src/tests/routingplantest.cpp
+++ b/src/tests/routingplantest.cpp
@@ -36,7 +36,7 @@
                              Case{"b.example", "/x/1", "other"},
                              Case{"b.example", "/", ""},
                              Case{"c.example", "/x/", ""}}) {
-        const Route *route = routes.routeFor(item.host, item.path);
+        const Route *route = routes.findRoute(item.host, item.path);
         BOOST_TEST((route == nullptr ? "" : route->name) == item.route, item.host << item.path);
     }
 }
@@ -44,10 +44,10 @@
 BOOST_AUTO_TEST_CASE(teamsByKey)
 {
     const RoutingPlan teams = plan();
-    BOOST_TEST(teams.teamOf("k2")->name == "one");
-    BOOST_TEST(teams.teamOf("k3")->name == "two");
-    BOOST_TEST((teams.teamOf("k4") == nullptr));
-    BOOST_TEST((teams.teamOf("") == nullptr));
+    BOOST_TEST(teams.findTeamByKey("k2")->name == "one");
+    BOOST_TEST(teams.findTeamByKey("k3")->name == "two");
+    BOOST_TEST((teams.findTeamByKey("k4") == nullptr));
+    BOOST_TEST((teams.findTeamByKey("") == nullptr));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
