--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -154,28 +154,28 @@
 }
 
 // Guards against a limit that stays at routers which did not hear of its end.
-BOOST_AUTO_TEST_CASE(allRoutersHearOfTheEndOfALimit)
+BOOST_AUTO_TEST_CASE(endOfALimitReachesAllRouters)
 {
     constexpr int mostRounds = 3000;
     Fleet fleet;
-    std::size_t free = 0;
+    std::size_t unlimitedRouters = 0;
     fleet.play([&]() -> asio::awaitable<void> {
         for (std::size_t router = 0; router < s_routers; ++router) {
             co_await fleet.serves(router);
         }
         fleet.target().answerWith({sound()});
         // Only a fleet that never hears of it plays all rounds.
-        for (int round = 0; round < mostRounds && free < s_routers; ++round) {
-            free = 0;
+        for (int round = 0; round < mostRounds && unlimitedRouters < s_routers; ++round) {
+            unlimitedRouters = 0;
             for (std::size_t router = 0; router < s_routers; ++router) {
                 const bool first = co_await fleet.serves(router);
                 const bool second = co_await fleet.serves(router);
-                free += first && second ? 1 : 0;
+                unlimitedRouters += first && second ? 1 : 0;
             }
             co_await pause(std::chrono::milliseconds(10));
         }
     });
-    BOOST_TEST(free == s_routers);
+    BOOST_TEST(unlimitedRouters == s_routers);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/evacuationfollowertest.cpp
+++ b/src/tests/evacuationfollowertest.cpp
@@ -78,7 +78,7 @@
 BOOST_AUTO_TEST_SUITE(EvacuationFollowerTest)
 
 // Guards against requests to a domain that its operators are emptying: also to a target that is listed after the order, or again.
-BOOST_AUTO_TEST_CASE(evacuatedDomainGetsNothing)
+BOOST_AUTO_TEST_CASE(evacuatedDomainGetsNoRequests)
 {
     Fixture fixture;
     fixture.changed(order("empty here", 7), 7);
@@ -91,7 +91,7 @@
 }
 
 // Guards against an order that is read before any target of its domain is known, as by a router that starts.
-BOOST_AUTO_TEST_CASE(orderMayComeBeforeItsTargets)
+BOOST_AUTO_TEST_CASE(orderAppliesToTargetsListedLater)
 {
     Fixture fixture;
     fixture.balancer.replaceAll({}, s_now);
@@ -101,7 +101,7 @@
 }
 
 // Guards against a domain that stays empty after its order was taken back, by a change or by its absence from a whole read.
-BOOST_AUTO_TEST_CASE(takenBackDomainServesAgain)
+BOOST_AUTO_TEST_CASE(revokedOrderRestoresDomain)
 {
     Fixture fixture;
     fixture.all({order("empty here", 3), order("empty there", 4)}, 4);
@@ -115,7 +115,7 @@
 }
 
 // Guards against a burst at targets that became cold while their domain was empty, before their records say so.
-BOOST_AUTO_TEST_CASE(takenBackTargetsMayBeCold)
+BOOST_AUTO_TEST_CASE(targetsOfRestoredDomainMayBeCold)
 {
     Fixture fixture;
     fixture.all({order("empty here", 3), order("empty there", 4)}, 4);
@@ -126,7 +126,7 @@
 }
 
 // Guards against a record with an empty name that empties the fleet, or hides the orders beside it.
-BOOST_AUTO_TEST_CASE(unreadableOrderHarmsNoOther)
+BOOST_AUTO_TEST_CASE(unreadableOrderLeavesOthersInForce)
 {
     Fixture fixture;
     fixture.all({order("empty ", 3), order("empty here", 4)}, 4);
@@ -134,7 +134,7 @@
 }
 
 // Guards against a router that is cut off from the store and goes on sending to a domain of which its peers know that it is evacuated.
-BOOST_AUTO_TEST_CASE(peersTellOfOrders)
+BOOST_AUTO_TEST_CASE(peersReportOrders)
 {
     Fixture fixture;
     fixture.all({}, 4);
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -58,7 +58,7 @@
         }
     }
 
-    Outcome play(Duration time)
+    Outcome simulate(Duration time)
     {
         std::mt19937_64 random(20261203);
         std::exponential_distribution<double> gap(s_requestsPerSecond);
@@ -174,11 +174,11 @@
 
 // 103 routers each see one in a hundred of what goes to 180 targets. Each took the first of those that looked idle to it, and so did all
 // the others: callers waited behind each other's long prompts while targets next to them had nothing to do.
-BOOST_AUTO_TEST_CASE(routersDoNotHerd)
+BOOST_AUTO_TEST_CASE(routersDoNotAllChooseTheSameTarget)
 {
     const Duration time = std::chrono::seconds(10);
-    const Outcome alone = Fleet(false).play(time);
-    const Outcome shared = Fleet(true).play(time);
+    const Outcome alone = Fleet(false).simulate(time);
+    const Outcome shared = Fleet(true).simulate(time);
     BOOST_TEST_MESSAGE("alone: 95th percentile " << alone.p95FirstByteMs << " ms, busiest " << alone.busiest);
     BOOST_TEST_MESSAGE("shared: 95th percentile " << shared.p95FirstByteMs << " ms, busiest " << shared.busiest);
     BOOST_TEST(shared.p95FirstByteMs < 0.7 * alone.p95FirstByteMs);
--- a/src/tests/targetboardtest.cpp
+++ b/src/tests/targetboardtest.cpp
@@ -79,7 +79,7 @@
     BOOST_TEST(fixture.choose().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(prefersWhereThePromptIsCached)
+BOOST_AUTO_TEST_CASE(prefersTargetWithCachedPrompt)
 {
     Fixture fixture(4);
     const std::vector<PromptPart> prompt{{.id = 1, .tokens = 6000}, {.id = 2, .tokens = 100}};
@@ -90,7 +90,7 @@
 }
 
 // Routers that have exchanged nothing send the first request for a shared part to the same target, or each of them would have it read anew.
-BOOST_AUTO_TEST_CASE(routersAgreeOnAPart)
+BOOST_AUTO_TEST_CASE(routersPreferTheSameTargetForAPart)
 {
     const Fixture one(6);
     const Fixture other(6);
@@ -101,7 +101,7 @@
 }
 
 // A prompt that everybody asks for must not queue at one target while others are idle.
-BOOST_AUTO_TEST_CASE(hotPartGetsCopies)
+BOOST_AUTO_TEST_CASE(hotPartSpreadsOverTargets)
 {
     Fixture fixture(4);
     std::set<std::string> used;
@@ -113,7 +113,7 @@
 }
 
 // Work is sent to a target that is about to go: it is not, from the moment at which it said so, whatever an older entry says.
-BOOST_AUTO_TEST_CASE(leavingTargetGetsNothing)
+BOOST_AUTO_TEST_CASE(leavingTargetGetsNoRequests)
 {
     Fixture fixture(1);
     TargetListing leaving = listing("0");
@@ -126,7 +126,7 @@
 
 // The store was away, and entries lapsed although their targets live. Taking the list at its word would leave nobody to serve; a target
 // that is still missing a while after the store's return is gone.
-BOOST_AUTO_TEST_CASE(lapsedEntriesAreDoubtedForAWhile)
+BOOST_AUTO_TEST_CASE(missingEntriesStayForTheGracePeriod)
 {
     Fixture fixture(2);
     fixture.balancer.setStoreReachable(false, fixture.now);
@@ -144,7 +144,7 @@
 }
 
 // While the store answers, a vanished entry is a target that is gone, at once.
-BOOST_AUTO_TEST_CASE(vanishedEntryIsGoneAtOnce)
+BOOST_AUTO_TEST_CASE(removedEntryIsDroppedAtOnce)
 {
     Fixture fixture(1);
     fixture.balancer.removeListing("0", fixture.now);
@@ -153,7 +153,7 @@
 
 // A target does not answer any more. It is left alone, tried again by a single request after a while, and left alone for longer when that
 // fails.
-BOOST_AUTO_TEST_CASE(brokenTargetIsTriedBySingleRequests)
+BOOST_AUTO_TEST_CASE(failedTargetIsProbedBySingleRequests)
 {
     Fixture fixture(2);
     fixture.balancer.requestSent("0", {}, 0, fixture.now);
@@ -171,7 +171,7 @@
 }
 
 // Every target has failed a moment ago. One that may be back serves the caller better than a refusal.
-BOOST_AUTO_TEST_CASE(allBrokenStillOffersOne)
+BOOST_AUTO_TEST_CASE(allInBackoffStillOffersOne)
 {
     Fixture fixture(2);
     for (const char *incarnation : {"0", "1"}) {
@@ -184,7 +184,7 @@
 }
 
 // A target goes silent without closing anything. Requests that wait for it speak against it, long before their time is up.
-BOOST_AUTO_TEST_CASE(silentTargetLosesItsShare)
+BOOST_AUTO_TEST_CASE(targetWithOverdueFirstByteIsAvoided)
 {
     Fixture fixture(2);
     fixture.balancer.requestSent("0", {}, 0, fixture.now);
@@ -196,7 +196,7 @@
 }
 
 // Single failures are the requests' own; a row of them is the target's.
-BOOST_AUTO_TEST_CASE(failuresInARowPauseATarget)
+BOOST_AUTO_TEST_CASE(consecutiveErrorsStartABackoff)
 {
     Fixture fixture(2);
     for (int count = 0; count < 2; ++count) {
--- a/src/tests/targetfollowertest.cpp
+++ b/src/tests/targetfollowertest.cpp
@@ -67,7 +67,7 @@
 
 // A target crashes and starts again under its name within one interval of its records. Requests were sent to it as if it still held their
 // prompts, and it rested for the failures of its former life.
-BOOST_AUTO_TEST_CASE(aNewLifeInheritsNothing)
+BOOST_AUTO_TEST_CASE(newIncarnationInheritsNoState)
 {
     Fixture fixture;
     fixture.changed("a", "1000", 1);
@@ -92,7 +92,7 @@
 
 // A target says that it leaves, ends, and starts again under its name: the new life is ready. Then the new one leaves, and the record of
 // the ready one arrives late.
-BOOST_AUTO_TEST_CASE(leavingBelongsToOneLife)
+BOOST_AUTO_TEST_CASE(leavingAppliesToOneIncarnation)
 {
     Fixture fixture;
     fixture.changed("a", "1000l", 1);
@@ -105,7 +105,7 @@
 }
 
 // The clock of a target's host is set back before the target starts again: the newer record says which life is the newer one.
-BOOST_AUTO_TEST_CASE(recordsAreOrderedByTheStoreNotByClocks)
+BOOST_AUTO_TEST_CASE(recordsAreOrderedByStoreVersion)
 {
     Fixture fixture;
     fixture.changed("a", "2000", 5);
@@ -117,7 +117,7 @@
 
 // Somebody else writes into the list. The record of a target that could be read before was kept in use, and a word that stands for no
 // known state was taken for readiness.
-BOOST_AUTO_TEST_CASE(aRecordThatCannotBeUsedNamesNoTarget)
+BOOST_AUTO_TEST_CASE(unusableRecordTakesTargetOutOfService)
 {
     Fixture fixture;
     fixture.changed("a", "1000", 1);
@@ -132,7 +132,7 @@
 }
 
 // The same while the store is in trouble, when entries that vanished are doubted and stay in use.
-BOOST_AUTO_TEST_CASE(anUnusableRecordIsNotDoubted)
+BOOST_AUTO_TEST_CASE(unusableRecordCountsWhileStoreIsUnreachable)
 {
     Fixture fixture;
     fixture.changed("a", "1000", 1);
--- a/src/tests/targetleavingtest.cpp
+++ b/src/tests/targetleavingtest.cpp
@@ -18,7 +18,7 @@
 BOOST_AUTO_TEST_SUITE(TargetLeavingTest)
 
 // Guards against requests to a target that leaves while the store, whose list would say so, is out of reach.
-BOOST_AUTO_TEST_CASE(whatAnAnswerSaysOfLeavingHolds)
+BOOST_AUTO_TEST_CASE(announcedShutdownIsHonoured)
 {
     GatewayScene scene({{leaving()}, {sound()}});
     for (int sent = 0; sent < s_requests; ++sent) {
@@ -28,7 +28,7 @@
 }
 
 // Guards against an older record of the list that brings a target back which has said that it leaves.
-BOOST_AUTO_TEST_CASE(noRecordBringsItBack)
+BOOST_AUTO_TEST_CASE(listRecordDoesNotUndoLeaving)
 {
     GatewayScene scene({{leaving()}});
     BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
--- a/src/tests/targetlimittest.cpp
+++ b/src/tests/targetlimittest.cpp
@@ -26,7 +26,7 @@
 BOOST_AUTO_TEST_SUITE(TargetLimitTest)
 
 // Guards against a target that gets more requests than it says that it takes.
-BOOST_AUTO_TEST_CASE(aTargetGetsNoMoreThanItTakes)
+BOOST_AUTO_TEST_CASE(targetGetsNoMoreThanItsRateLimit)
 {
     constexpr int requests = 40;
     GatewayScene scene({{limited("1")}});
@@ -42,7 +42,7 @@
 }
 
 // Guards against requests that are refused although another target has room.
-BOOST_AUTO_TEST_CASE(whatALimitedTargetDoesNotTakeGoesElsewhere)
+BOOST_AUTO_TEST_CASE(excessRequestsGoToOtherTargets)
 {
     constexpr int requests = 40;
     GatewayScene scene({{limited("1")}, {sound()}});
--- a/src/tests/targetresttest.cpp
+++ b/src/tests/targetresttest.cpp
@@ -22,7 +22,7 @@
 BOOST_AUTO_TEST_SUITE(TargetRestTest)
 
 // Guards against a target that is asked again and again although it has asked for rest.
-BOOST_AUTO_TEST_CASE(aTargetGetsTheRestItAsksFor)
+BOOST_AUTO_TEST_CASE(requestedRestIsHonoured)
 {
     GatewayScene scene({{restingForMinutes()}, {sound()}});
     for (int sent = 0; sent < s_requests; ++sent) {
@@ -33,7 +33,7 @@
 }
 
 // Guards against rest that is broken for want of another target: callers are refused at once, with the time at which the rest ends.
-BOOST_AUTO_TEST_CASE(whereAllRestCallersAreToldWhenToComeBack)
+BOOST_AUTO_TEST_CASE(callersGetRetryTimeWhenAllTargetsRest)
 {
     GatewayScene scene({{restingForMinutes()}});
     for (int sent = 0; sent < s_requests; ++sent) {
