--- a/src/gateway/targetbalancer.cpp
+++ b/src/gateway/targetbalancer.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Targets whose last words are remembered.
+/// Erased targets whose directives are retained.
 constexpr std::size_t s_maxRetainedDirectives = 1024;
-/// Targets that are looked at for one request, besides its favourites: all of them on small fleets. Half of them are of the router's own
-/// failure domain. Keeps the choice at a few microseconds whatever the number of targets.
+/// Targets that are considered for one request besides the preferred ones; all of them in small fleets. Half of them are in the router's
+/// own failure domain. Bounds the time of a choice to a few microseconds for any number of targets.
 constexpr std::size_t s_sampleSize = 32;
-/// Targets that requests with an equal part of a prompt prefer: one, and another for when that one is busy.
+/// Targets that requests with the same shared prompt part prefer: one, and a second for when the first is busy.
 constexpr std::size_t s_preferredTargets = 2;
 
 }
@@ -89,7 +89,7 @@
     if (const auto retained = m_retainedDirectives.find(listing.incarnation); added && retained != m_retainedDirectives.end()) {
         target.directives = retained->second;
     }
-    // A target that has said that it leaves does not come back; an entry that says otherwise is older.
+    // An announced shutdown is final for an incarnation; an entry without it is older.
     listing.leaving = listing.leaving || target.listing.leaving;
     target.listing = std::move(listing);
     target.evacuated = m_evacuated.contains(target.listing.failureDomain);
@@ -184,7 +184,7 @@
     std::array<std::uint64_t, s_preferredTargets> weights{};
     for (const PoolEntry &entry : pool.entries) {
         const std::uint64_t weight = mixed(shared ^ entry.hash);
-        // Few weights are among the best, so that hardly any target is looked at.
+        // Few weights are among the best, so the state of few targets is read.
         if (weight < weights.back() || !entry.target->inService()) {
             continue;
         }
@@ -242,7 +242,7 @@
         const double value = backedOff ? target->consecutiveBackoffs : target->score(m_options, uncachedTokens, now);
         scored.push_back({.target = target, .uncachedTokens = uncachedTokens, .score = value});
     }
-    // Stable, so that among equals the drawn order stands.
+    // Stable, so that targets with equal scores keep the order of the sample.
     std::ranges::stable_sort(scored, {}, &RankedTarget::score);
     return scored;
 }
@@ -263,7 +263,7 @@
 {
     std::vector<RankedTarget> best = rankTargets(request, false, now);
     if (best.empty()) {
-        // When every target has failed lately, the one that failed least is more use to the caller than a refusal.
+        // All targets are in back-off. The one with the fewest back-offs serves the caller better than a refusal.
         best = rankTargets(request, true, now);
     }
     if (best.empty()) {
--- a/src/gateway/targetbalancer.h
+++ b/src/gateway/targetbalancer.h
@@ -16,44 +16,45 @@
 
 namespace bamboohold {
 
-/// What a request needs of a target.
+/// What a request requires of a target.
 struct PlacementRequest {
     std::string_view service;
-    /// Parts of the prompt in order; the last one is the request's own.
+    /// The parts of the prompt in order; only the last one is never shared with other requests.
     std::span<const PromptPart> prompt;
     /// Incarnations that were tried already.
     std::span<const std::string> excluded;
-    /// Where given, only these come into question.
+    /// Where not empty, only these incarnations are considered.
     std::span<const std::string> shortlist;
-    /// Only targets that take a request without an admission come into question.
+    /// Leaves out targets that require an admission.
     bool skipAdmissionControlled = false;
-    /// Decides between targets that are equally good, and which ones of many are looked at. Different for each request: routers with equal
-    /// views that all took the first of equals would send much to one target and leave others idle.
+    /// Selects the sample of targets that is considered and breaks ties between equal scores. Must differ between requests: if routers with
+    /// the same view all took the first of equal targets, one target would be overloaded and the others idle.
     std::uint64_t seed = 0;
 };
 
-/// Where a request goes.
+/// The target that was chosen for a request.
 struct Placement {
     std::string incarnation;
-    /// The name that the process at the address must have to run the request.
+    /// The name that a process at the address must have to run the request.
     std::string name;
     std::string address;
-    /// Prompt tokens that the target probably has to read.
+    /// Prompt tokens that the target probably has to process.
     Tokens uncachedTokens = 0;
-    /// The target is cold, or may be: it takes few requests a second from all routers together.
+    /// The target is cold, or presumed to be: it accepts only few requests per second from all routers together.
     bool cold = false;
-    /// Requests a second that the target takes from all routers together; none where it names no limit.
+    /// Requests per second that the target accepts from all routers together; none where it has no limit.
     std::optional<double> rateLimit;
-    /// An admission ends then.
+    /// When the admission expires; none where none was needed.
     std::optional<Instant> sendBefore;
 };
 
-/// All targets that a router may send to, and its choice among them.
+/// Balances requests over the targets that a router may send to.
 ///
-/// Pure. Targets come from the platform's list, which lags: a target that fails is left out sooner, one that the list lost while the store
-/// was in trouble stays for a grace time. A target's load is what this router sent there itself, and what the relay beside the target said
-/// a moment ago that others have there: a few candidates are asked for it before one of them is chosen. What is not known counts as
-/// nothing, so that without relays this is the least of own dispatches.
+/// Pure: events and `now` in. The targets come from the platform's list, which lags behind. A target that fails is therefore backed off
+/// before its entry vanishes, and one whose entry vanished while the store was unreachable is kept for a grace period. The load of a target
+/// is what this router has outstanding there, plus what the relay beside the target last reported for the other routers; the relays of a
+/// few candidates are queried before one is chosen. Load that is not known counts as zero, so without relays the choice falls on the target
+/// with the least load of this router.
 class TargetBalancer
 {
 public:
@@ -61,78 +62,79 @@
 
     explicit TargetBalancer(Options options);
 
-    /// Takes over the whole list. `unusable` names the entries that are there and name no target to use.
+    /// Replaces the whole list. `unusableNames` has the names of the entries that are present but invalid.
     void replaceAll(std::vector<TargetListing> listings, Instant now, std::span<const std::string> unusableNames = {});
 
-    /// The targets of these failure domains, and of no others, take nothing new. Requests under way there go on.
+    /// Takes the targets of exactly these failure domains out of service. Their outstanding requests continue.
     void setEvacuatedDomains(std::set<std::string> domains, Instant now);
 
-    /// An entry was added or changed. A new life under a name that is known takes the old one's place and inherits nothing: what the old
-    /// one had cached, was ejected for, had in progress or said of leaving is not the new one's.
+    /// Adds or updates an entry. A new incarnation under a known name replaces the old one and inherits none of its state: not its cached
+    /// parts, back-off, outstanding requests or announced shutdown.
     void updateListing(TargetListing listing, Instant now);
 
-    /// The entry of that name vanished.
+    /// Removes the entry of that name, unless the list may be incomplete; then it is only marked as missing.
     void removeListing(const std::string &name, Instant now);
 
-    /// The entry of that name has become one that cannot be used. The target gets no new work until a record can be used again; what it
-    /// works on goes on, since the record says nothing of that.
+    /// Takes the target of that name out of service until its record is valid again. Its outstanding requests continue, since the record
+    /// says nothing about them.
     void markUnusable(const std::string &name);
 
-    /// Whether the store answers. While it does not, and for the grace time afterwards, vanished entries are doubted.
+    /// Sets whether the store answers. While it does not, and for the grace period afterwards, vanished entries are only marked as missing.
     void setStoreReachable(bool reachable, Instant now);
 
-    /// Removes entries whose grace time has passed. Call now and then.
+    /// Removes missing entries whose grace period has passed. Call periodically.
     void removeExpired(Instant now);
 
-    /// The targets that come into question for a request, best first as far as this router knows, at most this many. None where one of
-    /// them is as good as chosen.
+    /// The incarnations of the `most` best targets for a request, best first by what this router knows. Targets in back-off are left out.
     std::vector<std::string> candidates(const PlacementRequest &request, std::size_t most, Instant now) const;
 
-    /// Chooses a target; none when no usable one is left.
+    /// Chooses a target; none when no target in service is left.
     std::optional<Placement> choose(const PlacementRequest &request, Instant now) const;
 
-    /// What this router has at the target, and the relay there; none when it is not known, or has none.
+    /// This router's load at a target, and the relay to report it to.
     struct OwnLoad {
         std::string relay;
         TargetLoad load;
     };
+    /// This router's load at the target; none when the target is not known or has no relay.
     std::optional<OwnLoad> ownLoad(const std::string &incarnation) const;
 
-    /// Targets at which this router has anything under way.
+    /// Incarnations at which this router has outstanding requests.
     std::vector<std::string> targetsInUse() const;
 
-    /// The relay beside the target said what all other routers have there.
+    /// Sets what all other routers have outstanding at the target, as the relay beside it reported.
     void setRemoteLoad(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now);
 
-    /// The relay beside the target used to answer, and did not.
+    /// The relay beside the target answered before and did not answer in time now.
     void relayTimedOut(const std::string &incarnation, Instant now);
 
-    /// A request went to the target.
+    /// A request was sent to the target.
     void requestSent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now);
 
-    /// The target produced its first byte for the request that was sent at that instant: its prompt has been read.
+    /// The first byte of the answer to the request that was sent at `sentAt` has arrived, so its prompt has been processed.
     void firstByteReceived(const std::string &incarnation, Tokens uncachedTokens, Instant sentAt);
 
-    /// An attempt whose answer had begun is over.
+    /// An attempt has ended, after firstByteReceived() was called for it.
     void attemptEnded(const std::string &incarnation, HealthSignal signal, Instant now);
 
-    /// The target takes this many requests a second from all routers together, as its answers say.
+    /// Sets the requests per second that the target accepts from all routers together, as its answers state.
     void setRateLimit(const std::string &incarnation, double requestsPerSecond, Instant now);
 
-    /// An answer to a request that was sent at that instant names no limit. Returns whether that ends one: an answer to a request that was
-    /// sent before the limit was heard of may be older than the limit.
+    /// An answer to the request that was sent at `sentAt` states no rate limit. Returns whether that cleared one. A limit that was reported
+    /// after `sentAt` stays, since the answer may be older than the limit.
     bool clearRateLimit(const std::string &incarnation, Instant sentAt);
 
-    /// Requests a second that the target takes from all routers together; none where it names no limit.
+    /// Requests per second that the target accepts from all routers together; none where it has no limit.
     std::optional<double> rateLimit(const std::string &incarnation) const;
 
-    /// Nothing goes to the target until then. An earlier time than one that is known changes nothing.
+    /// Sends the target no requests before `until`. A time before the one that is set has no effect.
     void suspendUntil(const std::string &incarnation, Instant until);
 
-    /// When the first of the service's targets takes something new; none where one does already, or none of them ever will.
+    /// When the first suspended target of the service accepts requests again; none where a target is not suspended, or none is in service.
     std::optional<Instant> nextResumption(std::string_view service, Instant now) const;
 
-    /// The target has said that it leaves, or another process answers at its address. Final for this life of it, whatever the list shows.
+    /// The target has announced its shutdown, or another process answers at its address. Final for this incarnation, whatever the list
+    /// shows.
     void markLeaving(const std::string &incarnation);
 
     /// True while no target is known at all.
@@ -141,24 +143,24 @@
         return m_targets.empty();
     }
 
-    /// True while the target is known, leaving and doubted ones included.
+    /// True while the target is known, even if it is leaving or missing from the list.
     bool isKnown(const std::string &incarnation) const
     {
         return m_targets.contains(incarnation);
     }
 
-    /// Why the target takes no new work; none when it does, and for a target that is not known.
+    /// Why the target accepts no new requests; none when it accepts them, or is not known.
     std::optional<OutOfServiceReason> outOfServiceReason(const std::string &incarnation) const;
 
-    /// True when the end of the target is expected: it is withdrawn, or the list does not show it any more. Requests that it
-    /// cuts when it goes did not bring it down.
+    /// True when the target is leaving, evacuated or not known any more. Requests that break off when such a target ends are not suspected
+    /// of having crashed it.
     bool expectedToEnd(const std::string &incarnation) const
     {
         const auto found = m_targets.find(incarnation);
         return found == m_targets.end() || found->second.leaving() || found->second.evacuated;
     }
 
-    /// True when the target of that name has started again since this life of it.
+    /// True when the target of that name has a newer incarnation than this one.
     bool hasRestarted(const std::string &name, const std::string &incarnation) const
     {
         const auto newest = m_currentIncarnation.find(name);
@@ -166,16 +168,17 @@
     }
 
 private:
-    /// A target in the order in which a service's targets are looked at.
+    /// A target in the pool of its service.
     struct PoolEntry {
-        /// Of its incarnation's name, so that no name is hashed for a request.
+        /// Hash of the incarnation, stored so that no name is hashed per request.
         std::uint64_t hash = 0;
         const TargetState *target = nullptr;
     };
 
-    /// The targets of a service, those of the own failure domain first.
+    /// The targets of a service, those of the router's own failure domain first.
     struct Pool {
         std::vector<PoolEntry> entries;
+        /// Entries in the router's own failure domain.
         std::size_t localCount = 0;
     };
 
@@ -185,23 +188,29 @@
         double score = 0;
     };
 
+    /// The current incarnation under the name, or the end of `m_targets`.
     std::map<std::string, TargetState>::iterator findByName(const std::string &name);
+    /// Erases the target and keeps its directives.
     void eraseTarget(std::map<std::string, TargetState>::iterator target);
     const Pool &pool(std::string_view service) const;
+    /// The preferred targets and a random sample of the others.
     std::vector<const TargetState *>
     sampleTargets(const Pool &pool, const PlacementRequest &request, std::span<const TargetState *const> preferredTargets) const;
+    /// The targets that accept the request, best first: either those in back-off or those not in it.
     std::vector<RankedTarget> rankTargets(const PlacementRequest &request, bool backedOff, Instant now) const;
+    /// The targets that requests with the same shared prompt parts prefer, by rendezvous hashing.
     std::vector<const TargetState *> preferredTargets(const Pool &pool, std::span<const PromptPart> prompt) const;
+    /// True while the list may be incomplete, because the store is unreachable or was until a moment ago.
     bool listUnreliable(Instant now) const;
 
     Options m_options;
     /// By incarnation.
     std::map<std::string, TargetState> m_targets;
-    /// What targets said that the list does not show any more, by incarnation.
+    /// Directives of targets that were erased, by incarnation.
     absl::flat_hash_map<std::string, TargetDirectives> m_retainedDirectives;
-    /// The newest life under each name.
+    /// The newest incarnation under each name.
     absl::flat_hash_map<std::string, std::string> m_currentIncarnation;
-    /// By service; made anew when the list has changed.
+    /// By service; rebuilt when the list has changed.
     mutable std::map<std::string, Pool, std::less<>> m_pools;
     mutable bool m_poolsValid = false;
     std::set<std::string> m_evacuated;
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-/// Targets asked to admit one request; each question is a round trip that its caller waits for.
+/// Admissions requested for one request; its caller waits for the round trip of each.
 constexpr int s_maxAdmissionQueries = 3;
-/// The limit may end sooner than the next admission was promised for.
+/// Longest suspension after a refused admission, since the limit may end before the next admission is due.
 constexpr Duration s_maxAdmissionWait = std::chrono::seconds(2);
 
 }
@@ -89,7 +89,7 @@
         setLimit(incarnation, limit);
         reportLimit(incarnation, limit);
     } else if (answer.sealed && endLimit(incarnation, sentAt)) {
-        // An answer that its target does not vouch for says nothing by what it lacks.
+        // Only an answer that the target itself has sealed ends a limit by not stating one.
         reportLimit(incarnation, 0);
     }
 }
@@ -125,7 +125,7 @@
     if (requestsPerSecond <= 0) {
         endLimit(incarnation, askedAt);
     } else if (m_balancer.rateLimit(incarnation) != requestsPerSecond) {
-        // Only what a target itself says again makes a limit younger: an older answer does not end it.
+        // A report of the same limit does not renew the time of the limit: only the target's own answers do.
         setLimit(incarnation, requestsPerSecond);
     }
 }
@@ -184,13 +184,13 @@
             rates.limit > 0 ? admissionNotice(placement.incarnation) : loadNotice(placement.incarnation).value_or(LoadNotice{});
         answer = co_await m_loadLink->askAdmission(std::move(notice), rates);
     }
-    // Where nobody answers, others may still be admitted by whoever does not answer here: half of a limit is left to them.
+    // Other routers may still get admissions from the process that does not answer this one, so half of a limit is left to them.
     const bool noAnswer = answer.admission == Admission::NoRelay || (answer.admission == Admission::Unanswered && rates.cold <= 0);
     if (noAnswer) {
         const AdmissionRates shared{.cold = rates.cold, .limit = rates.limit / 2};
         co_return m_shares.admit(placement.incarnation, shared.lowest(), steadyNow());
     }
-    // Who admits may have said instead that the limit has ended.
+    // The answer may have stated that the limit has ended.
     const bool unrestricted = rates.cold <= 0 && !m_balancer.rateLimit(placement.incarnation);
     const bool granted = unrestricted || answer.admission == Admission::Granted;
     if (!granted) {
@@ -208,14 +208,14 @@
             notices.push_back(*std::move(notice));
         }
     }
-    // A single candidate is chosen whatever its load.
+    // With a single candidate there is nothing to compare.
     if (candidates.size() > 1 && !notices.empty()) {
         co_await m_loadLink->ask(notices);
         request.shortlist = candidates;
     }
     std::optional<Placement> placement = m_balancer.choose(request, steadyNow());
     if (!placement && !request.shortlist.empty()) {
-        // All of them left or failed in the meantime.
+        // All candidates have left or failed in the meantime.
         request.shortlist = {};
         placement = m_balancer.choose(request, steadyNow());
     }
--- a/src/gateway/targetchooser.h
+++ b/src/gateway/targetchooser.h
@@ -15,69 +15,73 @@
 
 namespace bamboohold {
 
-/// Chooses targets for requests: by what the board knows, what the relays beside a few candidates answer, and whether a target that takes
-/// few requests admits one more.
+/// Chooses targets for requests. Takes the best candidates from the balancer, queries the relays beside them for the load of other routers,
+/// and requests an admission where the target accepts only few requests.
 ///
-/// The runtime around TargetBoard, LoadLink and AdmissionShares. Lives on one event loop.
+/// The runtime around TargetBalancer, LoadLink and AdmissionShares. Lives on one event loop.
 class TargetChooser
 {
 public:
     struct Options {
-        /// Targets asked for their load before one is chosen. With two the busier of two is avoided; more bring little, and each takes a
-        /// datagram either way.
+        /// Candidates whose relays are queried before one is chosen. Two suffice to avoid the busier one of a pair; each further query
+        /// costs a datagram either way and improves the choice little.
         std::size_t candidatesQueried = 3;
-        /// This router's name among all of them.
+        /// The address by which the routers know this one.
         std::string self;
-        /// Whether one process admits requests to a target that takes few, rather than shares of all routers.
+        /// Whether a single process admits requests to a target that accepts few. Otherwise each router keeps to its share of the rate.
         bool centralAdmission = true;
     };
 
-    /// The board and the metrics outlive this.
+    /// The balancer and the metrics must outlive this object.
     TargetChooser(TargetBalancer &balancer, Metrics &metrics, Options options);
 
-    /// From now on loads of targets are asked for and told. The link outlives this.
+    /// Enables the exchange of target loads. The link must outlive this object.
     void setLoadLink(LoadLink &link);
 
-    /// The routers that live, this one included, by the addresses at which they answer questions about targets.
+    /// Sets the routers that are alive, this one included, by the addresses at which they answer load queries.
     void setRouters(std::span<const std::string> routers)
     {
         m_routers.assign(routers.begin(), routers.end());
         m_shares.setRouters(routers);
     }
 
-    /// Chooses a target for a request. One that is cold or limits what it takes has to admit it; a cold one takes `coldPerSecond` requests
-    /// a second, 0 standing for any number. None when no target takes the request now.
+    /// Chooses a target for a request; none when no target accepts it now. A target that is cold or has a rate limit must admit the
+    /// request. A cold target accepts `coldPerSecond` requests per second; 0 stands for any number.
     boost::asio::awaitable<std::optional<Placement>> place(PlacementRequest request, double coldPerSecond);
 
-    /// A request goes to the target. Counted by whether the target is known to limit what it takes.
+    /// Counts a request to the target in the metrics, by whether the target has a rate limit.
     void countSent(const std::string &incarnation);
 
-    /// Tells the relay beside the target what this router has there now.
+    /// Reports this router's current load at the target to the relay beside it.
     void reportLoad(const std::string &incarnation);
 
-    /// Tells again what is under way at each target, so that the relays do not take this router for gone. Call once a second.
+    /// Repeats the load report for every target with outstanding requests, since relays drop routers whose reports stop. Call once per
+    /// second.
     void refreshLoads();
 
-    /// Takes what an answer to a request that was sent at that instant says about its target.
+    /// Applies the directives in an answer of the target to the request that was sent at `sentAt`.
     void applyAnswerTerms(const std::string &incarnation, const AnswerTerms &answer, Instant sentAt);
 
 private:
-    /// Chooses a target after it has asked a few for what others have there.
+    /// Chooses the least loaded of a few candidates, after their relays were queried.
     boost::asio::awaitable<std::optional<Placement>> chooseLeastLoaded(PlacementRequest request);
-    /// Whether one request may go to a target that takes so few: by whoever admits requests there, or by this router's share of them.
+    /// Requests permission to send one request, from the process that admits requests to the target or, where none answers, from this
+    /// router's share of the rate. Returns whether it was granted.
     boost::asio::awaitable<bool> requestAdmission(Placement placement, AdmissionRates rates);
-    /// The target takes so many requests a second from all routers together from now on.
+    /// Sets the requests per second that the target accepts from all routers together.
     void setLimit(const std::string &incarnation, double requestsPerSecond);
-    /// Something asked at that instant was answered without a limit. Returns whether that ends one.
+    /// Clears the rate limit, unless it was reported after `askedAt`, when the answer without a limit was asked for. Returns whether a
+    /// limit was cleared.
     bool endLimit(const std::string &incarnation, Instant askedAt);
-    /// Tells who admits requests to the target what the target said of its limit; 0: it has none any more.
+    /// Reports the target's rate limit to the process that admits requests to it; 0: it has none any more.
     void reportLimit(const std::string &incarnation, double requestsPerSecond);
-    /// Other routers heard of the target's limit, as who admits requests there answered to a question of that instant.
+    /// Applies a rate limit that other routers reported; 0 means that it has ended. `askedAt` is when the process that admits requests to
+    /// the target was asked.
     void applyReportedLimit(const std::string &incarnation, double requestsPerSecond, Instant askedAt);
-    /// What this router has at the target, for who admits requests there: the relay beside it, or else one of the routers, the same one for
-    /// all.
+    /// This router's load at the target, addressed to the process that admits requests there. That is the relay beside the target or, where
+    /// none answers, a router that all routers select alike.
     LoadNotice admissionNotice(const std::string &incarnation) const;
-    /// What this router has at the target, for the relay beside it; none where no relay can be.
+    /// This router's load at the target, addressed to the relay beside it; none where no relay can run.
     std::optional<LoadNotice> loadNotice(const std::string &incarnation) const;
 
     TargetBalancer &m_balancer;
--- a/src/gateway/targetlisting.h
+++ b/src/gateway/targetlisting.h
@@ -7,55 +7,58 @@
 
 namespace bamboohold {
 
-/// A part of a prompt that several requests may share. The engine skips a part that it has cached, if it has all parts before it too.
+/// A segment of a prompt that several requests may share. An engine that has the segment and all segments before it in its cache does not
+/// process it again.
 struct PromptPart {
     std::uint64_t id = 0;
     Tokens tokens = 0;
 };
 
-/// A target as the platform's list shows it.
+/// A target as the platform's list describes it.
 struct TargetListing {
-    /// One life of a process; its address may later belong to another.
+    /// Identifies one run of a process. Its address may be reused by a later process.
     std::string incarnation;
     std::string service;
     std::string address;
     std::string failureDomain;
+    /// The target has announced that it is shutting down.
     bool leaving = false;
+    /// Time until the target is warm; zero for a target that is.
     Duration warmup{};
-    /// Where a relay to the store listens beside it, if one does; empty when none can.
+    /// ADDRESS:PORT of the relay beside the target; empty where no relay can run.
     std::string relay;
-    /// Requests that it works on at one time; 0 when that is not known.
+    /// Requests that the target processes concurrently; 0 when not known.
     std::uint32_t slots = 0;
-    /// The name that a process keeps when it starts again; empty when each life has a name of its own.
+    /// The name that a process keeps across restarts; empty when each run has a name of its own.
     std::string identity;
-    /// What the process is called in the list, and by whoever sends to it.
+    /// The name under which the list has the process, and by which senders address it.
     const std::string &name() const
     {
         return identity.empty() ? incarnation : identity;
     }
 };
 
-/// Why a target takes no new work, although the list shows it.
+/// Why a listed target accepts no new requests.
 enum class OutOfServiceReason {
-    /// Its record cannot be used.
+    /// Its record in the list is invalid.
     Unusable,
-    /// It has said that it leaves; this life of it does not come back.
+    /// It has announced its shutdown, which is final for this incarnation.
     Leaving,
-    /// Its failure domain is evacuated, until the order is taken back.
+    /// Its failure domain is evacuated, until the order is revoked.
     Evacuated,
 };
 
-/// How an attempt at a target ended, as far as it tells something about the target.
+/// What the end of an attempt shows about the health of its target.
 enum class HealthSignal {
-    /// Answered in good order.
+    /// The target answered the request.
     Success,
-    /// Declined without running the request.
+    /// The target declined the request without running it.
     Declined,
-    /// Answered with a failure of its own.
+    /// The target answered with an error of its own.
     ErrorResponse,
-    /// Could not be connected to, went silent, or broke off.
+    /// The connection could not be established, broke, or became silent.
     ConnectionFailure,
-    /// Says nothing about the target: the caller left, or time ran out elsewhere.
+    /// The end shows nothing about the target: the caller disconnected, or time ran out elsewhere.
     Neutral,
 };
 
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Beyond this, doubling pauses makes no difference any more.
+/// Doublings after which the back-off is at its maximum in any case.
 constexpr std::uint32_t s_maxDoublings = 8;
-/// Parts remembered for each target; more than an engine's memory holds.
+/// Cached parts recorded per target before expired ones are erased; more than an engine's cache holds.
 constexpr std::size_t s_maxCachedParts = 4096;
 constexpr double s_msPerSecond = 1000;
 
@@ -38,7 +38,8 @@
         const bool lastPart = index + 1 == prompt.size();
         const auto found = cachedParts.find(prompt[index].id);
         const bool cachedHere = found != cachedParts.end() && now - found->second < options.cachedPartLifetime;
-        // Other routers send requests for this part to its favourite as well, so it probably has it although this router never sent one.
+        // Other routers send requests for a shared part to the preferred target as well, so the target probably has it cached even if this
+        // router never sent it there.
         const bool cachedByOthers = !lastPart && preferred;
         prefixCached = prefixCached && (cachedHere || cachedByOthers);
         if (!prefixCached) {
@@ -78,7 +79,7 @@
 bool TargetState::inBackoff(Instant now) const
 {
     const bool backingOff = backoffUntil && now < *backoffUntil;
-    // One attempt at a time finds out whether a target that failed is back.
+    // A target that failed is probed by one request at a time.
     const bool probing = consecutiveBackoffs > 0 && outstanding > 0;
     return backingOff || probing;
 }
--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -13,102 +13,108 @@
 
 namespace bamboohold {
 
-/// What a router goes by when it chooses among targets.
+/// Parameters by which a router chooses among targets.
 struct TargetOptions {
     std::string failureDomain;
-    /// A target that could not be reached is tried again after this, then after twice as long, and so on.
+    /// Back-off after the first connection failure; doubles with each further one.
     Duration initialBackoff = std::chrono::milliseconds(400);
-    /// The longest of these pauses: a target that comes back should not wait longer for work.
+    /// Upper bound of the back-off, so that a recovered target soon gets requests again.
     Duration maxBackoff = std::chrono::seconds(3);
-    /// After this many failing answers in a row a target is paused like a broken one; single ones are the requests' own.
+    /// Consecutive error responses that start a back-off. Fewer are attributed to the requests.
     std::uint32_t consecutiveErrorLimit = 3;
-    /// After it declined, a target is left alone for this long.
+    /// Back-off after a target declined a request.
     Duration declineBackoff = std::chrono::milliseconds(150);
-    /// An entry that vanished while the store was in trouble is believed gone only this long after its return: targets that live write
-    /// theirs again within about two seconds.
+    /// An entry that vanished while the store was unreachable is removed only after the store has been back for this long: live targets
+    /// rewrite their entries within about two seconds.
     Duration listGracePeriod = std::chrono::milliseconds(2300);
-    /// A cached part is reckoned with for this long after its last use; the engines' memory turns over more slowly than that.
+    /// A prompt part is presumed cached for this long after its last use. Entries stay longer than that in the engines' caches.
     Duration cachedPartLifetime = std::chrono::seconds(20);
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prompt tokens that an engine processes per millisecond.
     double prefillTokensPerMs = 38.4;
-    /// A token that has to be read counts this many times its own time: it also holds up whoever comes to that target next, and pushes
-    /// something else out of its memory. Routers that know each other's loads leave busy favourites too easily otherwise.
+    /// Weight of a token that is not cached, in multiples of its processing time. Its processing also delays the next requests at that
+    /// target and evicts other parts from its cache. Without the weight, routers that share their loads abandon a busy preferred target
+    /// too easily.
     double uncachedTokenWeight = 5;
-    /// Milliseconds that one more running request adds to another's first token.
+    /// Milliseconds by which one of this router's own outstanding requests delays the first byte of another.
     double msPerOwnRequest = 4;
-    /// The same for one that another router has there: of these all are known, and each makes an engine's step only a little longer,
-    /// where one of few routers' own stands for those that it does not see.
+    /// The same for a request of another router. All of these are known, and each makes an engine's step only a little longer. An own
+    /// request weighs more because it also stands for requests that this router does not see.
     double msPerRemoteRequest = 1;
-    /// And one that has to wait for a slot: a stream of some hundred tokens keeps one of 32 slots for a second.
+    /// The same for a request that has to wait for a slot: a stream of some hundred tokens occupies one of 32 slots for a second.
     double msPerQueuedRequest = 40;
-    /// What others have at a target is believed for this long; a request is there for about as long.
+    /// How long a report of the other routers' load counts; a request lasts about as long.
     Duration remoteLoadLifetime = std::chrono::milliseconds(700);
-    /// A target whose relay used to answer and now does not is most likely without power, or cut off from here: counted against it for
-    /// `loadMemory`.
+    /// Penalty in milliseconds for a target whose relay has stopped answering, since its host is probably down or unreachable from here.
+    /// Applies for `remoteLoadLifetime`.
     double msTimedOutRelay = 200;
-    /// A request that waits longer than this for its first byte speaks against its target, by as much as it waits longer. A target that
-    /// has gone silent says nothing else.
+    /// A request that has waited longer than this for its first byte counts against its target, by the time beyond it. A target that hangs
+    /// shows no other sign.
     Duration firstByteAllowance = std::chrono::milliseconds(400);
-    /// Whether requests with the same part of a prompt prefer one target, and whether targets that fail rest.
+    /// Whether requests that share a prompt part prefer the same target.
     bool prefixAffinity = true;
+    /// Whether targets with connection failures or consecutive errors are backed off.
     bool outlierEjection = true;
-    /// Milliseconds counted against a target in another failure domain: the way there and back, and traffic that is paid for.
+    /// Penalty in milliseconds for a target in another failure domain: the round trip, and traffic between domains that costs money.
     double msOtherDomain = 4;
-    /// Milliseconds counted against a target that says that it is cold.
+    /// Penalty in milliseconds for a target that reports that it is cold.
     double msCold = 60;
-    /// Milliseconds counted against a target that limits what it takes: an admission costs a round trip, and it is in need.
+    /// Penalty in milliseconds for a target with a rate limit: an admission costs a round trip, and the target is under pressure.
     double msLimited = 60;
-    /// A target that broke off, or whose failure domain is taken back, may have become cold before its record says so: its next
-    /// record comes within about a second, and takes some time to arrive.
+    /// A target that failed, or whose failure domain is in service again, is presumed cold for this long. It may have become cold before
+    /// its record says so: the next record is written within about a second and takes some time to arrive.
     Duration presumedColdPeriod = std::chrono::milliseconds(2500);
 };
 
-/// What a target, or who admits requests to it, has said in answers. It holds whatever the list shows, and outlasts a gap in the list.
+/// Instructions that a target, or the process that admits requests to it, has given in answers. They take precedence over the list and are
+/// kept while the list does not show the target.
 struct TargetDirectives {
     bool leaving = false;
-    /// Requests a second that it takes from all routers together, and when that was heard last.
+    /// Requests per second that the target accepts from all routers together, and when it last reported that.
     std::optional<double> rateLimit;
     Instant rateLimitReportedAt{};
-    /// Nothing goes there until then.
+    /// No request is sent to the target before this time.
     Instant suspendedUntil{};
 };
 
-/// What a router knows of one life of a target. Pure.
+/// What a router knows about one incarnation of a target. Pure: events and `now` in.
 struct TargetState {
     TargetListing listing;
-    /// False while its record cannot be used.
+    /// False while its record is invalid.
     bool usable = true;
     /// True while its failure domain is evacuated.
     bool evacuated = false;
-    /// By its last record it is cold until then.
+    /// The target is cold until then, according to its last record.
     Instant coldUntil{};
-    /// It may have become cold, and its record would say so by then.
+    /// The target may have become cold; by then its record would say so.
     Instant presumedColdUntil{};
+    /// This router's requests that have not ended.
     std::uint32_t outstanding = 0;
-    /// Prompt tokens sent and not yet read.
+    /// Prompt tokens that this router has sent and the target has not processed yet.
     Tokens unread = 0;
-    /// When the requests were sent that have no first byte yet.
+    /// Send times of the requests that have not received a first byte.
     std::multiset<Instant> awaitingFirstByte;
+    /// Back-offs for failures since the last success.
     std::uint32_t consecutiveBackoffs = 0;
-    /// Failing answers without a sound one between.
+    /// Error responses since the last success.
     std::uint32_t consecutiveErrors = 0;
     std::optional<Instant> backoffUntil;
-    /// Set while the list does not show it, but may have lost it by mistake.
+    /// Set while the entry is missing from a list that may be incomplete.
     std::optional<Instant> missingSince;
+    /// When this router last sent each prompt part to the target, by the part's id.
     absl::flat_hash_map<std::uint64_t, Instant> cachedParts;
-    /// What other routers have there, and since when that is known.
+    /// What the other routers have outstanding there, and when that was reported.
     TargetLoad remoteLoad;
     std::optional<Instant> remoteLoadAt;
     std::optional<Instant> relayTimedOutAt;
     TargetDirectives directives;
 
-    /// True when this life of it has said that it leaves, in its record or in an answer.
+    /// True when this incarnation has announced its shutdown, in its record or in an answer.
     bool leaving() const
     {
         return listing.leaving || directives.leaving;
     }
 
-    /// Why it takes no new work; none when it does.
+    /// Why the target accepts no new requests; none when it accepts them.
     std::optional<OutOfServiceReason> outOfServiceReason() const;
 
     bool inService() const
@@ -116,27 +122,29 @@
         return !outOfServiceReason();
     }
 
+    /// True when the target is cold by its record, or presumed to be.
     bool mayBeCold(Instant now) const;
 
-    /// Prompt tokens that it probably has to read. A favourite has got the shared parts from other routers, most likely.
+    /// Prompt tokens that the target probably has to process. The shared parts are presumed cached at the preferred target, since other
+    /// routers send them there as well.
     Tokens uncachedTokens(const TargetOptions &options, std::span<const PromptPart> prompt, bool preferred, Instant now) const;
 
-    /// What all routers together have there, as far as that is known.
+    /// The load of all routers together, as far as it is known.
     TargetLoad totalLoad(const TargetOptions &options, Instant now) const;
 
-    /// Milliseconds until a request with so many tokens to read would have its first byte from it, about; the lower, the better.
+    /// Estimated milliseconds to the first byte of a request with this many uncached tokens, penalties included; lower is better.
     double score(const TargetOptions &options, Tokens uncachedTokens, Instant now) const;
 
-    /// True while it is left out because it failed or declined.
+    /// True while the target gets no requests because it failed or declined, except a single probe after a failure.
     bool inBackoff(Instant now) const;
 
-    /// A request went to it.
+    /// A request was sent to the target.
     void requestSent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now);
 
-    /// It produced its first byte for the request that was sent at that instant.
+    /// The first byte of the answer to the request that was sent at `sentAt` has arrived.
     void firstByteReceived(Tokens uncachedTokens, Instant sentAt);
 
-    /// An attempt whose answer had begun is over.
+    /// An attempt has ended, after firstByteReceived() was called for it.
     void attemptEnded(const TargetOptions &options, HealthSignal signal, Instant now);
 
 private:
