--- a/src/gateway/routingplan.cpp
+++ b/src/gateway/routingplan.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A host as requests are compared by it: lower case, without a port.
+/// The form in which hosts are compared: lower case, without a port.
 std::string hostKey(std::string_view host)
 {
     return absl::AsciiStrToLower(std::string(host.substr(0, host.find(':'))));
--- a/src/gateway/routingplan.h
+++ b/src/gateway/routingplan.h
@@ -12,23 +12,23 @@
 
 namespace bamboohold {
 
-/// What may be repeated of a route's requests.
+/// How often a request of a route may be run.
 enum class Repeatability {
-    /// May run any number of times.
+    /// Any number of times.
     Idempotent,
-    /// May run once at most.
+    /// Once at most.
     AtMostOnce,
-    /// Answered by a stream of numbered events; may run once at most, unless the stream can be resumed.
+    /// Once at most, unless the stream can be resumed. The answer is a stream of numbered events.
     Stream,
 };
 
-/// One service of a split route and its share.
+/// A service among which a route's requests are split, and its share.
 struct ServiceShare {
     std::string service;
     double weight = 1;
 };
 
-/// A route: which requests it takes and how they are to be served.
+/// Selects requests by host and path prefix, and says how they are served.
 struct Route {
     std::string name;
     std::string host;
@@ -36,48 +36,48 @@
     std::string prefix;
     std::vector<ServiceShare> services;
     Repeatability repeatability = Repeatability::AtMostOnce;
-    /// The longest time that a caller is kept waiting for the end of an answer.
+    /// The longest time to the end of an answer.
     Duration timeout = std::chrono::seconds(30);
-    /// The time to the answer, or to a stream's first event, that callers expect.
+    /// The time in which callers expect an answer, or the first event of a stream.
     Duration latencyObjective = std::chrono::seconds(1);
-    /// The longest pause within a stream that callers expect.
+    /// The longest time between two events of a stream that callers expect.
     Duration eventGapObjective = std::chrono::seconds(1);
     /// 0 is the most urgent.
     int priority = 0;
     /// Targets that one request may run on.
     unsigned maxAttempts = 1;
-    /// Open to callers without a team's key.
+    /// Callers without a team's key may use the route.
     bool allowsAnonymous = false;
-    /// A broken stream may go on at another target after its last event.
+    /// A broken stream may continue at another target after its last event.
     bool resumable = false;
 
-    /// True when running a request of the route twice does no harm.
+    /// True when a request of the route may safely be run twice.
     bool repeatable() const
     {
         return repeatability == Repeatability::Idempotent || resumable;
     }
 };
 
-/// What all targets of a service have in common.
+/// Properties that all targets of a service share.
 struct ServicePlan {
     std::string name;
     /// The most tokens that one event of a stream holds; 1 for services without streams.
     Tokens tokensPerEvent = 1;
-    /// Requests that a target takes in a second while it is cold; 0: any number.
+    /// Requests per second that a cold target accepts; 0: any number.
     double coldRequestsPerSecond = 0;
 };
 
-/// A team as the plan states it.
+/// A team as the configuration defines it.
 struct TeamPlan {
     std::string name;
     std::vector<std::string> keys;
-    /// Takes the place of the route's priority.
+    /// Overrides the route's priority.
     std::optional<int> priority;
-    /// Tokens paid for; none: not limited.
+    /// Prepaid tokens; none: not limited.
     std::optional<Tokens> prepaid;
 };
 
-/// What callers may send and how long they may take.
+/// Bounds on the size and the duration of callers' requests.
 struct CallerLimits {
     std::uint32_t maxHeaderBytes = 16 * 1024;
     std::uint64_t maxBodyBytes = 4 * 1024 * 1024;
@@ -85,7 +85,7 @@
     Duration idleTimeout = std::chrono::seconds(15);
 };
 
-/// An accepted configuration as routing needs it: routes, services, teams and limits of one version. Immutable once built.
+/// One version of the configuration, indexed for routing: routes, services, teams and limits. Immutable once built.
 class RoutingPlan
 {
 public:
@@ -99,19 +99,19 @@
 
     explicit RoutingPlan(Content content);
 
-    /// The route with the longest prefix that begins the path, among those of the host; null when there is none.
+    /// The route of the host with the longest prefix that the path begins with; null when no route matches.
     const Route *findRoute(std::string_view host, std::string_view path) const;
 
-    /// The team that holds the key; null when nobody does.
+    /// The team that owns the key; null when the key is not known.
     const TeamPlan *findTeamByKey(std::string_view key) const;
 
-    /// True when callers need a key at all.
+    /// True when the configuration defines teams, so that callers need a key.
     bool hasTeams() const
     {
         return !m_content.teams.empty();
     }
 
-    /// The service, or null.
+    /// The service of that name; null when it is not known.
     const ServicePlan *findService(std::string_view name) const;
 
     const std::vector<TeamPlan> &teams() const
@@ -131,7 +131,7 @@
 
 private:
     Content m_content;
-    /// Per host, indices of routes with the longest prefix first.
+    /// Indices of each host's routes, the longest prefix first.
     absl::flat_hash_map<std::string, std::vector<std::size_t>> m_routesByHost;
     absl::flat_hash_map<std::string, std::size_t> m_teamByKey;
     absl::flat_hash_map<std::string, std::size_t> m_serviceByName;
