--- a/src/gateway/evacuationfollower.h
+++ b/src/gateway/evacuationfollower.h
@@ -15,38 +15,39 @@
 
 namespace bamboohold {
 
-/// Takes orders to evacuate failure domains, from the store's rows and from peers, into the board.
+/// Applies orders to evacuate failure domains, from the store's rows and from peers, to the balancer.
 ///
-/// The row's key alone is the order: whatever its value, an operator wants the domain empty. A row that names no domain is logged and
-/// changes nothing.
+/// The key of a row alone is the order, whatever its value: an operator wants the domain evacuated even if the value cannot be read. A row
+/// that names no domain is logged and has no effect.
 class EvacuationFollower
 {
 public:
     struct Options {
-        /// The failure domain that a row evacuates; none for a row that is no such order; InvalidDocument for one that names no domain.
+        /// The failure domain that a row evacuates; none for a row that is not an evacuation order. Fails with InvalidDocument for an order
+        /// that names no domain.
         std::function<absl::StatusOr<std::optional<std::string>>(const StoredRow &)> decodeDomain;
-        /// Called with what the store has changed, for peers that do not hear of it from the store.
+        /// Called with a state that came from the store, for peers that are cut off from the store.
         std::function<void(const Evacuations::State &)> announce = [](const Evacuations::State &) {};
-        /// Label of this router's metrics.
+        /// The host label of this router's metrics.
         std::string host;
     };
 
-    /// What it fills outlives it.
+    /// The balancer and the metrics must outlive this object.
     EvacuationFollower(TargetBalancer &balancer, Metrics &metrics, Options options);
 
-    /// The table as of one moment.
+    /// Replaces the orders by a consistent read of the whole table. Takes effect with commitStoreVersion().
     void applyTable(std::span<const StoredRow> rows);
 
-    /// A row that changed; version 0 when it was removed.
+    /// Applies a changed row; version 0 means that it was removed. Takes effect with commitStoreVersion().
     void applyChange(const StoredRow &row);
 
-    /// What was told so far is the store's state as of this version; from now on it is in force.
+    /// Puts the rows applied so far in force as the store's state at this version, unless a newer state is in force.
     void commitStoreVersion(std::uint64_t version, Instant now);
 
-    /// A peer's state.
+    /// Puts a peer's state in force, unless a newer one is.
     void applyPeerState(const Evacuations::State &state, Instant now);
 
-    /// What is in force; none until the store or a peer has told.
+    /// The state in force; none until the first one from the store or a peer.
     const std::optional<Evacuations::State> &inForce() const
     {
         return m_evacuations.inForce();
@@ -54,6 +55,7 @@
 
 private:
     std::optional<std::string> readDomain(const StoredRow &row) const;
+    /// Applies the state in force to the balancer, and logs and counts it.
     void activate(std::string_view source, Instant now);
 
     TargetBalancer &m_balancer;
--- a/src/gateway/targetfollower.h
+++ b/src/gateway/targetfollower.h
@@ -16,34 +16,35 @@
 
 namespace bamboohold {
 
-/// Takes the list of targets, row by row or whole, into the board and the relays beside the targets.
+/// Applies the list of targets, row by row or as a whole, to the balancer and to the relays beside the targets.
 ///
-/// Other writers than targets may put rows into the list, or change a target's. Such a row stops no other and names no target to use, at
-/// once: a target whose row was readable before would otherwise get work on the word of a record that is gone.
+/// Processes other than targets may add rows to the list or overwrite a target's row. An invalid row affects no other row and takes its
+/// target out of service at once: otherwise a target whose row was valid before would get requests on the strength of a record that no
+/// longer exists.
 ///
-/// Rows of one name are ordered by the store's version, not by the start that a process states in them: its clock may have been set back.
-/// A late copy of an older row, by whatever way, would otherwise bring an earlier life back.
+/// Rows of the same name are ordered by the store's version, not by the start time in them, since the clock of a target's host may be set
+/// back. Otherwise a late copy of an older row could bring an earlier incarnation back.
 class TargetFollower
 {
 public:
     struct Options {
-        /// Decodes a row; fails with InvalidDocument for one that names no target to use.
+        /// Decodes a row; fails with InvalidDocument for one that describes no usable target.
         std::function<absl::StatusOr<TargetListing>(const StoredRow &)> decodeListing;
-        /// Label of this router's metrics.
+        /// The host label of this router's metrics.
         std::string host;
     };
 
-    /// What it fills outlives it.
+    /// The balancer, the detours and the metrics must outlive this object.
     TargetFollower(TargetBalancer &balancer, Detours &detours, Metrics &metrics, Options options);
 
-    /// The list as of one moment.
+    /// Replaces the list by a consistent read of the whole table.
     void applyTable(std::span<const StoredRow> rows, Instant now);
 
-    /// A row that changed; version 0 when it was removed. An older one than the newest seen of its name is ignored.
+    /// Applies a changed row; version 0 means that it was removed. A row older than the newest one seen under its name is ignored.
     void applyChange(const StoredRow &row, Instant now);
 
 private:
-    /// The row's listing; none when it cannot be used, which is noted.
+    /// The row's listing; none when the row is invalid, which is logged and counted.
     std::optional<TargetListing> readListing(const StoredRow &row);
     void recordUnusable(const std::string &name, const std::string &reason);
     void recordUsable(const std::string &name);
@@ -53,9 +54,9 @@
     Detours &m_detours;
     Metrics &m_metrics;
     Options m_options;
-    /// The newest version seen of each row, removed ones included until the next whole list.
+    /// The newest version seen of each row; removed rows are included until the next read of the whole table.
     std::map<std::string, std::uint64_t> m_newestVersions;
-    /// Rows that cannot be used, by name, with the reason that was logged: rows are written every second, and one line a change is enough.
+    /// The names of invalid rows and the reason that was logged last. Rows are rewritten every second, and only changes are logged.
     std::map<std::string, std::string> m_unusableReasons;
 };
 
