--- a/src/gateway/peerexchange.h
+++ b/src/gateway/peerexchange.h
@@ -30,33 +30,33 @@
 
 namespace bamboohold {
 
-/// What routers do for each other: carry store calls, lend tokens, pass configurations on. Answers peers' calls and makes this router's
-/// own.
+/// Exchanges calls with other routers: answers theirs and makes this router's own. Routers carry each other's store calls, lend each other
+/// tokens, and pass on configurations, evacuation orders and reports of crashes.
 template<RowStore Store>
 class PeerExchange
 {
 public:
     struct Options {
-        /// Peers answer within a few milliseconds.
+        /// Timeout of a call to a peer; peers answer within a few milliseconds.
         Duration peerTimeout = std::chrono::milliseconds(120);
-        /// A loan that comes later than that is taken as long as this.
+        /// How long the answer to a loan request is accepted; after `peerTimeout` the borrowing request no longer waits for it.
         Duration maxLoanWait = std::chrono::seconds(3);
-        /// For a piece of a configuration, which may queue behind callers' answers on a slow link.
+        /// Timeout for a piece of a configuration, which may be queued behind answers to callers on a slow link.
         Patience::Options pieceTimeout{.least = std::chrono::milliseconds(800), .most = std::chrono::seconds(3)};
-        /// A router without a configuration asks this often whether a peer has one.
+        /// Interval at which a router without a configuration asks its peers for one.
         Duration initialPlanInterval = std::chrono::milliseconds(250);
-        /// Peers asked for one loan. Each of a large fleet holds about as much as the next.
+        /// Peers asked for one loan. In a large fleet all of them hold about the same amount.
         std::size_t maxLenders = 4;
-        /// Peers that tell a router, when it starts, what they know of crashes; how many it asks for that at the most, as many may have
-        /// started with it, and for how long it looks for them.
+        /// Answers that a router collects at its start about known crashes, the most peers it asks for them, since many may have started at
+        /// the same time, and the time after which it asks no further peer.
         std::size_t crashAnswersWanted = 3;
         std::size_t maxCrashQueries = 9;
         Duration maxCrashQueryTime = std::chrono::seconds(5);
-        /// A peer that did not answer is not asked for a loan for this long: each such wait is a caller's.
+        /// How long a peer that did not answer is not asked for a loan, since a caller waits through each timeout.
         Duration unresponsiveBackoff = std::chrono::seconds(1);
     };
 
-    /// `takeDocument` is given a configuration that came from a peer.
+    /// `acceptDocument` is called with each configuration document that was received from a peer. All references must outlive this object.
     PeerExchange(PeerLink &link,
                  RelayedStore<Store> &store,
                  TeamLedger &ledger,
@@ -92,17 +92,17 @@
             });
     }
 
-    /// A newer configuration is in force here: tells every peer, and gives the document to those who ask.
+    /// Announces the configuration in force to all peers and keeps its document for those that request it.
     void publishPlan(std::string document)
     {
         m_source.set(m_gateway.plan()->version(), std::move(document));
         m_link.announcePlan(m_gateway.plan()->version());
     }
 
-    /// A router that starts while the store is away takes its first configuration from a peer.
+    /// Requests a first configuration from peers until one is in force, for a router that starts while the store is unreachable.
     asio::awaitable<void> fetchInitialPlan()
     {
-        // What they have is not known yet; any version is newer than none.
+        // The peers' versions are not known yet, and any version is newer than none.
         constexpr std::uint64_t lowestVersion = 1;
         while (m_gateway.plan() == nullptr) {
             for (const std::string &peer : m_link.peers()) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A router that starts asks some peers what they know of crashes: what it knew itself has ended with it.
+    /// Requests known crashes from some peers. Call at the start: what the previous process knew is lost.
     asio::awaitable<void> fetchKnownCrashes()
     {
         const Instant startedAt = steadyNow();
@@ -132,7 +132,8 @@
     }
 
 private:
-    /// A peer that was not asked yet: the next ones by address, so that routers which start together ask different ones.
+    /// The next peer by address after this router that is not in `asked`, so that routers that start together ask different peers; none
+    /// when all were asked.
     std::optional<std::string> nextUnaskedPeer(const std::set<std::string> &asked) const
     {
         std::vector<std::string> peers = m_link.peers();
@@ -143,7 +144,7 @@
         return next != peers.end() ? std::optional(*next) : std::nullopt;
     }
 
-    /// A loan that one peer was asked for.
+    /// A loan that was requested from one peer.
     struct PendingLoan {
         PendingLoan(const asio::any_io_executor &executor, std::string teamName, Tokens tokens)
             : team(std::move(teamName))
@@ -156,11 +157,12 @@
         Tokens asked = 0;
         Signal answered;
         std::optional<TeamLedger::Loan> answer;
-        /// False once whoever needed it has gone on without.
+        /// False once the borrowing request has stopped waiting.
         bool awaited = true;
     };
 
-    /// What crashes targets is seen in pieces: each copy of a request may come to another router.
+    /// Connects the guard's reports of crashes and quarantines to those of peers. Each router sees only a part of the crashes, since every
+    /// copy of a request may reach another router.
     void connectCrashReports()
     {
         PoisonGuard &guard = m_gateway.guard();
@@ -212,7 +214,7 @@
         co_return answer;
     }
 
-    /// True when the peer answered.
+    /// Requests the crashes that a peer knows, and notes them. Returns whether the peer answered.
     asio::awaitable<bool> requestCrashes(std::string peer)
     {
         wire::PeerCall call;
@@ -228,7 +230,7 @@
         co_return true;
     }
 
-    /// Asks peers for tokens, one after the other, until there are enough. One that did not answer lately is left out.
+    /// Requests tokens from the lenders in turn until there are enough. Skips lenders that recently did not answer.
     asio::awaitable<TeamLedger::Loan> borrowTokens(std::string team, Tokens asked, std::vector<std::string> lenders)
     {
         TeamLedger::Loan total;
@@ -256,8 +258,8 @@
         co_return total;
     }
 
-    /// Asks one peer. An answer that comes when nobody waits for it any more is still the team's: the lender has counted it as spent, so it
-    /// would be lost to the team.
+    /// Requests a loan from one peer. A late answer is added to this router's holding of the team: the lender has counted it as spent, so
+    /// the tokens would otherwise be lost to the team.
     asio::awaitable<void> requestLoan(std::string peer, std::shared_ptr<PendingLoan> loan)
     {
         wire::PeerCall call;
@@ -265,7 +267,7 @@
         call.mutable_loan()->set_tokens(loan->asked);
         const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.maxLoanWait);
         if (!answer.ok()) {
-            // What the peer may have set aside for this is lost to the team.
+            // Tokens that the peer may have lent are lost to the team.
             logLine(Severity::Warning, "budget.loan_unanswered", {{"team", loan->team}, {"peer", peer}, {"asked", loan->asked}});
             co_return;
         }
@@ -277,7 +279,7 @@
         loan->answered.notify();
     }
 
-    /// What does not arrive is lost to the team; sent twice it could be spent twice.
+    /// Sends tokens to a peer, once: tokens sent again could be spent twice. Those that do not arrive are lost to the team.
     asio::awaitable<void> sendTokens(std::string peer, std::string team, Tokens tokens)
     {
         wire::PeerCall call;
@@ -318,7 +320,7 @@
         }
     }
 
-    /// A peer has a newer configuration. Most often the store brings it within moments; where it does not, the peer does.
+    /// Notes that a peer has a newer configuration. The store usually delivers it within moments; otherwise it is requested from the peer.
     void notePeerPlan(const std::string &peer, std::uint64_t version)
     {
         m_seeker.heard(peer, version, steadyNow());
@@ -328,7 +330,7 @@
         }
     }
 
-    /// Takes what the seeker decides to take, until there is nothing newer to be had.
+    /// Requests the pieces that the seeker selects, until no newer configuration is known.
     asio::awaitable<void> fetchNewerPlans()
     {
         while (true) {
@@ -342,7 +344,7 @@
             if (ask) {
                 co_await requestPlanPiece(*ask);
             } else {
-                // What is sought may arrive from the store in the meantime, so a long wait is taken in steps.
+                // Waits in short intervals, since the configuration may arrive from the store in the meantime.
                 co_await pause(std::clamp(Duration(*due - now), s_minSeekInterval, s_maxSeekInterval));
             }
         }
@@ -376,7 +378,7 @@
                     {{"peer", ask.peer}, {"offset", static_cast<std::int64_t>(ask.offset)}, {"detail", toFailure(answer.status()).detail}});
         }
         if (!answer.ok() || !answer->done()) {
-            // A peer that has none is no failure: all routers may have started together.
+            // A peer without a configuration is not logged: all routers may have started together.
             m_seeker.failed(ask.peer, now);
             co_return;
         }
@@ -396,8 +398,8 @@
         }
     }
 
-    /// Between two looks at whether the store has brought what is sought: often enough that no piece is asked for in vain, and never a
-    /// busy loop.
+    /// Bounds of the interval between two checks whether the store has delivered the configuration. The upper one avoids requests for
+    /// pieces that are no longer needed, the lower one a busy loop.
     static constexpr Duration s_minSeekInterval = std::chrono::milliseconds(5);
     static constexpr Duration s_maxSeekInterval = std::chrono::milliseconds(100);
 
@@ -408,7 +410,7 @@
     EvacuationFollower &m_evacuations;
     std::function<void(const std::string &)> m_acceptDocument;
     Options m_options;
-    /// Peers that did not answer a loan, and until when they are left alone.
+    /// Peers that did not answer a loan request, and until when they are not asked again.
     std::map<std::string, Instant> m_backoffUntil;
     PlanSeeker m_seeker;
     PlanSource m_source;
