--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -32,7 +32,7 @@
     return absl::StrCat(ownAddress(), ":", s_firstLoadPort + router);
 }
 
-/// A router that answers the others' questions about targets without relays.
+/// A router that answers the other routers' load queries for targets without relays.
 struct RouterUnderTest {
     RouterUnderTest(WorkerPool &pool, std::size_t number)
         : ledger(pool.mainLoop().get_executor(), {.holder = loadAddress(number), .incarnation = loadAddress(number) + "~1"})
@@ -78,7 +78,7 @@
     return {.bytes = wholeAnswer(200, absl::StrCat("X-Id: r1\r\nX-Seal: s\r\nX-Limit: ", s_perSecond, "\r\n"), "answer")};
 }
 
-/// Routers before one plain service that limits what it takes.
+/// Several routers and one target without a relay that states a rate limit.
 class Fleet
 {
 public:
@@ -102,7 +102,7 @@
         m_pool.run();
     }
 
-    /// Sends a request to a router; returns whether it was served.
+    /// Sends a request to a router and returns whether it was served.
     asio::awaitable<bool> serves(std::size_t router)
     {
         asio::ip::tcp::socket socket(m_pool.mainLoop());
@@ -131,7 +131,7 @@
 
 BOOST_AUTO_TEST_SUITE(AdmissionFleetTest)
 
-// Guards against routers that each keep to a limit alone, so that their sum is a multiple of it, where no relay runs beside the target.
+// Guards against routers that each use the whole rate limit of a target without a relay, so that together they send a multiple of it.
 BOOST_AUTO_TEST_CASE(routersTogetherKeepToALimit)
 {
     constexpr int rounds = 150;
@@ -146,14 +146,14 @@
             co_await pause(std::chrono::milliseconds(20));
         }
     });
-    // The first request of each router tells it of the limit.
+    // Each router learns the limit from the answer to its first request.
     const double admitted = s_perSecond * seconds(steadyNow() - begun + LimitAdmissions::s_leeway) + 1;
     BOOST_TEST(served <= admitted + s_routers);
     BOOST_TEST(served > static_cast<int>(s_routers));
     BOOST_TEST(fleet.target().requests().size() == static_cast<std::size_t>(served));
 }
 
-// Guards against a limit that stays at routers which did not hear of its end.
+// Guards against a rate limit that stays in force at routers that did not get the answer that ended it.
 BOOST_AUTO_TEST_CASE(endOfALimitReachesAllRouters)
 {
     constexpr int mostRounds = 3000;
@@ -164,7 +164,7 @@
             co_await fleet.serves(router);
         }
         fleet.target().answerWith({sound()});
-        // Only a fleet that never hears of it plays all rounds.
+        // Only a failing run uses all rounds.
         for (int round = 0; round < mostRounds && unlimitedRouters < s_routers; ++round) {
             unlimitedRouters = 0;
             for (std::size_t router = 0; router < s_routers; ++router) {
--- a/src/tests/evacuationfollowertest.cpp
+++ b/src/tests/evacuationfollowertest.cpp
@@ -10,7 +10,7 @@
 
 constexpr Instant s_now{std::chrono::seconds(100)};
 
-/// Rows of this test: "empty DOMAIN" evacuates; "empty " names no domain; all others are no orders.
+/// Decodes a row of this test: "empty DOMAIN" evacuates the domain, "empty " names none, and every other row is not an order.
 absl::StatusOr<std::optional<std::string>> decodeOrder(const StoredRow &row)
 {
     const std::string_view prefix = "empty ";
@@ -77,7 +77,7 @@
 
 BOOST_AUTO_TEST_SUITE(EvacuationFollowerTest)
 
-// Guards against requests to a domain that its operators are emptying: also to a target that is listed after the order, or again.
+// Guards against requests to a domain that operators are evacuating, also to a target that is listed, or listed again, after the order.
 BOOST_AUTO_TEST_CASE(evacuatedDomainGetsNoRequests)
 {
     Fixture fixture;
@@ -90,7 +90,7 @@
     BOOST_TEST(fixture.announced.size() == 1U);
 }
 
-// Guards against an order that is read before any target of its domain is known, as by a router that starts.
+// Guards against an order that is lost because no target of its domain is known yet, as in a router that starts.
 BOOST_AUTO_TEST_CASE(orderAppliesToTargetsListedLater)
 {
     Fixture fixture;
@@ -100,7 +100,8 @@
     BOOST_TEST(!fixture.choose().has_value());
 }
 
-// Guards against a domain that stays empty after its order was taken back, by a change or by its absence from a whole read.
+// Guards against a domain that stays out of service after its order was revoked. A router learns of that from a changed row, or from a read
+// of the whole table without the order.
 BOOST_AUTO_TEST_CASE(revokedOrderRestoresDomain)
 {
     Fixture fixture;
@@ -114,7 +115,7 @@
     BOOST_TEST(fixture.choose().has_value());
 }
 
-// Guards against a burst at targets that became cold while their domain was empty, before their records say so.
+// Guards against a burst of requests at targets that became cold while their domain was evacuated, before their records say so.
 BOOST_AUTO_TEST_CASE(targetsOfRestoredDomainMayBeCold)
 {
     Fixture fixture;
@@ -125,7 +126,7 @@
     BOOST_TEST(!fixture.choose(s_now + std::chrono::seconds(3))->cold);
 }
 
-// Guards against a record with an empty name that empties the fleet, or hides the orders beside it.
+// Guards against an order without a domain that evacuates all domains or hides other orders.
 BOOST_AUTO_TEST_CASE(unreadableOrderLeavesOthersInForce)
 {
     Fixture fixture;
@@ -133,14 +134,14 @@
     BOOST_TEST(fixture.choose()->incarnation == "other");
 }
 
-// Guards against a router that is cut off from the store and goes on sending to a domain of which its peers know that it is evacuated.
+// Guards against requests from a router that is cut off from the store to a domain that its peers know to be evacuated.
 BOOST_AUTO_TEST_CASE(peersReportOrders)
 {
     Fixture fixture;
     fixture.all({}, 4);
     fixture.follower.applyPeerState({.version = 9, .domains = {"here"}}, s_now);
     BOOST_TEST(fixture.choose()->incarnation == "other");
-    // The store's feed is behind the peer.
+    // The store's feed lags behind the peer's state.
     fixture.follower.commitStoreVersion(6, s_now);
     BOOST_TEST(fixture.choose()->incarnation == "other");
     fixture.follower.commitStoreVersion(10, s_now);
--- a/src/tests/peerhelptest.cpp
+++ b/src/tests/peerhelptest.cpp
@@ -18,9 +18,9 @@
 
 constexpr std::uint16_t s_firstPort = 17710;
 constexpr int s_peers = 4;
-/// A document of half a megabyte takes this long over a slow link.
+/// The time that a document of half a megabyte takes over a slow link.
 constexpr Duration s_transferTime = std::chrono::milliseconds(200);
-/// Long enough for every peer to be asked, one after the other. Only a failing run lasts so long.
+/// Long enough to ask every peer in turn. Only a failing run takes this long.
 constexpr Duration s_longestRun = std::chrono::seconds(6);
 
 std::string linkAddress(int number)
@@ -28,7 +28,7 @@
     return absl::StrCat(ownAddress(), ":", s_firstPort + number);
 }
 
-/// The store is out of reach all the while.
+/// A store that never answers.
 struct UnreachableStore {
     asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &)
     {
@@ -46,7 +46,7 @@
     }
 };
 
-/// A peer that has version 2 of the configuration and a slow link to send it over.
+/// A peer with version 2 of the configuration and a slow link.
 struct SlowPeer {
     SlowPeer(asio::io_context &loop, int number)
         : link(loop.get_executor(), {.self = linkAddress(number)})
@@ -79,7 +79,7 @@
     int documentRequests = 0;
 };
 
-/// A router without the store, among peers that all have a newer configuration.
+/// A router that cannot reach the store, and peers that all have a newer configuration.
 struct Fixture {
     Fixture()
         : link(loop.get_executor(), {.self = linkAddress(0)})
@@ -111,13 +111,13 @@
         return requests;
     }
 
-    /// All peers tell of their configuration, until it has come.
+    /// Lets all peers announce their configuration until the router has accepted it.
     void announceUntilAccepted()
     {
         asio::co_spawn(
             loop,
             [this]() -> asio::awaitable<void> {
-                // Connections are made in the background; a notice to a peer that is not connected yet is lost.
+                // Connections are established in the background, and a notice to a peer that is not connected yet is lost.
                 while (true) {
                     for (const auto &peer : peers) {
                         peer->link.announcePlan(2);
@@ -146,10 +146,9 @@
 
 BOOST_AUTO_TEST_SUITE(PeerHelpTest)
 
-// All calls of a router on a slow link timed out for eight seconds after a change of the configuration. Each of its peers had told it of
-// the new version, it had asked each of them for the whole document, 0.7 MB, and had given up on each after 120 ms; all of them sent it all
-// the same, ten seconds' worth of the link for two changes. The evidence: the routers on fast links sent 12 to 14 MB/s together in these
-// seconds, 0.3 MB/s otherwise, and every slow link was full.
+// Guards against a slow link that is saturated by copies of the configuration. A router that requested the whole document, 0.7 MB, from
+// every peer that announced it, and gave up on each after 120 ms, still received all the copies: ten seconds of traffic for two changes.
+// All its other calls timed out for eight seconds, while the routers on fast links sent 12 to 14 MB/s together instead of 0.3 MB/s.
 BOOST_AUTO_TEST_CASE(oneOfManyPeersSendsTheDocument)
 {
     Fixture fixture;
@@ -158,7 +157,8 @@
     BOOST_TEST(fixture.documentRequests() == 1);
 }
 
-// Guards against a router that starts while the store is away, takes its configuration from a peer, and sends to an evacuated domain.
+// Guards against requests to an evacuated domain from a router that started while the store was unreachable and got its configuration from
+// a peer.
 BOOST_AUTO_TEST_CASE(evacuationsComeWithTheConfiguration)
 {
     Fixture fixture;
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -23,15 +23,15 @@
 constexpr double s_tokensPerMs = 38.4;
 constexpr std::size_t s_asked = 3;
 
-/// What callers got over a while.
+/// Results of a simulated run.
 struct Outcome {
     double p95FirstByteMs = 0;
-    /// Requests at the target that got most, in multiples of the mean.
+    /// Requests at the target that got the most, as a multiple of the mean.
     double busiest = 0;
 };
 
-/// A hundred routers before targets that read one prompt after the other. Prompts are as long as those of three kinds of requests together:
-/// most short, some thirty times as long. Half of the work that targets could do arrives.
+/// Simulates a hundred routers and targets that process one prompt at a time. The lengths of prompts are distributed like those of three
+/// kinds of requests together: most are short, some thirty times as long. The targets are loaded to half of their capacity.
 class Fleet
 {
 public:
@@ -77,7 +77,7 @@
     }
 
 private:
-    /// A request whose first byte, or end, is due.
+    /// The time at which the first byte, or the end, of a request is due.
     struct Event {
         Instant at{};
         std::size_t router = 0;
@@ -102,7 +102,7 @@
         return "domain-" + std::to_string(index % s_domains);
     }
 
-    /// The router tells the relay what it has at the target; returns what the others have.
+    /// Reports the router's load at the target to the relay and returns the load of the other routers.
     TargetLoad report(std::size_t router, const std::string &target)
     {
         const TargetLoad own = m_balancers[router]->ownLoad(target)->load;
@@ -172,8 +172,8 @@
 
 BOOST_AUTO_TEST_SUITE(SharedLoadsTest)
 
-// 103 routers each see one in a hundred of what goes to 180 targets. Each took the first of those that looked idle to it, and so did all
-// the others: callers waited behind each other's long prompts while targets next to them had nothing to do.
+// Guards against routers that all choose the same target. Each of 103 routers sees one in a hundred of the requests to 180 targets. If each
+// takes the first target that looks idle to it, callers wait behind each other's long prompts while other targets are idle.
 BOOST_AUTO_TEST_CASE(routersDoNotAllChooseTheSameTarget)
 {
     const Duration time = std::chrono::seconds(10);
--- a/src/tests/targetboardtest.cpp
+++ b/src/tests/targetboardtest.cpp
@@ -18,7 +18,7 @@
     return {.incarnation = incarnation, .service = "llm", .address = "10.0.0.1:" + incarnation, .failureDomain = std::move(failureDomain)};
 }
 
-/// A board with some targets of one service, and a clock.
+/// A balancer with some targets of one service, and a clock.
 struct Fixture {
     explicit Fixture(int targets)
         : balancer({.failureDomain = "here"})
@@ -35,7 +35,7 @@
         return balancer.choose({.service = "llm", .prompt = prompt, .excluded = excluded}, now);
     }
 
-    /// Sends a request to whichever target is chosen; returns which.
+    /// Sends a request to the target that is chosen and returns its incarnation.
     std::string send(std::span<const PromptPart> prompt = {})
     {
         const auto placement = choose(prompt);
@@ -62,7 +62,7 @@
     BOOST_TEST(used.size() == 4U);
 }
 
-// Guards against a target that has said that it leaves and is used again after a gap in the list.
+// Guards against requests to a leaving target whose entry was missing from the list for a while and then returned.
 BOOST_AUTO_TEST_CASE(whatATargetSaidOutlastsAGapInTheList)
 {
     Fixture fixture(1);
@@ -74,7 +74,7 @@
     fixture.balancer.updateListing(listing, fixture.now);
     BOOST_TEST(!fixture.choose());
     TargetListing restarted = listing;
-    restarted.incarnation = "next life";
+    restarted.incarnation = "restarted";
     fixture.balancer.updateListing(restarted, fixture.now);
     BOOST_TEST(fixture.choose().has_value());
 }
@@ -89,7 +89,8 @@
     BOOST_TEST(fixture.choose(next)->incarnation == first);
 }
 
-// Routers that have exchanged nothing send the first request for a shared part to the same target, or each of them would have it read anew.
+// Guards against several targets that process the same shared part, because routers choose different ones for it. Routers must agree
+// without exchanging anything.
 BOOST_AUTO_TEST_CASE(routersPreferTheSameTargetForAPart)
 {
     const Fixture one(6);
@@ -100,7 +101,7 @@
     }
 }
 
-// A prompt that everybody asks for must not queue at one target while others are idle.
+// Guards against requests that queue at one target while others are idle, because many of them share a prompt part.
 BOOST_AUTO_TEST_CASE(hotPartSpreadsOverTargets)
 {
     Fixture fixture(4);
@@ -112,7 +113,7 @@
     BOOST_TEST(used.size() >= 3U);
 }
 
-// Work is sent to a target that is about to go: it is not, from the moment at which it said so, whatever an older entry says.
+// Guards against requests to a target that has announced its shutdown, also when an older entry arrives after the announcement.
 BOOST_AUTO_TEST_CASE(leavingTargetGetsNoRequests)
 {
     Fixture fixture(1);
@@ -124,8 +125,8 @@
     BOOST_TEST(!fixture.choose().has_value());
 }
 
-// The store was away, and entries lapsed although their targets live. Taking the list at its word would leave nobody to serve; a target
-// that is still missing a while after the store's return is gone.
+// Guards against a router that drops all targets because their entries expired while the store was unreachable. Live targets rewrite their
+// entries once the store is back; a target that is still missing after the grace period is removed.
 BOOST_AUTO_TEST_CASE(missingEntriesStayForTheGracePeriod)
 {
     Fixture fixture(2);
@@ -143,7 +144,7 @@
     BOOST_TEST(fixture.choose()->incarnation == "1");
 }
 
-// While the store answers, a vanished entry is a target that is gone, at once.
+// Guards against requests to a target whose entry was removed while the store was reachable.
 BOOST_AUTO_TEST_CASE(removedEntryIsDroppedAtOnce)
 {
     Fixture fixture(1);
@@ -151,8 +152,8 @@
     BOOST_TEST(!fixture.choose().has_value());
 }
 
-// A target does not answer any more. It is left alone, tried again by a single request after a while, and left alone for longer when that
-// fails.
+// Guards against a burst of requests at a target that has failed. After the back-off it gets a single request, and others only once that
+// one has succeeded.
 BOOST_AUTO_TEST_CASE(failedTargetIsProbedBySingleRequests)
 {
     Fixture fixture(2);
@@ -170,7 +171,7 @@
     BOOST_TEST(fixture.send() == "0");
 }
 
-// Every target has failed a moment ago. One that may be back serves the caller better than a refusal.
+// Guards against refusals when all targets are in back-off: one that may have recovered serves the caller better.
 BOOST_AUTO_TEST_CASE(allInBackoffStillOffersOne)
 {
     Fixture fixture(2);
@@ -183,7 +184,8 @@
     BOOST_TEST(!fixture.choose({}, tried).has_value());
 }
 
-// A target goes silent without closing anything. Requests that wait for it speak against it, long before their time is up.
+// Guards against further requests to a target that hangs without closing its connections. It loses its share as soon as a first byte is
+// overdue, long before a request times out.
 BOOST_AUTO_TEST_CASE(targetWithOverdueFirstByteIsAvoided)
 {
     Fixture fixture(2);
@@ -195,7 +197,8 @@
     }
 }
 
-// Single failures are the requests' own; a row of them is the target's.
+// Guards against a back-off for single error responses, which are attributed to the requests. Only consecutive ones count against the
+// target.
 BOOST_AUTO_TEST_CASE(consecutiveErrorsStartABackoff)
 {
     Fixture fixture(2);
--- a/src/tests/targetfollowertest.cpp
+++ b/src/tests/targetfollowertest.cpp
@@ -15,7 +15,7 @@
 
 constexpr Instant s_now{std::chrono::seconds(100)};
 
-/// A record of this test: BORN, with an 'l' behind it when the target leaves; anything else cannot be used.
+/// Decodes a record of this test: the start as a number, followed by 'l' when the target is leaving. Anything else is invalid.
 absl::StatusOr<TargetListing> readRecord(const StoredRow &row)
 {
     const bool leaving = row.value.ends_with('l');
@@ -48,7 +48,7 @@
         follower.applyChange(record(std::move(name), std::move(value), version), s_now);
     }
 
-    /// Which life gets the next request; empty when none does.
+    /// The incarnation that gets the next request; empty when none does.
     std::string chosen() const
     {
         const auto placement = balancer.choose({.service = "llm"}, s_now);
@@ -65,8 +65,8 @@
 
 BOOST_AUTO_TEST_SUITE(TargetFollowerTest)
 
-// A target crashes and starts again under its name within one interval of its records. Requests were sent to it as if it still held their
-// prompts, and it rested for the failures of its former life.
+// Guards against a restarted target that is treated like its previous incarnation: its cache is presumed to hold prompts, or it is in
+// back-off for earlier failures. This happens when a target restarts under its name between two of its records.
 BOOST_AUTO_TEST_CASE(newIncarnationInheritsNoState)
 {
     Fixture fixture;
@@ -84,14 +84,14 @@
     BOOST_TEST(placement->incarnation == "a@2000");
     BOOST_TEST(placement->name == "a");
     BOOST_TEST(!fixture.balancer.isKnown("a@1000"));
-    // The former life's attempt ends late; it says nothing of the new one.
+    // A late end of an attempt at the previous incarnation does not affect the new one.
     fixture.balancer.attemptEnded("a@1000", HealthSignal::ConnectionFailure, s_now);
     fixture.balancer.markLeaving("a@1000");
     BOOST_TEST(fixture.chosen() == "a@2000");
 }
 
-// A target says that it leaves, ends, and starts again under its name: the new life is ready. Then the new one leaves, and the record of
-// the ready one arrives late.
+// Guards against a restarted target that stays out of service because its previous incarnation was leaving, and against a late record that
+// brings a leaving incarnation back.
 BOOST_AUTO_TEST_CASE(leavingAppliesToOneIncarnation)
 {
     Fixture fixture;
@@ -104,7 +104,8 @@
     BOOST_TEST(fixture.chosen().empty());
 }
 
-// The clock of a target's host is set back before the target starts again: the newer record says which life is the newer one.
+// Guards against a restarted target that is ignored because the clock of its host was set back before the restart. The store's versions
+// decide which incarnation is newer.
 BOOST_AUTO_TEST_CASE(recordsAreOrderedByStoreVersion)
 {
     Fixture fixture;
@@ -115,8 +116,8 @@
     BOOST_TEST(fixture.chosen() == "a@1000");
 }
 
-// Somebody else writes into the list. The record of a target that could be read before was kept in use, and a word that stands for no
-// known state was taken for readiness.
+// Guards against requests to a target whose record was overwritten by an invalid one, for instance by another writer. The last valid record
+// must not stay in use, and an unknown state must not count as ready.
 BOOST_AUTO_TEST_CASE(unusableRecordTakesTargetOutOfService)
 {
     Fixture fixture;
@@ -131,7 +132,7 @@
     BOOST_TEST(fixture.chosen() == "a@1000");
 }
 
-// The same while the store is in trouble, when entries that vanished are doubted and stay in use.
+// Guards against the same while the store is unreachable, when vanished entries stay in use. An invalid record is not a vanished one.
 BOOST_AUTO_TEST_CASE(unusableRecordCountsWhileStoreIsUnreachable)
 {
     Fixture fixture;
@@ -141,8 +142,8 @@
     BOOST_TEST(fixture.chosen().empty());
 }
 
-// Records in any order, answers of any life at any time: the board sends only to the life of the newest record, and only if that one is
-// usable and does not leave.
+// Guards against requests to any incarnation but that of the newest record, or to one that is leaving or has an invalid record. Applies
+// records in any order, and ends of attempts at any incarnation at any time.
 BOOST_AUTO_TEST_CASE(onlyTheNewestRecordCounts)
 {
     const bool holds = rc::check("the newest record counts", [] {
@@ -167,7 +168,7 @@
                 const bool leaving = kind == 3;
                 const std::string next = affected.substr(2);
                 if (version <= newest && anyRecord && !unreadable) {
-                    // A late copy of an older record.
+                    // A late copy of an older record has no effect.
                     fixture.changed("a", next, newest - 1);
                     RC_ASSERT(fixture.chosen() == expected);
                     continue;
--- a/src/tests/targetleavingtest.cpp
+++ b/src/tests/targetleavingtest.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_SUITE(TargetLeavingTest)
 
-// Guards against requests to a target that leaves while the store, whose list would say so, is out of reach.
+// Guards against requests to a leaving target while the store is unreachable, so that the list does not show that the target is leaving.
 BOOST_AUTO_TEST_CASE(announcedShutdownIsHonoured)
 {
     GatewayScene scene({{leaving()}, {sound()}});
@@ -27,7 +27,7 @@
     BOOST_TEST(scene.target(0).requests().size() <= 1U);
 }
 
-// Guards against an older record of the list that brings a target back which has said that it leaves.
+// Guards against an older record in the list that brings a leaving target back into service.
 BOOST_AUTO_TEST_CASE(listRecordDoesNotUndoLeaving)
 {
     GatewayScene scene({{leaving()}});
--- a/src/tests/targetlimittest.cpp
+++ b/src/tests/targetlimittest.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Requests that a target which takes `perSecond` may get by the users' rule, in a span of at least four seconds.
+/// The most requests that a target with a limit of `perSecond` may get in a span. The users' rule applies to spans of at least
+/// four seconds.
 double mostInSpan(double perSecond, Duration span)
 {
     constexpr double leastSeconds = 4;
@@ -25,7 +26,7 @@
 
 BOOST_AUTO_TEST_SUITE(TargetLimitTest)
 
-// Guards against a target that gets more requests than it says that it takes.
+// Guards against requests beyond the rate limit that a target states in its answers.
 BOOST_AUTO_TEST_CASE(targetGetsNoMoreThanItsRateLimit)
 {
     constexpr int requests = 40;
@@ -41,7 +42,7 @@
     BOOST_TEST(refused == requests - arrived);
 }
 
-// Guards against requests that are refused although another target has room.
+// Guards against requests that are refused because of one target's rate limit although another target accepts them.
 BOOST_AUTO_TEST_CASE(excessRequestsGoToOtherTargets)
 {
     constexpr int requests = 40;
--- a/src/tests/targetresttest.cpp
+++ b/src/tests/targetresttest.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int s_requests = 10;
-/// Longer than the pause after a target that declines without a word.
+/// Time between two requests. All of them together last longer than the back-off after a declined request without a requested rest.
 constexpr Duration s_between = std::chrono::milliseconds(40);
 
 PeerAction restingForMinutes()
@@ -21,7 +21,7 @@
 
 BOOST_AUTO_TEST_SUITE(TargetRestTest)
 
-// Guards against a target that is asked again and again although it has asked for rest.
+// Guards against requests to a target before the rest that it requested is over.
 BOOST_AUTO_TEST_CASE(requestedRestIsHonoured)
 {
     GatewayScene scene({{restingForMinutes()}, {sound()}});
@@ -32,7 +32,7 @@
     BOOST_TEST(scene.target(0).requests().size() <= 1U);
 }
 
-// Guards against rest that is broken for want of another target: callers are refused at once, with the time at which the rest ends.
+// Guards against requests to a resting target because no other one is available. Callers are refused at once and told when the rest ends.
 BOOST_AUTO_TEST_CASE(callersGetRetryTimeWhenAllTargetsRest)
 {
     GatewayScene scene({{restingForMinutes()}});
