--- a/src/gateway/targetbalancer.cpp
+++ b/src/gateway/targetbalancer.cpp
@@ -156,7 +156,7 @@
 
 const TargetBalancer::Pool &TargetBalancer::pool(std::string_view service) const
 {
-    static const Pool s_none;
+    static const Pool s_emptyPool;
     if (!m_poolsValid) {
         m_pools.clear();
         for (const bool own : {true, false}) {
@@ -171,7 +171,7 @@
         m_poolsValid = true;
     }
     const auto found = m_pools.find(service);
-    return found == m_pools.end() ? s_none : found->second;
+    return found == m_pools.end() ? s_emptyPool : found->second;
 }
 
 std::vector<const TargetState *> TargetBalancer::preferredTargets(const Pool &pool, std::span<const PromptPart> prompt) const
@@ -225,10 +225,10 @@
 
 std::vector<TargetBalancer::RankedTarget> TargetBalancer::rankTargets(const PlacementRequest &request, bool backedOff, Instant now) const
 {
-    const Pool &known = pool(request.service);
-    const std::vector<const TargetState *> preferred = preferredTargets(known, request.prompt);
+    const Pool &servicePool = pool(request.service);
+    const std::vector<const TargetState *> preferred = preferredTargets(servicePool, request.prompt);
     std::vector<RankedTarget> scored;
-    for (const TargetState *target : sampleTargets(known, request, preferred)) {
+    for (const TargetState *target : sampleTargets(servicePool, request, preferred)) {
         const std::string &incarnation = target->listing.incarnation;
         const bool tried = std::ranges::find(request.excluded, incarnation) != request.excluded.end();
         const bool shortlisted = request.shortlist.empty() || std::ranges::find(request.shortlist, incarnation) != request.shortlist.end();
--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -156,7 +156,7 @@
 // Guards against a rate limit that stays in force at routers that did not get the answer that ended it.
 BOOST_AUTO_TEST_CASE(endOfALimitReachesAllRouters)
 {
-    constexpr int mostRounds = 3000;
+    constexpr int maxRounds = 3000;
     Fleet fleet;
     std::size_t unlimitedRouters = 0;
     fleet.play([&]() -> asio::awaitable<void> {
@@ -165,7 +165,7 @@
         }
         fleet.target().answerWith({sound()});
         // Only a failing run uses all rounds.
-        for (int round = 0; round < mostRounds && unlimitedRouters < s_routers; ++round) {
+        for (int round = 0; round < maxRounds && unlimitedRouters < s_routers; ++round) {
             unlimitedRouters = 0;
             for (std::size_t router = 0; router < s_routers; ++router) {
                 const bool first = co_await fleet.serves(router);
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t s_domains = 6;
 constexpr double s_requestsPerSecond = 970;
 constexpr double s_tokensPerMs = 38.4;
-constexpr std::size_t s_asked = 3;
+constexpr std::size_t s_candidatesQueried = 3;
 
 /// Results of a simulated run.
 struct Outcome {
@@ -115,7 +115,7 @@
         TargetBalancer &balancer = *m_balancers[router];
         const std::vector<PromptPart> prompt{{.id = draw, .tokens = tokens}};
         PlacementRequest request{.service = "llm", .prompt = prompt, .seed = draw};
-        const std::vector<std::string> candidates = balancer.candidates(request, s_asked, m_now);
+        const std::vector<std::string> candidates = balancer.candidates(request, s_candidatesQueried, m_now);
         if (m_shared) {
             for (const std::string &candidate : candidates) {
                 balancer.setRemoteLoad(candidate, report(router, candidate), m_now);
--- a/src/tests/targetlimittest.cpp
+++ b/src/tests/targetlimittest.cpp
@@ -11,7 +11,7 @@
 
 /// The most requests that a target with a limit of `perSecond` may get in a span. The users' rule applies to spans of at least
 /// four seconds.
-double mostInSpan(double perSecond, Duration span)
+double maxRequestsInSpan(double perSecond, Duration span)
 {
     constexpr double leastSeconds = 4;
     return 1.5 * perSecond * std::max(leastSeconds, seconds(span)) + 5;
@@ -38,7 +38,7 @@
         refused += answer.starts_with("HTTP/1.1 503 ") && contains(answer, "X-Retry-Ms: ") ? 1 : 0;
     }
     const auto arrived = static_cast<int>(scene.target(0).requests().size());
-    BOOST_TEST(arrived <= mostInSpan(1, steadyNow() - begun));
+    BOOST_TEST(arrived <= maxRequestsInSpan(1, steadyNow() - begun));
     BOOST_TEST(refused == requests - arrived);
 }
 
@@ -52,7 +52,7 @@
         BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
     }
     const auto arrived = static_cast<int>(scene.target(0).requests().size());
-    BOOST_TEST(arrived <= mostInSpan(1, steadyNow() - begun));
+    BOOST_TEST(arrived <= maxRequestsInSpan(1, steadyNow() - begun));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/targetresttest.cpp
+++ b/src/tests/targetresttest.cpp
@@ -10,7 +10,7 @@
 
 constexpr int s_requests = 10;
 /// Time between two requests. All of them together last longer than the back-off after a declined request without a requested rest.
-constexpr Duration s_between = std::chrono::milliseconds(40);
+constexpr Duration s_requestInterval = std::chrono::milliseconds(40);
 
 PeerAction restingForMinutes()
 {
@@ -27,7 +27,7 @@
     GatewayScene scene({{restingForMinutes()}, {sound()}});
     for (int sent = 0; sent < s_requests; ++sent) {
         BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
-        std::this_thread::sleep_for(s_between);
+        std::this_thread::sleep_for(s_requestInterval);
     }
     BOOST_TEST(scene.target(0).requests().size() <= 1U);
 }
