--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -4,7 +4,7 @@
 #include "budget/ledgerkeeper.h"
 #include "gateway/gateway.h"
 #include "gateway/mechanisms.h"
-#include "gateway/peerhelp.h"
+#include "gateway/peerexchange.h"
 #include "gateway/targetfollower.h"
 #include "membership/routerregistry.h"
 #include "quarantine/quarantinekeeper.h"
@@ -85,7 +85,7 @@
         , m_help(m_link, m_store, m_ledger, m_gateway, m_evacuations, documentTaker())
         , m_quarantine(m_store, m_gateway.guard())
         , m_targetFollower(
-              m_gateway.board(), m_detours, m_metrics, {.listingFrom = m_options.listingFrom, .host = m_options.callers.address})
+              m_gateway.board(), m_detours, m_metrics, {.decodeListing = m_options.listingFrom, .host = m_options.callers.address})
         , m_plans(m_store, planWatch())
         , m_targets(m_store, targetWatch())
         , m_callers(pool, callerOptions(), callerHandler())
@@ -96,7 +96,7 @@
             m_store.setDetours(m_detours, m_options.openDetour);
         }
         if (m_options.mechanisms.sharedLoads) {
-            m_gateway.chooser().setLoads(m_loads);
+            m_gateway.chooser().setLoadLink(m_loads);
         }
     }
 
@@ -128,13 +128,13 @@
         asio::co_spawn(m_executor, m_registry.run(m_options.together), asio::detached);
         asio::co_spawn(m_executor, m_plans.run(), asio::detached);
         if (!m_options.together) {
-            asio::co_spawn(m_executor, m_help.seekFirstPlan(), asio::detached);
+            asio::co_spawn(m_executor, m_help.fetchInitialPlan(), asio::detached);
         }
         asio::co_spawn(m_executor, m_targets.run(), asio::detached);
         if (m_options.mechanisms.quarantine) {
             asio::co_spawn(m_executor, m_quarantine.run(), asio::detached);
             if (!m_options.together) {
-                asio::co_spawn(m_executor, m_help.learnCrashes(), asio::detached);
+                asio::co_spawn(m_executor, m_help.fetchKnownCrashes(), asio::detached);
             }
         }
         asio::co_spawn(m_executor, expireTargets(), asio::detached);
@@ -179,8 +179,8 @@
         const Mechanisms &on = options.mechanisms;
         options.holdings.fewKeepers = on.keepers;
         options.holdings.loans = on.loans;
-        options.gateway.board.favourites = on.favourites;
-        options.gateway.board.ejects = on.ejection;
+        options.gateway.board.prefixAffinity = on.favourites;
+        options.gateway.board.outlierEjection = on.ejection;
         if (!on.ampleBudgets) {
             options.holdings.ampleSpan = s_never;
         }
@@ -189,9 +189,9 @@
         }
         options.gateway.sheds = on.shedding;
         options.gateway.quarantines = on.quarantine;
-        options.gateway.chooser.admissions = on.admissions;
+        options.gateway.chooser.centralAdmission = on.admissions;
         if (!on.silence) {
-            options.gateway.board.patience = s_never;
+            options.gateway.board.firstByteAllowance = s_never;
         }
         return options;
     }
@@ -313,26 +313,26 @@
         return {.table = m_options.planTable,
                 .onAll =
                     [this](const std::vector<StoredRow> &rows) {
-                        m_evacuations.all(rows);
+                        m_evacuations.applyTable(rows);
                         for (const StoredRow &row : rows) {
                             takePlan(row);
                         }
                     },
                 .onChange =
                     [this](const StoredRow &row) {
-                        m_evacuations.changed(row);
+                        m_evacuations.applyChange(row);
                         takePlan(row);
                     },
                 .onReachable = [](bool) {},
                 .onVersion =
                     [this](std::uint64_t version) {
-                        m_evacuations.storeAsOf(version, steadyNow());
+                        m_evacuations.commitStoreVersion(version, steadyNow());
                     }};
     }
 
     EvacuationFollower::Options evacuationOptions()
     {
-        return {.domainFrom = m_options.evacuationFrom,
+        return {.decodeDomain = m_options.evacuationFrom,
                 .announce =
                     [this](const Evacuations::State &state) {
                         m_link.announceEvacuations(toWire(state));
@@ -371,7 +371,7 @@
                 {{"version", version}, {"bytes", static_cast<std::int64_t>(row.value.size())}});
         if (newer) {
             m_metrics.gauge("plan_version", {.name = "host", .value = m_options.callers.address}, version);
-            m_help.announce(row.value);
+            m_help.publishPlan(row.value);
         }
     }
 
@@ -381,16 +381,16 @@
                 .onAll =
                     [this](const std::vector<StoredRow> &rows) {
                         m_targetsKnown = true;
-                        m_targetFollower.all(rows, steadyNow());
+                        m_targetFollower.applyTable(rows, steadyNow());
                         m_gateway.targetsKnown();
                     },
                 .onChange =
                     [this](const StoredRow &row) {
-                        m_targetFollower.changed(row, steadyNow());
+                        m_targetFollower.applyChange(row, steadyNow());
                     },
                 .onReachable =
                     [this](bool reachable) {
-                        m_gateway.board().storeReachable(reachable, steadyNow());
+                        m_gateway.board().setStoreReachable(reachable, steadyNow());
                     }};
     }
 
@@ -398,10 +398,10 @@
     {
         for (unsigned round = 0;; ++round) {
             co_await pause(s_expiryPause);
-            m_gateway.board().expire(steadyNow());
+            m_gateway.board().removeExpired(steadyNow());
             m_gateway.prune();
             if (round % s_roundsPerRenewal == 0) {
-                m_gateway.chooser().renewLoads();
+                m_gateway.chooser().refreshLoads();
                 m_gateway.guard().expire();
             }
         }
@@ -471,7 +471,7 @@
     LoadServer m_loadServer;
     LoadLink m_loads;
     EvacuationFollower m_evacuations;
-    PeerHelp<Store> m_help;
+    PeerExchange<Store> m_help;
     QuarantineKeeper<Relayed> m_quarantine;
     TargetFollower m_targetFollower;
     TableWatcher<Relayed> m_plans;
--- a/src/gateway/peerhelp.h
+++ b/src/gateway/peerexchange.h
@@ -30,110 +30,111 @@
 
 namespace bamboohold {
 
-/// What routers do for each other: carry store calls, lend tokens, pass configurations on. Answers peers' calls and makes this router's
-/// own.
+/// Exchanges calls with other routers: answers theirs and makes this router's own. Routers carry each other's store calls, lend each other
+/// tokens, and pass on configurations, evacuation orders and reports of crashes.
 template<RowStore Store>
-class PeerHelp
+class PeerExchange
 {
 public:
     struct Options {
-        /// Peers answer within a few milliseconds.
+        /// Timeout of a call to a peer; peers answer within a few milliseconds.
         Duration peerTimeout = std::chrono::milliseconds(120);
-        /// A loan that comes later than that is taken as long as this.
-        Duration longestLoan = std::chrono::seconds(3);
-        /// For a piece of a configuration, which may queue behind callers' answers on a slow link.
-        Patience::Options piecePatience{.least = std::chrono::milliseconds(800), .most = std::chrono::seconds(3)};
-        /// A router without a configuration asks this often whether a peer has one.
-        Duration firstPlanPause = std::chrono::milliseconds(250);
-        /// Peers asked for one loan. Each of a large fleet holds about as much as the next.
-        std::size_t lendersAsked = 4;
-        /// Peers that tell a router, when it starts, what they know of crashes; how many it asks for that at the most, as many may have
-        /// started with it, and for how long it looks for them.
-        std::size_t crashAnswers = 3;
-        std::size_t mostCrashQueries = 9;
-        Duration longestCrashQuery = std::chrono::seconds(5);
-        /// A peer that did not answer is not asked for a loan for this long: each such wait is a caller's.
-        Duration silencePause = std::chrono::seconds(1);
+        /// How long the answer to a loan request is accepted; after `peerTimeout` the borrowing request no longer waits for it.
+        Duration maxLoanWait = std::chrono::seconds(3);
+        /// Timeout for a piece of a configuration, which may be queued behind answers to callers on a slow link.
+        Patience::Options pieceTimeout{.least = std::chrono::milliseconds(800), .most = std::chrono::seconds(3)};
+        /// Interval at which a router without a configuration asks its peers for one.
+        Duration initialPlanInterval = std::chrono::milliseconds(250);
+        /// Peers asked for one loan. In a large fleet all of them hold about the same amount.
+        std::size_t maxLenders = 4;
+        /// Answers that a router collects at its start about known crashes, the most peers it asks for them, since many may have started at
+        /// the same time, and the time after which it asks no further peer.
+        std::size_t crashAnswersWanted = 3;
+        std::size_t maxCrashQueries = 9;
+        Duration maxCrashQueryTime = std::chrono::seconds(5);
+        /// How long a peer that did not answer is not asked for a loan, since a caller waits through each timeout.
+        Duration unresponsiveBackoff = std::chrono::seconds(1);
     };
 
-    /// `takeDocument` is given a configuration that came from a peer.
-    PeerHelp(PeerLink &link,
-             RelayedStore<Store> &store,
-             TeamLedger &ledger,
-             Gateway &gateway,
-             EvacuationFollower &evacuations,
-             std::function<void(const std::string &)> takeDocument)
+    /// `acceptDocument` is called with each configuration document that was received from a peer. All references must outlive this object.
+    PeerExchange(PeerLink &link,
+                 RelayedStore<Store> &store,
+                 TeamLedger &ledger,
+                 Gateway &gateway,
+                 EvacuationFollower &evacuations,
+                 std::function<void(const std::string &)> acceptDocument)
         : m_link(link)
         , m_store(store)
         , m_ledger(ledger)
         , m_gateway(gateway)
         , m_evacuations(evacuations)
-        , m_takeDocument(std::move(takeDocument))
+        , m_acceptDocument(std::move(acceptDocument))
         , m_seeker({.self = link.self()})
-        , m_piecePatience(m_options.piecePatience)
+        , m_pieceTimeout(m_options.pieceTimeout)
     {
         m_link.serve(
             [this](wire::PeerCall call) {
                 return serve(std::move(call));
             },
             [this](const std::string &peer, std::uint64_t version) {
-                hearOfPlan(peer, version);
+                notePeerPlan(peer, version);
             });
-        shareCrashes();
+        connectCrashReports();
         m_link.onEvacuations([this](const wire::EvacuationNotice &notice) {
-            m_evacuations.heard(fromWire(notice), steadyNow());
+            m_evacuations.applyPeerState(fromWire(notice), steadyNow());
         });
         m_ledger.onShortage(
             [this](std::string team, Tokens asked, std::vector<std::string> lenders) {
-                return borrow(std::move(team), asked, std::move(lenders));
+                return borrowTokens(std::move(team), asked, std::move(lenders));
             },
             [this](const std::string &peer, const std::string &team, Tokens tokens) {
-                asio::co_spawn(m_link.executor(), give(peer, team, tokens), asio::detached);
+                asio::co_spawn(m_link.executor(), sendTokens(peer, team, tokens), asio::detached);
             });
     }
 
-    /// A newer configuration is in force here: tells every peer, and gives the document to those who ask.
-    void announce(std::string document)
+    /// Announces the configuration in force to all peers and keeps its document for those that request it.
+    void publishPlan(std::string document)
     {
         m_source.set(m_gateway.plan()->version(), std::move(document));
         m_link.announcePlan(m_gateway.plan()->version());
     }
 
-    /// A router that starts while the store is away takes its first configuration from a peer.
-    asio::awaitable<void> seekFirstPlan()
+    /// Requests a first configuration from peers until one is in force, for a router that starts while the store is unreachable.
+    asio::awaitable<void> fetchInitialPlan()
     {
-        // What they have is not known yet; any version is newer than none.
-        constexpr std::uint64_t anyVersion = 1;
+        // The peers' versions are not known yet, and any version is newer than none.
+        constexpr std::uint64_t lowestVersion = 1;
         while (m_gateway.plan() == nullptr) {
             for (const std::string &peer : m_link.peers()) {
-                hearOfPlan(peer, anyVersion);
+                notePeerPlan(peer, lowestVersion);
             }
-            co_await pause(m_options.firstPlanPause);
+            co_await pause(m_options.initialPlanInterval);
         }
     }
 
-    /// A router that starts asks some peers what they know of crashes: what it knew itself has ended with it.
-    asio::awaitable<void> learnCrashes()
+    /// Requests known crashes from some peers. Call at the start: what the previous process knew is lost.
+    asio::awaitable<void> fetchKnownCrashes()
     {
-        const Instant begun = steadyNow();
+        const Instant startedAt = steadyNow();
         std::size_t answers = 0;
         std::set<std::string> asked;
-        while (answers < m_options.crashAnswers && asked.size() < m_options.mostCrashQueries
-               && steadyNow() < begun + m_options.longestCrashQuery) {
-            const std::optional<std::string> peer = nextPeer(asked);
+        while (answers < m_options.crashAnswersWanted && asked.size() < m_options.maxCrashQueries
+               && steadyNow() < startedAt + m_options.maxCrashQueryTime) {
+            const std::optional<std::string> peer = nextUnaskedPeer(asked);
             if (!peer) {
-                co_await pause(m_options.firstPlanPause);
+                co_await pause(m_options.initialPlanInterval);
                 continue;
             }
             asked.insert(*peer);
-            const bool answered = co_await askCrashes(*peer);
+            const bool answered = co_await requestCrashes(*peer);
             answers += answered ? 1 : 0;
         }
     }
 
 private:
-    /// A peer that was not asked yet: the next ones by address, so that routers which start together ask different ones.
-    std::optional<std::string> nextPeer(const std::set<std::string> &asked) const
+    /// The next peer by address after this router that is not in `asked`, so that routers that start together ask different peers; none
+    /// when all were asked.
+    std::optional<std::string> nextUnaskedPeer(const std::set<std::string> &asked) const
     {
         std::vector<std::string> peers = m_link.peers();
         std::rotate(peers.begin(), std::upper_bound(peers.begin(), peers.end(), m_link.self()), peers.end());
@@ -143,10 +144,10 @@
         return next != peers.end() ? std::optional(*next) : std::nullopt;
     }
 
-    /// A loan that one peer was asked for.
+    /// A loan that was requested from one peer.
     struct PendingLoan {
-        PendingLoan(const asio::any_io_executor &executor, std::string ofTeam, Tokens tokens)
-            : team(std::move(ofTeam))
+        PendingLoan(const asio::any_io_executor &executor, std::string teamName, Tokens tokens)
+            : team(std::move(teamName))
             , asked(tokens)
             , answered(executor)
         {
@@ -156,12 +157,13 @@
         Tokens asked = 0;
         Signal answered;
         std::optional<TeamLedger::Loan> answer;
-        /// False once whoever needed it has gone on without.
-        bool waitedFor = true;
+        /// False once the borrowing request has stopped waiting.
+        bool awaited = true;
     };
 
-    /// What crashes targets is seen in pieces: each copy of a request may come to another router.
-    void shareCrashes()
+    /// Connects the guard's reports of crashes and quarantines to those of peers. Each router sees only a part of the crashes, since every
+    /// copy of a request may reach another router.
+    void connectCrashReports()
     {
         PoisonGuard &guard = m_gateway.guard();
         guard.setAnnouncers(
@@ -198,7 +200,7 @@
             co_return answer;
         }
         if (call.has_plan()) {
-            givePiece(call.plan(), answer);
+            answerPlanRequest(call.plan(), answer);
             co_return answer;
         }
         if (call.has_crashes()) {
@@ -212,8 +214,8 @@
         co_return answer;
     }
 
-    /// True when the peer answered.
-    asio::awaitable<bool> askCrashes(std::string peer)
+    /// Requests the crashes that a peer knows, and notes them. Returns whether the peer answered.
+    asio::awaitable<bool> requestCrashes(std::string peer)
     {
         wire::PeerCall call;
         call.mutable_crashes();
@@ -228,26 +230,26 @@
         co_return true;
     }
 
-    /// Asks peers for tokens, one after the other, until there are enough. One that did not answer lately is left out.
-    asio::awaitable<TeamLedger::Loan> borrow(std::string team, Tokens asked, std::vector<std::string> lenders)
+    /// Requests tokens from the lenders in turn until there are enough. Skips lenders that recently did not answer.
+    asio::awaitable<TeamLedger::Loan> borrowTokens(std::string team, Tokens asked, std::vector<std::string> lenders)
     {
         TeamLedger::Loan total;
         std::erase_if(lenders, [this](const std::string &peer) {
-            const auto silent = m_silentUntil.find(peer);
-            return silent != m_silentUntil.end() && steadyNow() < silent->second;
+            const auto backoff = m_backoffUntil.find(peer);
+            return backoff != m_backoffUntil.end() && steadyNow() < backoff->second;
         });
-        lenders.resize(std::min(lenders.size(), m_options.lendersAsked));
+        lenders.resize(std::min(lenders.size(), m_options.maxLenders));
         for (const std::string &peer : lenders) {
             if (total.tokens >= asked) {
                 break;
             }
             const auto loan = std::make_shared<PendingLoan>(m_link.executor(), team, asked - total.tokens);
-            asio::co_spawn(m_link.executor(), askLoan(peer, loan), asio::detached);
+            asio::co_spawn(m_link.executor(), requestLoan(peer, loan), asio::detached);
             co_await loan->answered.wait(m_options.peerTimeout);
-            loan->waitedFor = false;
+            loan->awaited = false;
             if (!loan->answer) {
                 logLine(Severity::Warning, "budget.loan_late", {{"team", team}, {"peer", peer}, {"asked", loan->asked}});
-                m_silentUntil[peer] = steadyNow() + m_options.silencePause;
+                m_backoffUntil[peer] = steadyNow() + m_options.unresponsiveBackoff;
                 continue;
             }
             total.tokens += loan->answer->tokens;
@@ -256,20 +258,20 @@
         co_return total;
     }
 
-    /// Asks one peer. An answer that comes when nobody waits for it any more is still the team's: the lender has counted it as spent, so it
-    /// would be lost to the team.
-    asio::awaitable<void> askLoan(std::string peer, std::shared_ptr<PendingLoan> loan)
+    /// Requests a loan from one peer. A late answer is added to this router's holding of the team: the lender has counted it as spent, so
+    /// the tokens would otherwise be lost to the team.
+    asio::awaitable<void> requestLoan(std::string peer, std::shared_ptr<PendingLoan> loan)
     {
         wire::PeerCall call;
         call.mutable_loan()->set_team(loan->team);
         call.mutable_loan()->set_tokens(loan->asked);
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.longestLoan);
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.maxLoanWait);
         if (!answer.ok()) {
-            // What the peer may have set aside for this is lost to the team.
+            // Tokens that the peer may have lent are lost to the team.
             logLine(Severity::Warning, "budget.loan_unanswered", {{"team", loan->team}, {"peer", peer}, {"asked", loan->asked}});
             co_return;
         }
-        if (!loan->waitedFor) {
+        if (!loan->awaited) {
             m_ledger.takeGift(loan->team, answer->lent().tokens());
             co_return;
         }
@@ -277,8 +279,8 @@
         loan->answered.notify();
     }
 
-    /// What does not arrive is lost to the team; sent twice it could be spent twice.
-    asio::awaitable<void> give(std::string peer, std::string team, Tokens tokens)
+    /// Sends tokens to a peer, once: tokens sent again could be spent twice. Those that do not arrive are lost to the team.
+    asio::awaitable<void> sendTokens(std::string peer, std::string team, Tokens tokens)
     {
         wire::PeerCall call;
         call.mutable_gift()->set_team(team);
@@ -289,7 +291,7 @@
         }
     }
 
-    void givePiece(const wire::PlanRequest &request, wire::PeerAnswer &answer)
+    void answerPlanRequest(const wire::PlanRequest &request, wire::PeerAnswer &answer)
     {
         const PlanSeeker::Ask ask{.peer = request.asker(),
                                   .newerThan = request.newer_than(),
@@ -318,21 +320,21 @@
         }
     }
 
-    /// A peer has a newer configuration. Most often the store brings it within moments; where it does not, the peer does.
-    void hearOfPlan(const std::string &peer, std::uint64_t version)
+    /// Notes that a peer has a newer configuration. The store usually delivers it within moments; otherwise it is requested from the peer.
+    void notePeerPlan(const std::string &peer, std::uint64_t version)
     {
         m_seeker.heard(peer, version, steadyNow());
-        if (!m_seeking) {
-            m_seeking = true;
-            asio::co_spawn(m_link.executor(), seekPlan(), asio::detached);
+        if (!m_seekerRunning) {
+            m_seekerRunning = true;
+            asio::co_spawn(m_link.executor(), fetchNewerPlans(), asio::detached);
         }
     }
 
-    /// Takes what the seeker decides to take, until there is nothing newer to be had.
-    asio::awaitable<void> seekPlan()
+    /// Requests the pieces that the seeker selects, until no newer configuration is known.
+    asio::awaitable<void> fetchNewerPlans()
     {
         while (true) {
-            noteInForce();
+            updateSeeker();
             const std::optional<Instant> due = m_seeker.due();
             if (!due) {
                 break;
@@ -340,16 +342,16 @@
             const Instant now = steadyNow();
             const std::optional<PlanSeeker::Ask> ask = m_seeker.next(now);
             if (ask) {
-                co_await askForPiece(*ask);
+                co_await requestPlanPiece(*ask);
             } else {
-                // What is sought may arrive from the store in the meantime, so a long wait is taken in steps.
-                co_await pause(std::clamp(Duration(*due - now), s_shortestStep, s_longestStep));
+                // Waits in short intervals, since the configuration may arrive from the store in the meantime.
+                co_await pause(std::clamp(Duration(*due - now), s_minSeekInterval, s_maxSeekInterval));
             }
         }
-        m_seeking = false;
+        m_seekerRunning = false;
     }
 
-    void noteInForce()
+    void updateSeeker()
     {
         m_seeker.setStoreReachable(m_store.directReachable());
         if (m_gateway.plan()) {
@@ -357,7 +359,7 @@
         }
     }
 
-    asio::awaitable<void> askForPiece(PlanSeeker::Ask ask)
+    asio::awaitable<void> requestPlanPiece(PlanSeeker::Ask ask)
     {
         wire::PeerCall call;
         wire::PlanRequest &request = *call.mutable_plan();
@@ -366,24 +368,24 @@
         request.set_offset(ask.offset);
         request.set_most_bytes(ask.mostBytes);
         request.set_asker(m_link.self());
-        const Instant begun = steadyNow();
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(ask.peer, std::move(call), m_piecePatience.current());
+        const Instant startedAt = steadyNow();
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(ask.peer, std::move(call), m_pieceTimeout.current());
         const Instant now = steadyNow();
         if (!answer.ok()) {
-            m_piecePatience.missed();
+            m_pieceTimeout.missed();
             logLine(Severity::Warning,
                     "plan.fetch_failed",
                     {{"peer", ask.peer}, {"offset", static_cast<std::int64_t>(ask.offset)}, {"detail", toFailure(answer.status()).detail}});
         }
         if (!answer.ok() || !answer->done()) {
-            // A peer that has none is no failure: all routers may have started together.
+            // A peer without a configuration is not logged: all routers may have started together.
             m_seeker.failed(ask.peer, now);
             co_return;
         }
-        m_piecePatience.answered(now - begun);
+        m_pieceTimeout.answered(now - startedAt);
         const wire::PlanDocument &document = answer->plan();
         if (document.has_evacuations()) {
-            m_evacuations.heard(fromWire(document.evacuations()), now);
+            m_evacuations.applyPeerState(fromWire(document.evacuations()), now);
         }
         const std::optional<std::string> whole = m_seeker.answered(ask.peer,
                                                                    {.version = document.version(),
@@ -392,28 +394,28 @@
                                                                     .totalBytes = document.total_bytes()},
                                                                    now);
         if (whole) {
-            m_takeDocument(*whole);
+            m_acceptDocument(*whole);
         }
     }
 
-    /// Between two looks at whether the store has brought what is sought: often enough that no piece is asked for in vain, and never a
-    /// busy loop.
-    static constexpr Duration s_shortestStep = std::chrono::milliseconds(5);
-    static constexpr Duration s_longestStep = std::chrono::milliseconds(100);
+    /// Bounds of the interval between two checks whether the store has delivered the configuration. The upper one avoids requests for
+    /// pieces that are no longer needed, the lower one a busy loop.
+    static constexpr Duration s_minSeekInterval = std::chrono::milliseconds(5);
+    static constexpr Duration s_maxSeekInterval = std::chrono::milliseconds(100);
 
     PeerLink &m_link;
     RelayedStore<Store> &m_store;
     TeamLedger &m_ledger;
     Gateway &m_gateway;
     EvacuationFollower &m_evacuations;
-    std::function<void(const std::string &)> m_takeDocument;
+    std::function<void(const std::string &)> m_acceptDocument;
     Options m_options;
-    /// Peers that did not answer a loan, and until when they are left alone.
-    std::map<std::string, Instant> m_silentUntil;
+    /// Peers that did not answer a loan request, and until when they are not asked again.
+    std::map<std::string, Instant> m_backoffUntil;
     PlanSeeker m_seeker;
     PlanSource m_source;
-    Patience m_piecePatience;
-    bool m_seeking = false;
+    Patience m_pieceTimeout;
+    bool m_seekerRunning = false;
 };
 
 }
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -105,13 +105,13 @@
         // Whether the route or the key exists cannot be told without a plan; saying "no such route" could be false.
         return toStatus({.kind = FailureKind::Draining, .detail = "no configuration known yet", .retryAfterMs = s_retryAfterStartMs});
     }
-    m_route = m_plan->routeFor(m_exchange.header("Host"), m_exchange.path());
+    m_route = m_plan->findRoute(m_exchange.header("Host"), m_exchange.path());
     if (m_route == nullptr) {
         return failed(FailureKind::NotFound, absl::StrCat("no route for ", std::string(m_exchange.path())));
     }
     m_priority = m_route->priority;
-    if (m_plan->hasTeams() && !m_route->open) {
-        const TeamPlan *team = m_plan->teamOf(m_terms.key);
+    if (m_plan->hasTeams() && !m_route->allowsAnonymous) {
+        const TeamPlan *team = m_plan->findTeamByKey(m_terms.key);
         if (team == nullptr) {
             return failed(FailureKind::Unauthenticated, "no team has this key");
         }
@@ -134,7 +134,7 @@
     m_countedStream = m_route->repeatability == Repeatability::Stream;
     m_gateway.m_streamsInFlight += m_countedStream ? 1 : 0;
     m_serviceName = m_gateway.chooseService(*m_route);
-    m_service = m_plan->service(m_serviceName);
+    m_service = m_plan->findService(m_serviceName);
     m_deadline = m_arrived + std::min(m_terms.patience, m_route->timeout);
     m_gateway.m_retries.noteRequest(m_serviceName, m_arrived);
     return absl::OkStatus();
@@ -166,8 +166,10 @@
             m_callerLeft = true;
             co_return m_ran == 0 ? AttemptEnd::NotRun : AttemptEnd::CallerLeft;
         }
-        const PlacementWish wish{
-            .service = m_serviceName, .prompt = m_terms.prompt, .except = m_tried, .draw = stableHash(m_terms.requestId) + m_tried.size()};
+        const PlacementRequest wish{.service = m_serviceName,
+                                    .prompt = m_terms.prompt,
+                                    .excluded = m_tried,
+                                    .seed = stableHash(m_terms.requestId) + m_tried.size()};
         const std::optional<Placement> placement =
             co_await m_gateway.m_chooser.place(wish, m_service != nullptr ? m_service->coldRequestsPerSecond : 0);
         if (m_callerLeft) {
@@ -183,10 +185,10 @@
         m_attemptBegun = false;
         m_brokeOff = false;
         m_lastHeard = now;
-        m_sign = TargetSign::Neutral;
-        m_gateway.m_board.sent(placement->incarnation, m_terms.prompt, placement->uncached, now);
+        m_sign = HealthSignal::Neutral;
+        m_gateway.m_board.requestSent(placement->incarnation, m_terms.prompt, placement->uncachedTokens, now);
         m_gateway.m_chooser.countSent(placement->incarnation);
-        m_gateway.m_chooser.tellLoad(placement->incarnation);
+        m_gateway.m_chooser.reportLoad(placement->incarnation);
         end = co_await attempt(*placement);
         noteAttemptEnd(end);
     } while (mayTryAgain(end, steadyNow()));
@@ -196,7 +198,7 @@
 void RequestRun::leaveFormerLife(Instant now)
 {
     const bool waits = m_call != nullptr && m_route->repeatable() && now - m_lastHeard >= s_formerLifeSilence;
-    if (waits && m_gateway.m_board.reborn(m_placement->name, m_placement->incarnation)) {
+    if (waits && m_gateway.m_board.hasRestarted(m_placement->name, m_placement->incarnation)) {
         m_call->cancel();
     }
 }
@@ -206,16 +208,16 @@
     m_lastHeard = steadyNow();
     if (!m_attemptBegun) {
         m_attemptBegun = true;
-        m_gateway.m_board.begun(m_placement->incarnation, m_placement->uncached, m_attemptAt);
-        m_gateway.m_chooser.tellLoad(m_placement->incarnation);
+        m_gateway.m_board.firstByteReceived(m_placement->incarnation, m_placement->uncachedTokens, m_attemptAt);
+        m_gateway.m_chooser.reportLoad(m_placement->incarnation);
     }
 }
 
 void RequestRun::noteAttemptEnd(AttemptEnd end)
 {
     noteFirstByte();
-    m_gateway.m_board.done(m_placement->incarnation, m_sign, steadyNow());
-    m_gateway.m_chooser.tellLoad(m_placement->incarnation);
+    m_gateway.m_board.attemptEnded(m_placement->incarnation, m_sign, steadyNow());
+    m_gateway.m_chooser.reportLoad(m_placement->incarnation);
     if (end != AttemptEnd::NotRun) {
         ++m_ran;
     }
@@ -325,7 +327,7 @@
         m_sent += end == AttemptEnd::NotRun ? 0 : 1;
         m_brokeOff = !call.cancelled();
         const bool own = m_callerLeft || toFailure(started).kind == FailureKind::Cancelled;
-        m_sign = own ? TargetSign::Neutral : TargetSign::Broken;
+        m_sign = own ? HealthSignal::Neutral : HealthSignal::ConnectionFailure;
     }
     m_call = nullptr;
     co_return end;
@@ -335,17 +337,17 @@
 {
     const AnswerTerms answer = m_gateway.m_options.codec.readAnswer(call.status(), call.headers());
     const unsigned status = call.status();
-    m_gateway.m_chooser.noteTargetTerms(m_placement->incarnation, answer, m_attemptAt);
+    m_gateway.m_chooser.applyAnswerTerms(m_placement->incarnation, answer, m_attemptAt);
     if (answer.notRun) {
         m_lastProblem = absl::StrCat("declined with ", status);
-        m_sign = answer.otherProcess ? TargetSign::Neutral : TargetSign::Declined;
+        m_sign = answer.otherProcess ? HealthSignal::Neutral : HealthSignal::Declined;
         co_return AttemptEnd::NotRun;
     }
     const bool success = status >= s_firstSuccess && status < s_firstRedirect;
     m_succeeded = success;
     if (answer.altered || (success && !answer.sealed)) {
         m_lastProblem = answer.altered ? "the body is encoded" : "no seal";
-        m_sign = TargetSign::Failing;
+        m_sign = HealthSignal::ErrorResponse;
         co_return AttemptEnd::Broken;
     }
     const bool stream = success && m_route->repeatability == Repeatability::Stream;
@@ -361,7 +363,7 @@
 AttemptEnd RequestRun::answerBrokeOff(const absl::Status &status)
 {
     m_lastProblem = std::string(status.message());
-    m_sign = m_callerLeft ? TargetSign::Neutral : TargetSign::Failing;
+    m_sign = m_callerLeft ? HealthSignal::Neutral : HealthSignal::ErrorResponse;
     m_brokeOff = !m_call->cancelled();
     return endOf(status);
 }
@@ -387,11 +389,11 @@
     }
     if (answer.status >= s_firstServerError) {
         m_lastProblem = absl::StrCat("the target answered ", answer.status);
-        m_sign = TargetSign::Failing;
+        m_sign = HealthSignal::ErrorResponse;
         m_failure = std::move(answer);
         co_return AttemptEnd::Failed;
     }
-    m_sign = TargetSign::Sound;
+    m_sign = HealthSignal::Success;
     m_firstByte = steadyNow();
     co_await m_exchange.respond(answer.status, "", std::move(answer.body), std::move(answer.headers));
     co_return AttemptEnd::Delivered;
@@ -443,7 +445,7 @@
             co_return AttemptEnd::CallerLeft;
         }
     }
-    m_sign = TargetSign::Sound;
+    m_sign = HealthSignal::Success;
     co_await beginStream(call);
     co_await m_exchange.endStream();
     co_return AttemptEnd::Delivered;
@@ -493,7 +495,7 @@
     if (notRun) {
         failure.kind = m_tried.empty() ? FailureKind::NoTarget : FailureKind::Overloaded;
         const Instant now = steadyNow();
-        const std::optional<Instant> opens = m_gateway.m_board.opensAt(m_serviceName, now);
+        const std::optional<Instant> opens = m_gateway.m_board.nextResumption(m_serviceName, now);
         failure.retryAfterMs = opens ? inMs(*opens - now) + 1 : s_retryAfterOverloadMs;
         failure.detail.append(opens ? "; all targets rest, or admit no more" : "");
     } else if (end == AttemptEnd::TimedOut) {
@@ -583,7 +585,7 @@
     if (m_firstByte) {
         m_gateway.m_metrics.observe("first_byte_seconds", {.name = "route", .value = route}, seconds(*m_firstByte - m_arrived));
     }
-    const bool well = outcome == "answered" && m_firstByte && *m_firstByte - m_arrived <= m_route->objective;
+    const bool well = outcome == "answered" && m_firstByte && *m_firstByte - m_arrived <= m_route->latencyObjective;
     static std::uint64_t s_successes = 0;
     if (well && ++s_successes % s_sampledSuccess != 0) {
         return;
--- /dev/null
+++ b/src/gateway/targetbalancer.h
@@ -0,0 +1,221 @@
+#pragma once
+
+#include "clock/instant.h"
+#include "gateway/targetstate.h"
+
+#include <absl/container/flat_hash_map.h>
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <span>
+#include <string>
+#include <string_view>
+#include <vector>
+
+namespace bamboohold {
+
+/// What a request requires of a target.
+struct PlacementRequest {
+    std::string_view service;
+    /// The parts of the prompt in order; only the last one is never shared with other requests.
+    std::span<const PromptPart> prompt;
+    /// Incarnations that were tried already.
+    std::span<const std::string> excluded;
+    /// Where not empty, only these incarnations are considered.
+    std::span<const std::string> shortlist;
+    /// Leaves out targets that require an admission.
+    bool skipAdmissionControlled = false;
+    /// Selects the sample of targets that is considered and breaks ties between equal scores. Must differ between requests: if routers with
+    /// the same view all took the first of equal targets, one target would be overloaded and the others idle.
+    std::uint64_t seed = 0;
+};
+
+/// The target that was chosen for a request.
+struct Placement {
+    std::string incarnation;
+    /// The name that a process at the address must have to run the request.
+    std::string name;
+    std::string address;
+    /// Prompt tokens that the target probably has to process.
+    Tokens uncachedTokens = 0;
+    /// The target is cold, or presumed to be: it accepts only few requests per second from all routers together.
+    bool cold = false;
+    /// Requests per second that the target accepts from all routers together; none where it has no limit.
+    std::optional<double> rateLimit;
+    /// When the admission expires; none where none was needed.
+    std::optional<Instant> sendBefore;
+};
+
+/// Balances requests over the targets that a router may send to.
+///
+/// Pure: events and `now` in. The targets come from the platform's list, which lags behind. A target that fails is therefore backed off
+/// before its entry vanishes, and one whose entry vanished while the store was unreachable is kept for a grace period. The load of a target
+/// is what this router has outstanding there, plus what the relay beside the target last reported for the other routers; the relays of a
+/// few candidates are queried before one is chosen. Load that is not known counts as zero, so without relays the choice falls on the target
+/// with the least load of this router.
+class TargetBalancer
+{
+public:
+    using Options = TargetOptions;
+
+    explicit TargetBalancer(Options options);
+
+    /// Replaces the whole list. `unusableNames` has the names of the entries that are present but invalid.
+    void replaceAll(std::vector<TargetListing> listings, Instant now, std::span<const std::string> unusableNames = {});
+
+    /// Takes the targets of exactly these failure domains out of service. Their outstanding requests continue.
+    void setEvacuatedDomains(std::set<std::string> domains, Instant now);
+
+    /// Adds or updates an entry. A new incarnation under a known name replaces the old one and inherits none of its state: not its cached
+    /// parts, back-off, outstanding requests or announced shutdown.
+    void updateListing(TargetListing listing, Instant now);
+
+    /// Removes the entry of that name, unless the list may be incomplete; then it is only marked as missing.
+    void removeListing(const std::string &name, Instant now);
+
+    /// Takes the target of that name out of service until its record is valid again. Its outstanding requests continue, since the record
+    /// says nothing about them.
+    void markUnusable(const std::string &name);
+
+    /// Sets whether the store answers. While it does not, and for the grace period afterwards, vanished entries are only marked as missing.
+    void setStoreReachable(bool reachable, Instant now);
+
+    /// Removes missing entries whose grace period has passed. Call periodically.
+    void removeExpired(Instant now);
+
+    /// The incarnations of the `most` best targets for a request, best first by what this router knows. Targets in back-off are left out.
+    std::vector<std::string> candidates(const PlacementRequest &request, std::size_t most, Instant now) const;
+
+    /// Chooses a target; none when no target in service is left.
+    std::optional<Placement> choose(const PlacementRequest &request, Instant now) const;
+
+    /// This router's load at a target, and the relay to report it to.
+    struct OwnLoad {
+        std::string relay;
+        TargetLoad load;
+    };
+    /// This router's load at the target; none when the target is not known or has no relay.
+    std::optional<OwnLoad> ownLoad(const std::string &incarnation) const;
+
+    /// Incarnations at which this router has outstanding requests.
+    std::vector<std::string> targetsInUse() const;
+
+    /// Sets what all other routers have outstanding at the target, as the relay beside it reported.
+    void setRemoteLoad(const std::string &incarnation, const TargetLoad &remoteLoad, Instant now);
+
+    /// The relay beside the target answered before and did not answer in time now.
+    void relayTimedOut(const std::string &incarnation, Instant now);
+
+    /// A request was sent to the target.
+    void requestSent(const std::string &incarnation, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now);
+
+    /// The first byte of the answer to the request that was sent at `sentAt` has arrived, so its prompt has been processed.
+    void firstByteReceived(const std::string &incarnation, Tokens uncachedTokens, Instant sentAt);
+
+    /// An attempt has ended, after firstByteReceived() was called for it.
+    void attemptEnded(const std::string &incarnation, HealthSignal signal, Instant now);
+
+    /// Sets the requests per second that the target accepts from all routers together, as its answers state.
+    void setRateLimit(const std::string &incarnation, double requestsPerSecond, Instant now);
+
+    /// An answer to the request that was sent at `sentAt` states no rate limit. Returns whether that cleared one. A limit that was reported
+    /// after `sentAt` stays, since the answer may be older than the limit.
+    bool clearRateLimit(const std::string &incarnation, Instant sentAt);
+
+    /// Requests per second that the target accepts from all routers together; none where it has no limit.
+    std::optional<double> rateLimit(const std::string &incarnation) const;
+
+    /// Sends the target no requests before `until`. A time before the one that is set has no effect.
+    void suspendUntil(const std::string &incarnation, Instant until);
+
+    /// When the first suspended target of the service accepts requests again; none where a target is not suspended, or none is in service.
+    std::optional<Instant> nextResumption(std::string_view service, Instant now) const;
+
+    /// The target has announced its shutdown, or another process answers at its address. Final for this incarnation, whatever the list
+    /// shows.
+    void markLeaving(const std::string &incarnation);
+
+    /// True while no target is known at all.
+    bool empty() const
+    {
+        return m_targets.empty();
+    }
+
+    /// True while the target is known, even if it is leaving or missing from the list.
+    bool isKnown(const std::string &incarnation) const
+    {
+        return m_targets.contains(incarnation);
+    }
+
+    /// Why the target accepts no new requests; none when it accepts them, or is not known.
+    std::optional<OutOfServiceReason> outOfServiceReason(const std::string &incarnation) const;
+
+    /// True when the target is leaving, evacuated or not known any more. Requests that break off when such a target ends are not suspected
+    /// of having crashed it.
+    bool expectedToEnd(const std::string &incarnation) const
+    {
+        const auto found = m_targets.find(incarnation);
+        return found == m_targets.end() || found->second.leaving() || found->second.evacuated;
+    }
+
+    /// True when the target of that name has a newer incarnation than this one.
+    bool hasRestarted(const std::string &name, const std::string &incarnation) const
+    {
+        const auto newest = m_currentIncarnation.find(name);
+        return newest != m_currentIncarnation.end() && newest->second != incarnation;
+    }
+
+private:
+    /// A target in the pool of its service.
+    struct PoolEntry {
+        /// Hash of the incarnation, stored so that no name is hashed per request.
+        std::uint64_t hash = 0;
+        const TargetState *target = nullptr;
+    };
+
+    /// The targets of a service, those of the router's own failure domain first.
+    struct Pool {
+        std::vector<PoolEntry> entries;
+        /// Entries in the router's own failure domain.
+        std::size_t localCount = 0;
+    };
+
+    struct RankedTarget {
+        const TargetState *target = nullptr;
+        Tokens uncachedTokens = 0;
+        double score = 0;
+    };
+
+    /// The current incarnation under the name, or the end of `m_targets`.
+    std::map<std::string, TargetState>::iterator findByName(const std::string &name);
+    /// Erases the target and keeps its directives.
+    void eraseTarget(std::map<std::string, TargetState>::iterator target);
+    const Pool &pool(std::string_view service) const;
+    /// The preferred targets and a random sample of the others.
+    std::vector<const TargetState *>
+    sampleTargets(const Pool &pool, const PlacementRequest &request, std::span<const TargetState *const> preferredTargets) const;
+    /// The targets that accept the request, best first: either those in back-off or those not in it.
+    std::vector<RankedTarget> rankTargets(const PlacementRequest &request, bool backedOff, Instant now) const;
+    /// The targets that requests with the same shared prompt parts prefer, by rendezvous hashing.
+    std::vector<const TargetState *> preferredTargets(const Pool &pool, std::span<const PromptPart> prompt) const;
+    /// True while the list may be incomplete, because the store is unreachable or was until a moment ago.
+    bool listUnreliable(Instant now) const;
+
+    Options m_options;
+    /// By incarnation.
+    std::map<std::string, TargetState> m_targets;
+    /// Directives of targets that were erased, by incarnation.
+    absl::flat_hash_map<std::string, TargetDirectives> m_retainedDirectives;
+    /// The newest incarnation under each name.
+    absl::flat_hash_map<std::string, std::string> m_currentIncarnation;
+    /// By service; rebuilt when the list has changed.
+    mutable std::map<std::string, Pool, std::less<>> m_pools;
+    mutable bool m_poolsValid = false;
+    std::set<std::string> m_evacuated;
+    bool m_storeReachable = true;
+    std::optional<Instant> m_storeReachableSince;
+};
+
+}
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -14,160 +14,160 @@
 
 namespace {
 
-/// Targets asked to admit one request; each question is a round trip that its caller waits for.
-constexpr int s_admissionsAsked = 3;
-/// The limit may end sooner than the next admission was promised for.
-constexpr Duration s_longestAdmissionWait = std::chrono::seconds(2);
+/// Admissions requested for one request; its caller waits for the round trip of each.
+constexpr int s_maxAdmissionQueries = 3;
+/// Longest suspension after a refused admission, since the limit may end before the next admission is due.
+constexpr Duration s_maxAdmissionWait = std::chrono::seconds(2);
 
 }
 
-TargetChooser::TargetChooser(TargetBoard &board, Metrics &metrics, Options options)
-    : m_board(board)
+TargetChooser::TargetChooser(TargetBalancer &balancer, Metrics &metrics, Options options)
+    : m_balancer(balancer)
     , m_metrics(metrics)
     , m_options(std::move(options))
     , m_shares(m_options.self)
 {
 }
 
-void TargetChooser::setLoads(LoadLink &loads)
+void TargetChooser::setLoadLink(LoadLink &link)
 {
-    m_loads = &loads;
-    m_loads->onAnswers(
+    m_loadLink = &link;
+    m_loadLink->onAnswers(
         [this](const std::string &incarnation, const TargetNews &news) {
-            m_board.heard(incarnation, news.others, steadyNow());
+            m_balancer.setRemoteLoad(incarnation, news.others, steadyNow());
             if (news.limit) {
-                heardLimit(incarnation, *news.limit, news.askedAt);
+                applyReportedLimit(incarnation, *news.limit, news.askedAt);
             }
         },
         [this](const std::string &incarnation) {
-            m_board.relaySilent(incarnation, steadyNow());
+            m_balancer.relayTimedOut(incarnation, steadyNow());
         });
 }
 
 std::optional<LoadNotice> TargetChooser::loadNotice(const std::string &incarnation) const
 {
-    std::optional<TargetBoard::OwnLoad> own = m_board.ownLoad(incarnation);
-    if (m_loads == nullptr || !own) {
+    std::optional<TargetBalancer::OwnLoad> own = m_balancer.ownLoad(incarnation);
+    if (m_loadLink == nullptr || !own) {
         return std::nullopt;
     }
     return LoadNotice{.incarnation = incarnation, .relay = std::move(own->relay), .load = own->load};
 }
 
-void TargetChooser::tellLoad(const std::string &incarnation)
+void TargetChooser::reportLoad(const std::string &incarnation)
 {
     if (const std::optional<LoadNotice> notice = loadNotice(incarnation)) {
-        m_loads->tell(*notice);
+        m_loadLink->tell(*notice);
     }
 }
 
 void TargetChooser::countSent(const std::string &incarnation)
 {
-    const std::string_view limited = m_board.limit(incarnation) ? "yes" : "no";
+    const std::string_view limited = m_balancer.rateLimit(incarnation) ? "yes" : "no";
     const std::array<MetricLabel, 2> labels{{{.name = "target", .value = incarnation}, {.name = "limited", .value = limited}}};
     m_metrics.count("target_requests_total", labels);
 }
 
-void TargetChooser::noteTargetTerms(const std::string &incarnation, const AnswerTerms &answer, Instant sentAt)
+void TargetChooser::applyAnswerTerms(const std::string &incarnation, const AnswerTerms &answer, Instant sentAt)
 {
     if (!answer.unreadable.empty()) {
         logLine(Severity::Warning, "target.header_unreadable", {{"target", incarnation}, {"header", answer.unreadable}});
     }
-    if (answer.leaving && m_board.withdrawal(incarnation) != Withdrawal::Leaving) {
+    if (answer.leaving && m_balancer.outOfServiceReason(incarnation) != OutOfServiceReason::Leaving) {
         logLine(Severity::Info, "target.says_leaving", {{"target", incarnation}});
     }
     if (answer.leaving || answer.otherProcess) {
-        m_board.leaves(incarnation);
+        m_balancer.markLeaving(incarnation);
     }
     if (answer.rest) {
         logLine(Severity::Info,
                 "target.asks_rest",
                 {{"target", incarnation}, {"rest_ms", std::chrono::duration_cast<std::chrono::milliseconds>(*answer.rest).count()}});
-        m_board.closeUntil(incarnation, steadyNow() + *answer.rest);
+        m_balancer.suspendUntil(incarnation, steadyNow() + *answer.rest);
     }
     if (answer.limit) {
         const double limit = std::max(*answer.limit, LimitAdmissions::s_leastPerSecond);
         setLimit(incarnation, limit);
-        tellLimit(incarnation, limit);
+        reportLimit(incarnation, limit);
     } else if (answer.sealed && endLimit(incarnation, sentAt)) {
-        // An answer that its target does not vouch for says nothing by what it lacks.
-        tellLimit(incarnation, 0);
+        // Only an answer that the target itself has sealed ends a limit by not stating one.
+        reportLimit(incarnation, 0);
     }
 }
 
 void TargetChooser::setLimit(const std::string &incarnation, double requestsPerSecond)
 {
-    if (m_board.limit(incarnation) != requestsPerSecond) {
+    if (m_balancer.rateLimit(incarnation) != requestsPerSecond) {
         logLine(Severity::Info, "target.limited", {{"target", incarnation}, {"requests_per_second", absl::StrCat(requestsPerSecond)}});
     }
-    m_board.limited(incarnation, requestsPerSecond, steadyNow());
+    m_balancer.setRateLimit(incarnation, requestsPerSecond, steadyNow());
 }
 
 bool TargetChooser::endLimit(const std::string &incarnation, Instant askedAt)
 {
-    const bool ended = m_board.unlimited(incarnation, askedAt);
-    if (ended) {
+    const bool cleared = m_balancer.clearRateLimit(incarnation, askedAt);
+    if (cleared) {
         logLine(Severity::Info, "target.limit_ended", {{"target", incarnation}});
     }
-    return ended;
+    return cleared;
 }
 
-void TargetChooser::tellLimit(const std::string &incarnation, double requestsPerSecond)
+void TargetChooser::reportLimit(const std::string &incarnation, double requestsPerSecond)
 {
-    if (m_loads != nullptr) {
+    if (m_loadLink != nullptr) {
         LoadNotice notice = admissionNotice(incarnation);
         notice.heardLimit = requestsPerSecond;
-        m_loads->tell(notice);
+        m_loadLink->tell(notice);
     }
 }
 
-void TargetChooser::heardLimit(const std::string &incarnation, double requestsPerSecond, Instant askedAt)
+void TargetChooser::applyReportedLimit(const std::string &incarnation, double requestsPerSecond, Instant askedAt)
 {
     if (requestsPerSecond <= 0) {
         endLimit(incarnation, askedAt);
-    } else if (m_board.limit(incarnation) != requestsPerSecond) {
-        // Only what a target itself says again makes a limit younger: an older answer does not end it.
+    } else if (m_balancer.rateLimit(incarnation) != requestsPerSecond) {
+        // A report of the same limit does not renew the time of the limit: only the target's own answers do.
         setLimit(incarnation, requestsPerSecond);
     }
 }
 
-void TargetChooser::renewLoads()
+void TargetChooser::refreshLoads()
 {
-    for (const std::string &incarnation : m_board.inUse()) {
-        tellLoad(incarnation);
+    for (const std::string &incarnation : m_balancer.targetsInUse()) {
+        reportLoad(incarnation);
     }
 }
 
-boost::asio::awaitable<std::optional<Placement>> TargetChooser::place(PlacementWish wish, double coldPerSecond)
+boost::asio::awaitable<std::optional<Placement>> TargetChooser::place(PlacementRequest request, double coldPerSecond)
 {
-    std::vector<std::string> except(wish.except.begin(), wish.except.end());
-    for (int asked = 0; asked < s_admissionsAsked; ++asked) {
-        wish.except = except;
-        std::optional<Placement> placement = co_await leastLoaded(wish);
+    std::vector<std::string> excluded(request.excluded.begin(), request.excluded.end());
+    for (int queries = 0; queries < s_maxAdmissionQueries; ++queries) {
+        request.excluded = excluded;
+        std::optional<Placement> placement = co_await chooseLeastLoaded(request);
         if (!placement) {
             co_return std::nullopt;
         }
-        const AdmissionRates rates{.cold = placement->cold ? coldPerSecond : 0, .limit = placement->limit.value_or(0)};
+        const AdmissionRates rates{.cold = placement->cold ? coldPerSecond : 0, .limit = placement->rateLimit.value_or(0)};
         if (!rates.needed()) {
             co_return placement;
         }
         const Instant askedAt = steadyNow();
-        const bool admits = co_await admitted(*placement, rates);
+        const bool admits = co_await requestAdmission(*placement, rates);
         if (admits) {
             placement->sendBefore = askedAt + s_admissionLifetime;
             co_return placement;
         }
-        except.push_back(placement->incarnation);
+        excluded.push_back(placement->incarnation);
     }
-    wish.except = except;
-    wish.withoutAdmission = true;
-    std::optional<Placement> free = co_await leastLoaded(wish);
-    co_return free;
+    request.excluded = excluded;
+    request.skipAdmissionControlled = true;
+    std::optional<Placement> unrestricted = co_await chooseLeastLoaded(request);
+    co_return unrestricted;
 }
 
 LoadNotice TargetChooser::admissionNotice(const std::string &incarnation) const
 {
     LoadNotice notice = loadNotice(incarnation).value_or(LoadNotice{.incarnation = incarnation});
-    if (!m_routers.empty() && !m_loads->answers(notice.relay)) {
+    if (!m_routers.empty() && !m_loadLink->answers(notice.relay)) {
         const std::uint64_t hash = stableHash(incarnation);
         notice.relay = *std::ranges::max_element(m_routers, {}, [hash](const std::string &router) {
             return mixed(stableHash(router) ^ hash);
@@ -176,48 +176,48 @@
     return notice;
 }
 
-boost::asio::awaitable<bool> TargetChooser::admitted(Placement placement, AdmissionRates rates)
+boost::asio::awaitable<bool> TargetChooser::requestAdmission(Placement placement, AdmissionRates rates)
 {
     AdmissionAnswer answer;
-    if (m_loads != nullptr && m_options.admissions) {
+    if (m_loadLink != nullptr && m_options.centralAdmission) {
         LoadNotice notice =
             rates.limit > 0 ? admissionNotice(placement.incarnation) : loadNotice(placement.incarnation).value_or(LoadNotice{});
-        answer = co_await m_loads->askAdmission(std::move(notice), rates);
+        answer = co_await m_loadLink->askAdmission(std::move(notice), rates);
     }
-    // Where nobody answers, others may still be admitted by whoever does not answer here: half of a limit is left to them.
-    const bool alone = answer.admission == Admission::NoRelay || (answer.admission == Admission::Unanswered && rates.cold <= 0);
-    if (alone) {
+    // Other routers may still get admissions from the process that does not answer this one, so half of a limit is left to them.
+    const bool noAnswer = answer.admission == Admission::NoRelay || (answer.admission == Admission::Unanswered && rates.cold <= 0);
+    if (noAnswer) {
         const AdmissionRates shared{.cold = rates.cold, .limit = rates.limit / 2};
         co_return m_shares.admit(placement.incarnation, shared.lowest(), steadyNow());
     }
-    // Who admits may have said instead that the limit has ended.
-    const bool free = rates.cold <= 0 && !m_board.limit(placement.incarnation);
-    const bool granted = free || answer.admission == Admission::Granted;
+    // The answer may have stated that the limit has ended.
+    const bool unrestricted = rates.cold <= 0 && !m_balancer.rateLimit(placement.incarnation);
+    const bool granted = unrestricted || answer.admission == Admission::Granted;
     if (!granted) {
-        m_board.closeUntil(placement.incarnation, steadyNow() + std::min(answer.wait, s_longestAdmissionWait));
+        m_balancer.suspendUntil(placement.incarnation, steadyNow() + std::min(answer.wait, s_maxAdmissionWait));
     }
     co_return granted;
 }
 
-boost::asio::awaitable<std::optional<Placement>> TargetChooser::leastLoaded(PlacementWish wish)
+boost::asio::awaitable<std::optional<Placement>> TargetChooser::chooseLeastLoaded(PlacementRequest request)
 {
-    const std::vector<std::string> candidates = m_board.candidates(wish, m_options.targetsAsked, steadyNow());
+    const std::vector<std::string> candidates = m_balancer.candidates(request, m_options.candidatesQueried, steadyNow());
     std::vector<LoadNotice> notices;
     for (const std::string &candidate : candidates) {
         if (std::optional<LoadNotice> notice = loadNotice(candidate)) {
             notices.push_back(*std::move(notice));
         }
     }
-    // A single candidate is chosen whatever its load.
+    // With a single candidate there is nothing to compare.
     if (candidates.size() > 1 && !notices.empty()) {
-        co_await m_loads->ask(notices);
-        wish.among = candidates;
-    }
-    std::optional<Placement> placement = m_board.choose(wish, steadyNow());
-    if (!placement && !wish.among.empty()) {
-        // All of them left or failed in the meantime.
-        wish.among = {};
-        placement = m_board.choose(wish, steadyNow());
+        co_await m_loadLink->ask(notices);
+        request.shortlist = candidates;
+    }
+    std::optional<Placement> placement = m_balancer.choose(request, steadyNow());
+    if (!placement && !request.shortlist.empty()) {
+        // All candidates have left or failed in the meantime.
+        request.shortlist = {};
+        placement = m_balancer.choose(request, steadyNow());
     }
     co_return placement;
 }
--- a/src/gateway/targetstate.cpp
+++ b/src/gateway/targetstate.cpp
@@ -6,142 +6,143 @@
 
 namespace {
 
-/// Beyond this, doubling pauses makes no difference any more.
+/// Doublings after which the back-off is at its maximum in any case.
 constexpr std::uint32_t s_maxDoublings = 8;
-/// Parts remembered for each target; more than an engine's memory holds.
+/// Cached parts recorded per target before expired ones are erased; more than an engine's cache holds.
 constexpr std::size_t s_maxCachedParts = 4096;
 constexpr double s_msPerSecond = 1000;
 
 }
 
-std::optional<Withdrawal> TargetState::withdrawal() const
+std::optional<OutOfServiceReason> TargetState::outOfServiceReason() const
 {
     if (leaving()) {
-        return Withdrawal::Leaving;
+        return OutOfServiceReason::Leaving;
     }
     if (evacuated) {
-        return Withdrawal::Evacuated;
+        return OutOfServiceReason::Evacuated;
     }
-    return usable ? std::nullopt : std::optional(Withdrawal::Unusable);
+    return usable ? std::nullopt : std::optional(OutOfServiceReason::Unusable);
 }
 
 bool TargetState::mayBeCold(Instant now) const
 {
-    return now < coldUntil || now < suspectedColdUntil;
+    return now < coldUntil || now < presumedColdUntil;
 }
 
-Tokens TargetState::uncached(const TargetOptions &options, std::span<const PromptPart> prompt, bool favoured, Instant now) const
+Tokens TargetState::uncachedTokens(const TargetOptions &options, std::span<const PromptPart> prompt, bool preferred, Instant now) const
 {
     Tokens missing = 0;
-    bool prefixHeld = true;
+    bool prefixCached = true;
     for (std::size_t index = 0; index < prompt.size(); ++index) {
-        const bool own = index + 1 == prompt.size();
-        const auto found = cached.find(prompt[index].id);
-        const bool known = found != cached.end() && now - found->second < options.cacheMemory;
-        // Other routers send requests for this part to its favourite as well, so it probably has it although this router never sent one.
-        const bool likely = !own && favoured;
-        prefixHeld = prefixHeld && (known || likely);
-        if (!prefixHeld) {
+        const bool lastPart = index + 1 == prompt.size();
+        const auto found = cachedParts.find(prompt[index].id);
+        const bool cachedHere = found != cachedParts.end() && now - found->second < options.cachedPartLifetime;
+        // Other routers send requests for a shared part to the preferred target as well, so the target probably has it cached even if this
+        // router never sent it there.
+        const bool cachedByOthers = !lastPart && preferred;
+        prefixCached = prefixCached && (cachedHere || cachedByOthers);
+        if (!prefixCached) {
             missing += prompt[index].tokens;
         }
     }
     return missing;
 }
 
-TargetLoad TargetState::load(const TargetOptions &options, Instant now) const
+TargetLoad TargetState::totalLoad(const TargetOptions &options, Instant now) const
 {
-    TargetLoad all{.outstanding = outstanding, .unread = unread};
-    if (heardAt && now - *heardAt < options.loadMemory) {
-        all.outstanding += others.outstanding;
-        all.unread += others.unread;
+    TargetLoad total{.outstanding = outstanding, .unread = unread};
+    if (remoteLoadAt && now - *remoteLoadAt < options.remoteLoadLifetime) {
+        total.outstanding += remoteLoad.outstanding;
+        total.unread += remoteLoad.unread;
     }
-    return all;
+    return total;
 }
 
-double TargetState::score(const TargetOptions &options, Tokens uncached, Instant now) const
+double TargetState::score(const TargetOptions &options, Tokens uncachedTokens, Instant now) const
 {
-    const Duration waited = waiting.empty() ? Duration::zero() : now - *waiting.begin() - options.patience;
+    const Duration waited = awaitingFirstByte.empty() ? Duration::zero() : now - *awaitingFirstByte.begin() - options.firstByteAllowance;
     const double overdue = std::max(0.0, seconds(waited) * s_msPerSecond);
-    const TargetLoad all = load(options, now);
-    const double tokens = options.rereadWeight * static_cast<double>(uncached) + static_cast<double>(all.unread);
+    const TargetLoad total = totalLoad(options, now);
+    const double tokens = options.uncachedTokenWeight * static_cast<double>(uncachedTokens) + static_cast<double>(total.unread);
     const double reading = tokens / options.prefillTokensPerMs;
-    const double running = options.msPerOutstanding * outstanding + options.msPerKnown * (all.outstanding - outstanding);
-    const std::uint32_t queued = listing.slots > 0 && all.outstanding >= listing.slots ? all.outstanding - listing.slots + 1 : 0;
-    const double queueing = options.msPerQueued * queued;
+    const double running = options.msPerOwnRequest * outstanding + options.msPerRemoteRequest * (total.outstanding - outstanding);
+    const std::uint32_t queued = listing.slots > 0 && total.outstanding >= listing.slots ? total.outstanding - listing.slots + 1 : 0;
+    const double queueing = options.msPerQueuedRequest * queued;
     const double distance = listing.failureDomain == options.failureDomain ? 0 : options.msOtherDomain;
     const double cold = now < coldUntil ? options.msCold : 0;
-    const double limited = word.limit ? options.msLimited : 0;
-    const bool silent = relaySilentAt && now - *relaySilentAt < options.loadMemory;
-    return reading + running + queueing + distance + cold + limited + overdue + (silent ? options.msSilentRelay : 0);
+    const double limited = directives.rateLimit ? options.msLimited : 0;
+    const bool timedOut = relayTimedOutAt && now - *relayTimedOutAt < options.remoteLoadLifetime;
+    return reading + running + queueing + distance + cold + limited + overdue + (timedOut ? options.msTimedOutRelay : 0);
 }
 
-bool TargetState::resting(Instant now) const
+bool TargetState::inBackoff(Instant now) const
 {
-    const bool paused = pausedUntil && now < *pausedUntil;
-    // One attempt at a time finds out whether a target that failed is back.
-    const bool onTrial = failures > 0 && outstanding > 0;
-    return paused || onTrial;
+    const bool backingOff = backoffUntil && now < *backoffUntil;
+    // A target that failed is probed by one request at a time.
+    const bool probing = consecutiveBackoffs > 0 && outstanding > 0;
+    return backingOff || probing;
 }
 
-void TargetState::sent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncached, Instant now)
+void TargetState::requestSent(const TargetOptions &options, std::span<const PromptPart> prompt, Tokens uncachedTokens, Instant now)
 {
     ++outstanding;
-    unread += uncached;
-    waiting.insert(now);
-    if (cached.size() > s_maxCachedParts) {
-        absl::erase_if(cached, [&](const auto &entry) {
-            return now - entry.second >= options.cacheMemory;
+    unread += uncachedTokens;
+    awaitingFirstByte.insert(now);
+    if (cachedParts.size() > s_maxCachedParts) {
+        absl::erase_if(cachedParts, [&](const auto &entry) {
+            return now - entry.second >= options.cachedPartLifetime;
         });
     }
     for (const PromptPart &part : prompt) {
-        cached[part.id] = now;
+        cachedParts[part.id] = now;
     }
 }
 
-void TargetState::begun(Tokens uncached, Instant sentAt)
+void TargetState::firstByteReceived(Tokens uncachedTokens, Instant sentAt)
 {
-    unread -= uncached;
-    const auto since = waiting.find(sentAt);
-    if (since != waiting.end()) {
-        waiting.erase(since);
+    unread -= uncachedTokens;
+    const auto since = awaitingFirstByte.find(sentAt);
+    if (since != awaitingFirstByte.end()) {
+        awaitingFirstByte.erase(since);
     }
 }
 
-void TargetState::done(const TargetOptions &options, TargetSign sign, Instant now)
+void TargetState::attemptEnded(const TargetOptions &options, HealthSignal signal, Instant now)
 {
     outstanding -= std::min<std::uint32_t>(outstanding, 1);
-    switch (sign) {
-    case TargetSign::Sound:
-        failures = 0;
-        failingInRow = 0;
-        pausedUntil.reset();
+    switch (signal) {
+    case HealthSignal::Success:
+        consecutiveBackoffs = 0;
+        consecutiveErrors = 0;
+        backoffUntil.reset();
         break;
-    case TargetSign::Declined:
-        pausedUntil = now + options.declinePause;
+    case HealthSignal::Declined:
+        backoffUntil = now + options.declineBackoff;
         break;
-    case TargetSign::Broken:
-        pauseBroken(options, now);
+    case HealthSignal::ConnectionFailure:
+        startBackoff(options, now);
         break;
-    case TargetSign::Failing:
-        if (++failingInRow >= options.failingLimit) {
-            pauseBroken(options, now);
+    case HealthSignal::ErrorResponse:
+        if (++consecutiveErrors >= options.consecutiveErrorLimit) {
+            startBackoff(options, now);
         }
         break;
-    case TargetSign::Neutral:
+    case HealthSignal::Neutral:
         break;
     }
 }
 
-void TargetState::pauseBroken(const TargetOptions &options, Instant now)
+void TargetState::startBackoff(const TargetOptions &options, Instant now)
 {
-    if (!options.ejects) {
+    if (!options.outlierEjection) {
         return;
     }
-    const Duration pause = options.firstPause * (std::int64_t{1} << std::min(failures, s_maxDoublings));
-    pausedUntil = now + std::min(options.longestPause, pause);
-    suspectedColdUntil = *pausedUntil + options.coldSuspicion;
-    ++failures;
-    cached.clear();
+    const Duration backoff = options.initialBackoff * (std::int64_t{1} << std::min(consecutiveBackoffs, s_maxDoublings));
+    backoffUntil = now + std::min(options.maxBackoff, backoff);
+    presumedColdUntil = *backoffUntil + options.presumedColdPeriod;
+    ++consecutiveBackoffs;
+    cachedParts.clear();
 }
 
 }
--- a/src/measure/capacity.cpp
+++ b/src/measure/capacity.cpp
@@ -2,7 +2,7 @@
 #include "budget/nodeledger.h"
 #include "configuration/configuration.h"
 #include "engine/runtable.h"
-#include "gateway/targetboard.h"
+#include "gateway/targetbalancer.h"
 #include "inventory/teamkey.h"
 #include "link/link.pb.h"
 #include "membership/peerdirectory.h"
@@ -195,7 +195,7 @@
     std::vector<Point> choosing;
     for (const int targets : {50, 100, 200, 400, 870}) {
         const double before = heapBytes();
-        auto board = std::make_unique<TargetBoard>(TargetBoard::Options{.failureDomain = "domain-0"});
+        auto board = std::make_unique<TargetBalancer>(TargetBalancer::Options{.failureDomain = "domain-0"});
         std::vector<TargetListing> listings;
         listings.reserve(static_cast<std::size_t>(targets));
         for (int index = 0; index < targets; ++index) {
@@ -206,7 +206,7 @@
                                 .relay = numbered("10.0.0.2:", index),
                                 .slots = 32});
         }
-        board->setAll(std::move(listings), s_now);
+        board->replaceAll(std::move(listings), s_now);
         const double taken = heapBytes() - before;
         std::uint64_t draw = 0;
         const double all = microseconds([&] {
@@ -216,7 +216,7 @@
                 for (int part = 0; part < parts; ++part) {
                     prompt.push_back({.id = ++draw, .tokens = 500});
                 }
-                const PlacementWish wish{.service = "drafting", .prompt = prompt, .draw = draw};
+                const PlacementRequest wish{.service = "drafting", .prompt = prompt, .seed = draw};
                 (void)board->candidates(wish, 3, s_now);
                 (void)board->choose(wish, s_now);
             }
--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -32,7 +32,7 @@
     return absl::StrCat(ownAddress(), ":", s_firstLoadPort + router);
 }
 
-/// A router that answers the others' questions about targets without relays.
+/// A router that answers the other routers' load queries for targets without relays.
 struct RouterUnderTest {
     RouterUnderTest(WorkerPool &pool, std::size_t number)
         : ledger(pool.mainLoop().get_executor(), {.holder = loadAddress(number), .incarnation = loadAddress(number) + "~1"})
@@ -49,7 +49,7 @@
         BOOST_REQUIRE(loadServer.open().ok());
         BOOST_REQUIRE(loads.open().ok());
         BOOST_REQUIRE(server.open().ok());
-        gateway.chooser().setLoads(loads);
+        gateway.chooser().setLoadLink(loads);
         gateway.chooser().setRouters(std::vector{loadAddress(0), loadAddress(1), loadAddress(2)});
         gateway.setPlan(testPlan());
     }
@@ -78,7 +78,7 @@
     return {.bytes = wholeAnswer(200, absl::StrCat("X-Id: r1\r\nX-Seal: s\r\nX-Limit: ", s_perSecond, "\r\n"), "answer")};
 }
 
-/// Routers before one plain service that limits what it takes.
+/// Several routers and one target without a relay that states a rate limit.
 class Fleet
 {
 public:
@@ -88,8 +88,8 @@
     {
         for (std::size_t number = 0; number < s_routers; ++number) {
             m_routers.push_back(std::make_unique<RouterUnderTest>(m_pool, number));
-            m_routers.back()->gateway.board().setAll({{.incarnation = "target", .service = "service", .address = m_target.address()}},
-                                                     Instant{});
+            m_routers.back()->gateway.board().replaceAll({{.incarnation = "target", .service = "service", .address = m_target.address()}},
+                                                         Instant{});
         }
     }
 
@@ -102,7 +102,7 @@
         m_pool.run();
     }
 
-    /// Sends a request to a router; returns whether it was served.
+    /// Sends a request to a router and returns whether it was served.
     asio::awaitable<bool> serves(std::size_t router)
     {
         asio::ip::tcp::socket socket(m_pool.mainLoop());
@@ -131,7 +131,7 @@
 
 BOOST_AUTO_TEST_SUITE(AdmissionFleetTest)
 
-// Guards against routers that each keep to a limit alone, so that their sum is a multiple of it, where no relay runs beside the target.
+// Guards against routers that each use the whole rate limit of a target without a relay, so that together they send a multiple of it.
 BOOST_AUTO_TEST_CASE(routersTogetherKeepToALimit)
 {
     constexpr int rounds = 150;
@@ -146,36 +146,36 @@
             co_await pause(std::chrono::milliseconds(20));
         }
     });
-    // The first request of each router tells it of the limit.
+    // Each router learns the limit from the answer to its first request.
     const double admitted = s_perSecond * seconds(steadyNow() - begun + LimitAdmissions::s_leeway) + 1;
     BOOST_TEST(served <= admitted + s_routers);
     BOOST_TEST(served > static_cast<int>(s_routers));
     BOOST_TEST(fleet.target().requests().size() == static_cast<std::size_t>(served));
 }
 
-// Guards against a limit that stays at routers which did not hear of its end.
-BOOST_AUTO_TEST_CASE(allRoutersHearOfTheEndOfALimit)
+// Guards against a rate limit that stays in force at routers that did not get the answer that ended it.
+BOOST_AUTO_TEST_CASE(endOfALimitReachesAllRouters)
 {
-    constexpr int mostRounds = 3000;
+    constexpr int maxRounds = 3000;
     Fleet fleet;
-    std::size_t free = 0;
+    std::size_t unlimitedRouters = 0;
     fleet.play([&]() -> asio::awaitable<void> {
         for (std::size_t router = 0; router < s_routers; ++router) {
             co_await fleet.serves(router);
         }
         fleet.target().answerWith({sound()});
-        // Only a fleet that never hears of it plays all rounds.
-        for (int round = 0; round < mostRounds && free < s_routers; ++round) {
-            free = 0;
+        // Only a failing run uses all rounds.
+        for (int round = 0; round < maxRounds && unlimitedRouters < s_routers; ++round) {
+            unlimitedRouters = 0;
             for (std::size_t router = 0; router < s_routers; ++router) {
                 const bool first = co_await fleet.serves(router);
                 const bool second = co_await fleet.serves(router);
-                free += first && second ? 1 : 0;
+                unlimitedRouters += first && second ? 1 : 0;
             }
             co_await pause(std::chrono::milliseconds(10));
         }
     });
-    BOOST_TEST(free == s_routers);
+    BOOST_TEST(unlimitedRouters == s_routers);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/peerhelptest.cpp
+++ b/src/tests/peerhelptest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/peerhelp.h"
+#include "gateway/peerexchange.h"
 #include "ownaddress.h"
 
 #include "store/memoryrows.h"
@@ -18,9 +18,9 @@
 
 constexpr std::uint16_t s_firstPort = 17710;
 constexpr int s_peers = 4;
-/// A document of half a megabyte takes this long over a slow link.
+/// The time that a document of half a megabyte takes over a slow link.
 constexpr Duration s_transferTime = std::chrono::milliseconds(200);
-/// Long enough for every peer to be asked, one after the other. Only a failing run lasts so long.
+/// Long enough to ask every peer in turn. Only a failing run takes this long.
 constexpr Duration s_longestRun = std::chrono::seconds(6);
 
 std::string linkAddress(int number)
@@ -28,8 +28,8 @@
     return absl::StrCat(ownAddress(), ":", s_firstPort + number);
 }
 
-/// The store is out of reach all the while.
-struct NoStore {
+/// A store that never answers.
+struct UnreachableStore {
     asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &)
     {
         co_return failed(FailureKind::TableUnreachable, "away");
@@ -46,7 +46,7 @@
     }
 };
 
-/// A peer that has version 2 of the configuration and a slow link to send it over.
+/// A peer with version 2 of the configuration and a slow link.
 struct SlowPeer {
     SlowPeer(asio::io_context &loop, int number)
         : link(loop.get_executor(), {.self = linkAddress(number)})
@@ -64,7 +64,7 @@
     {
         wire::PeerAnswer answer;
         if (call.has_plan()) {
-            ++documentsAsked;
+            ++documentRequests;
             co_await pause(s_transferTime);
             answer.set_done(true);
             answer.mutable_plan()->set_version(2);
@@ -76,19 +76,19 @@
     }
 
     PeerLink link;
-    int documentsAsked = 0;
+    int documentRequests = 0;
 };
 
-/// A router without the store, among peers that all have a newer configuration.
-struct Scene {
-    Scene()
+/// A router that cannot reach the store, and peers that all have a newer configuration.
+struct Fixture {
+    Fixture()
         : link(loop.get_executor(), {.self = linkAddress(0)})
         , relayed(store, link)
         , ledger(loop.get_executor(), {.holder = "router", .incarnation = "router~1"})
         , gateway(loop.get_executor(), {}, ledger, metrics)
         , evacuations(gateway.board(), metrics, {})
-        , help(link, relayed, ledger, gateway, evacuations, [this](const std::string &document) {
-            taken.push_back(document);
+        , exchange(link, relayed, ledger, gateway, evacuations, [this](const std::string &document) {
+            accepted.push_back(document);
             gateway.setPlan(std::make_shared<const RoutingPlan>(RoutingPlan::Content{.version = 2}));
             loop.stop();
         })
@@ -102,22 +102,22 @@
         link.setPeers(addresses);
     }
 
-    int documentsAsked() const
+    int documentRequests() const
     {
-        int asked = 0;
+        int requests = 0;
         for (const auto &peer : peers) {
-            asked += peer->documentsAsked;
+            requests += peer->documentRequests;
         }
-        return asked;
+        return requests;
     }
 
-    /// All peers tell of their configuration, until it has come.
-    void announceUntilTaken()
+    /// Lets all peers announce their configuration until the router has accepted it.
+    void announceUntilAccepted()
     {
         asio::co_spawn(
             loop,
             [this]() -> asio::awaitable<void> {
-                // Connections are made in the background; a notice to a peer that is not connected yet is lost.
+                // Connections are established in the background, and a notice to a peer that is not connected yet is lost.
                 while (true) {
                     for (const auto &peer : peers) {
                         peer->link.announcePlan(2);
@@ -131,14 +131,14 @@
 
     asio::io_context loop;
     Metrics metrics;
-    NoStore store;
+    UnreachableStore store;
     PeerLink link;
-    RelayedStore<NoStore> relayed;
+    RelayedStore<UnreachableStore> relayed;
     TeamLedger ledger;
     Gateway gateway;
     EvacuationFollower evacuations;
-    PeerHelp<NoStore> help;
-    std::vector<std::string> taken;
+    PeerExchange<UnreachableStore> exchange;
+    std::vector<std::string> accepted;
     std::vector<std::unique_ptr<SlowPeer>> peers;
 };
 
@@ -146,26 +146,26 @@
 
 BOOST_AUTO_TEST_SUITE(PeerHelpTest)
 
-// All calls of a router on a slow link timed out for eight seconds after a change of the configuration. Each of its peers had told it of
-// the new version, it had asked each of them for the whole document, 0.7 MB, and had given up on each after 120 ms; all of them sent it all
-// the same, ten seconds' worth of the link for two changes. The evidence: the routers on fast links sent 12 to 14 MB/s together in these
-// seconds, 0.3 MB/s otherwise, and every slow link was full.
+// Guards against a slow link that is saturated by copies of the configuration. A router that requested the whole document, 0.7 MB, from
+// every peer that announced it, and gave up on each after 120 ms, still received all the copies: ten seconds of traffic for two changes.
+// All its other calls timed out for eight seconds, while the routers on fast links sent 12 to 14 MB/s together instead of 0.3 MB/s.
 BOOST_AUTO_TEST_CASE(oneOfManyPeersSendsTheDocument)
 {
-    Scene scene;
-    scene.announceUntilTaken();
-    BOOST_TEST(scene.taken.size() == 1U);
-    BOOST_TEST(scene.documentsAsked() == 1);
+    Fixture fixture;
+    fixture.announceUntilAccepted();
+    BOOST_TEST(fixture.accepted.size() == 1U);
+    BOOST_TEST(fixture.documentRequests() == 1);
 }
 
-// Guards against a router that starts while the store is away, takes its configuration from a peer, and sends to an evacuated domain.
+// Guards against requests to an evacuated domain from a router that started while the store was unreachable and got its configuration from
+// a peer.
 BOOST_AUTO_TEST_CASE(evacuationsComeWithTheConfiguration)
 {
-    Scene scene;
-    scene.announceUntilTaken();
-    BOOST_REQUIRE(scene.evacuations.inForce().has_value());
-    BOOST_TEST(scene.evacuations.inForce()->version == 5U);
-    BOOST_TEST(scene.evacuations.inForce()->domains.contains("there"));
+    Fixture fixture;
+    fixture.announceUntilAccepted();
+    BOOST_REQUIRE(fixture.evacuations.inForce().has_value());
+    BOOST_TEST(fixture.evacuations.inForce()->version == 5U);
+    BOOST_TEST(fixture.evacuations.inForce()->domains.contains("there"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/poisonrequesttest.cpp
+++ b/src/tests/poisonrequesttest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/peerhelp.h"
+#include "gateway/peerexchange.h"
 #include "ownaddress.h"
 
 #include "net/pause.h"
@@ -99,7 +99,7 @@
     TeamLedger ledger;
     Gateway gateway;
     EvacuationFollower evacuations;
-    PeerHelp<SharedRows> help;
+    PeerExchange<SharedRows> help;
     HttpServer server;
 };
 
@@ -117,7 +117,7 @@
         }
         for (std::size_t number = 0; number < s_routers; ++number) {
             m_routers.push_back(std::make_unique<RouterUnderTest>(m_pool, number, m_rows));
-            m_routers.back()->gateway.board().setAll(listings(), Instant{});
+            m_routers.back()->gateway.board().replaceAll(listings(), Instant{});
         }
         linkRouters(s_routers);
     }
@@ -285,7 +285,7 @@
         BOOST_TEST(started.suspects() == 0U);
         scene.linkRouters(s_routers);
         co_await pause(s_spreadTime);
-        co_await scene.router(2).help.learnCrashes();
+        co_await scene.router(2).help.fetchKnownCrashes();
         BOOST_TEST(started.suspects() > 0U);
         co_await scene.send(2, draftRequest("third", s_poison));
         co_await pause(s_spreadTime);
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/targetboard.h"
+#include "gateway/targetbalancer.h"
 #include "routing/loadbook.h"
 #include "routing/stablehash.h"
 
@@ -21,17 +21,17 @@
 constexpr std::size_t s_domains = 6;
 constexpr double s_requestsPerSecond = 970;
 constexpr double s_tokensPerMs = 38.4;
-constexpr std::size_t s_asked = 3;
+constexpr std::size_t s_candidatesQueried = 3;
 
-/// What callers got over a while.
+/// Results of a simulated run.
 struct Outcome {
     double p95FirstByteMs = 0;
-    /// Requests at the target that got most, in multiples of the mean.
+    /// Requests at the target that got the most, as a multiple of the mean.
     double busiest = 0;
 };
 
-/// A hundred routers before targets that read one prompt after the other. Prompts are as long as those of three kinds of requests together:
-/// most short, some thirty times as long. Half of the work that targets could do arrives.
+/// Simulates a hundred routers and targets that process one prompt at a time. The lengths of prompts are distributed like those of three
+/// kinds of requests together: most are short, some thirty times as long. The targets are loaded to half of their capacity.
 class Fleet
 {
 public:
@@ -53,12 +53,12 @@
                                 .slots = 32});
         }
         for (std::size_t router = 0; router < s_routers; ++router) {
-            m_boards.push_back(std::make_unique<TargetBoard>(TargetBoard::Options{.failureDomain = domainName(router)}));
-            m_boards.back()->setAll(listings, m_now);
+            m_balancers.push_back(std::make_unique<TargetBalancer>(TargetBalancer::Options{.failureDomain = domainName(router)}));
+            m_balancers.back()->replaceAll(listings, m_now);
         }
     }
 
-    Outcome play(Duration time)
+    Outcome simulate(Duration time)
     {
         std::mt19937_64 random(20261203);
         std::exponential_distribution<double> gap(s_requestsPerSecond);
@@ -77,7 +77,7 @@
     }
 
 private:
-    /// A request whose first byte, or end, is due.
+    /// The time at which the first byte, or the end, of a request is due.
     struct Event {
         Instant at{};
         std::size_t router = 0;
@@ -102,37 +102,40 @@
         return "domain-" + std::to_string(index % s_domains);
     }
 
-    /// The router tells the relay what it has at the target; returns what the others have.
+    /// Reports the router's load at the target to the relay and returns the load of the other routers.
     TargetLoad report(std::size_t router, const std::string &target)
     {
-        const TargetLoad own = m_boards[router]->ownLoad(target)->load;
+        const TargetLoad own = m_balancers[router]->ownLoad(target)->load;
         return m_books[m_targets[target]].noted({.router = router, .target = stableHash(target), .sequence = ++m_sequence, .load = own},
                                                 m_now);
     }
 
     void send(std::size_t router, Tokens tokens, std::uint64_t draw)
     {
-        TargetBoard &board = *m_boards[router];
+        TargetBalancer &balancer = *m_balancers[router];
         const std::vector<PromptPart> prompt{{.id = draw, .tokens = tokens}};
-        PlacementWish wish{.service = "llm", .prompt = prompt, .draw = draw};
-        const std::vector<std::string> candidates = board.candidates(wish, s_asked, m_now);
+        PlacementRequest request{.service = "llm", .prompt = prompt, .seed = draw};
+        const std::vector<std::string> candidates = balancer.candidates(request, s_candidatesQueried, m_now);
         if (m_shared) {
             for (const std::string &candidate : candidates) {
-                board.heard(candidate, report(router, candidate), m_now);
+                balancer.setRemoteLoad(candidate, report(router, candidate), m_now);
             }
         }
-        wish.among = candidates;
-        const Placement placement = *board.choose(wish, m_now);
-        board.sent(placement.incarnation, prompt, placement.uncached, m_now);
+        request.shortlist = candidates;
+        const Placement placement = *balancer.choose(request, m_now);
+        balancer.requestSent(placement.incarnation, prompt, placement.uncachedTokens, m_now);
         report(router, placement.incarnation);
         const std::size_t target = m_targets[placement.incarnation];
         ++m_sent[target];
         const auto reading = std::chrono::duration_cast<Duration>(
-            std::chrono::duration<double, std::milli>(static_cast<double>(placement.uncached) / s_tokensPerMs));
+            std::chrono::duration<double, std::milli>(static_cast<double>(placement.uncachedTokens) / s_tokensPerMs));
         m_readUntil[target] = std::max(m_readUntil[target], m_now) + reading;
         m_firstByteMs.push_back(seconds(m_readUntil[target] - m_now) * 1000);
-        m_events.push(
-            {.at = m_readUntil[target], .router = router, .target = placement.incarnation, .unread = placement.uncached, .sentAt = m_now});
+        m_events.push({.at = m_readUntil[target],
+                       .router = router,
+                       .target = placement.incarnation,
+                       .unread = placement.uncachedTokens,
+                       .sentAt = m_now});
     }
 
     void finishDue()
@@ -140,11 +143,11 @@
         while (!m_events.empty() && m_events.top().at <= m_now) {
             Event event = m_events.top();
             m_events.pop();
-            TargetBoard &board = *m_boards[event.router];
+            TargetBalancer &balancer = *m_balancers[event.router];
             if (event.ends) {
-                board.done(event.target, TargetSign::Sound, event.at);
+                balancer.attemptEnded(event.target, HealthSignal::Success, event.at);
             } else {
-                board.begun(event.target, event.unread, event.sentAt);
+                balancer.firstByteReceived(event.target, event.unread, event.sentAt);
                 event.ends = true;
                 event.at += std::chrono::milliseconds(400);
                 m_events.push(event);
@@ -155,7 +158,7 @@
 
     bool m_shared;
     Instant m_now = Instant(std::chrono::seconds(100));
-    std::vector<std::unique_ptr<TargetBoard>> m_boards;
+    std::vector<std::unique_ptr<TargetBalancer>> m_balancers;
     std::map<std::string, std::size_t> m_targets;
     std::vector<Instant> m_readUntil;
     std::vector<LoadBook> m_books;
@@ -169,13 +172,13 @@
 
 BOOST_AUTO_TEST_SUITE(SharedLoadsTest)
 
-// 103 routers each see one in a hundred of what goes to 180 targets. Each took the first of those that looked idle to it, and so did all
-// the others: callers waited behind each other's long prompts while targets next to them had nothing to do.
-BOOST_AUTO_TEST_CASE(routersDoNotHerd)
+// Guards against routers that all choose the same target. Each of 103 routers sees one in a hundred of the requests to 180 targets. If each
+// takes the first target that looks idle to it, callers wait behind each other's long prompts while other targets are idle.
+BOOST_AUTO_TEST_CASE(routersDoNotAllChooseTheSameTarget)
 {
     const Duration time = std::chrono::seconds(10);
-    const Outcome alone = Fleet(false).play(time);
-    const Outcome shared = Fleet(true).play(time);
+    const Outcome alone = Fleet(false).simulate(time);
+    const Outcome shared = Fleet(true).simulate(time);
     BOOST_TEST_MESSAGE("alone: 95th percentile " << alone.p95FirstByteMs << " ms, busiest " << alone.busiest);
     BOOST_TEST_MESSAGE("shared: 95th percentile " << shared.p95FirstByteMs << " ms, busiest " << shared.busiest);
     BOOST_TEST(shared.p95FirstByteMs < 0.7 * alone.p95FirstByteMs);
--- a/src/tests/targetboardtest.cpp
+++ b/src/tests/targetboardtest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/targetboard.h"
+#include "gateway/targetbalancer.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -18,33 +18,33 @@
     return {.incarnation = incarnation, .service = "llm", .address = "10.0.0.1:" + incarnation, .failureDomain = std::move(failureDomain)};
 }
 
-/// A board with some targets of one service, and a clock.
-struct Board {
-    explicit Board(int targets)
-        : board({.failureDomain = "here"})
+/// A balancer with some targets of one service, and a clock.
+struct Fixture {
+    explicit Fixture(int targets)
+        : balancer({.failureDomain = "here"})
     {
         std::vector<TargetListing> listings;
         for (int index = 0; index < targets; ++index) {
             listings.push_back(listing(std::to_string(index)));
         }
-        board.setAll(std::move(listings), now);
+        balancer.replaceAll(std::move(listings), now);
     }
 
-    std::optional<Placement> choose(std::span<const PromptPart> prompt = {}, std::span<const std::string> except = {}) const
+    std::optional<Placement> choose(std::span<const PromptPart> prompt = {}, std::span<const std::string> excluded = {}) const
     {
-        return board.choose({.service = "llm", .prompt = prompt, .except = except}, now);
+        return balancer.choose({.service = "llm", .prompt = prompt, .excluded = excluded}, now);
     }
 
-    /// Sends a request to whichever target is chosen; returns which.
+    /// Sends a request to the target that is chosen and returns its incarnation.
     std::string send(std::span<const PromptPart> prompt = {})
     {
         const auto placement = choose(prompt);
         BOOST_REQUIRE(placement.has_value());
-        board.sent(placement->incarnation, prompt, placement->uncached, now);
+        balancer.requestSent(placement->incarnation, prompt, placement->uncachedTokens, now);
         return placement->incarnation;
     }
 
-    TargetBoard board;
+    TargetBalancer balancer;
     Instant now = Instant(std::chrono::seconds(100));
 };
 
@@ -54,159 +54,162 @@
 
 BOOST_AUTO_TEST_CASE(spreadsOverTargets)
 {
-    Board scene(4);
+    Fixture fixture(4);
     std::set<std::string> used;
     for (int count = 0; count < 4; ++count) {
-        used.insert(scene.send());
+        used.insert(fixture.send());
     }
     BOOST_TEST(used.size() == 4U);
 }
 
-// Guards against a target that has said that it leaves and is used again after a gap in the list.
+// Guards against requests to a leaving target whose entry was missing from the list for a while and then returned.
 BOOST_AUTO_TEST_CASE(whatATargetSaidOutlastsAGapInTheList)
 {
-    Board scene(1);
-    const TargetListing listing{.incarnation = scene.choose()->incarnation, .service = "llm", .address = "10.0.0.1:80"};
-    scene.board.leaves(listing.incarnation);
-    BOOST_TEST(!scene.choose());
-    scene.board.unlisted(listing.incarnation, scene.now);
-    BOOST_TEST(!scene.board.lists(listing.incarnation));
-    scene.board.listed(listing, scene.now);
-    BOOST_TEST(!scene.choose());
-    TargetListing nextLife = listing;
-    nextLife.incarnation = "next life";
-    scene.board.listed(nextLife, scene.now);
-    BOOST_TEST(scene.choose().has_value());
+    Fixture fixture(1);
+    const TargetListing listing{.incarnation = fixture.choose()->incarnation, .service = "llm", .address = "10.0.0.1:80"};
+    fixture.balancer.markLeaving(listing.incarnation);
+    BOOST_TEST(!fixture.choose());
+    fixture.balancer.removeListing(listing.incarnation, fixture.now);
+    BOOST_TEST(!fixture.balancer.isKnown(listing.incarnation));
+    fixture.balancer.updateListing(listing, fixture.now);
+    BOOST_TEST(!fixture.choose());
+    TargetListing restarted = listing;
+    restarted.incarnation = "restarted";
+    fixture.balancer.updateListing(restarted, fixture.now);
+    BOOST_TEST(fixture.choose().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(prefersWhereThePromptIsCached)
+BOOST_AUTO_TEST_CASE(prefersTargetWithCachedPrompt)
 {
-    Board scene(4);
+    Fixture fixture(4);
     const std::vector<PromptPart> prompt{{.id = 1, .tokens = 6000}, {.id = 2, .tokens = 100}};
-    const std::string first = scene.send(prompt);
-    scene.board.begun(first, scene.choose(prompt)->uncached, scene.now);
+    const std::string first = fixture.send(prompt);
+    fixture.balancer.firstByteReceived(first, fixture.choose(prompt)->uncachedTokens, fixture.now);
     const std::vector<PromptPart> next{{.id = 1, .tokens = 6000}, {.id = 3, .tokens = 100}};
-    BOOST_TEST(scene.choose(next)->incarnation == first);
+    BOOST_TEST(fixture.choose(next)->incarnation == first);
 }
 
-// Routers that have exchanged nothing send the first request for a shared part to the same target, or each of them would have it read anew.
-BOOST_AUTO_TEST_CASE(routersAgreeOnAPart)
+// Guards against several targets that process the same shared part, because routers choose different ones for it. Routers must agree
+// without exchanging anything.
+BOOST_AUTO_TEST_CASE(routersPreferTheSameTargetForAPart)
 {
-    const Board one(6);
-    const Board other(6);
+    const Fixture one(6);
+    const Fixture other(6);
     for (std::uint64_t id = 10; id < 30; ++id) {
         const std::vector<PromptPart> prompt{{.id = id, .tokens = 5000}, {.id = 1000 + id, .tokens = 100}};
         BOOST_TEST(one.choose(prompt)->incarnation == other.choose(prompt)->incarnation);
     }
 }
 
-// A prompt that everybody asks for must not queue at one target while others are idle.
-BOOST_AUTO_TEST_CASE(hotPartGetsCopies)
+// Guards against requests that queue at one target while others are idle, because many of them share a prompt part.
+BOOST_AUTO_TEST_CASE(hotPartSpreadsOverTargets)
 {
-    Board scene(4);
+    Fixture fixture(4);
     std::set<std::string> used;
     for (std::uint64_t id = 100; id < 112; ++id) {
         const std::vector<PromptPart> prompt{{.id = 1, .tokens = 3000}, {.id = id, .tokens = 3000}};
-        used.insert(scene.send(prompt));
+        used.insert(fixture.send(prompt));
     }
     BOOST_TEST(used.size() >= 3U);
 }
 
-// Work is sent to a target that is about to go: it is not, from the moment at which it said so, whatever an older entry says.
-BOOST_AUTO_TEST_CASE(leavingTargetGetsNothing)
+// Guards against requests to a target that has announced its shutdown, also when an older entry arrives after the announcement.
+BOOST_AUTO_TEST_CASE(leavingTargetGetsNoRequests)
 {
-    Board scene(1);
+    Fixture fixture(1);
     TargetListing leaving = listing("0");
     leaving.leaving = true;
-    scene.board.listed(leaving, scene.now);
-    BOOST_TEST(!scene.choose().has_value());
-    scene.board.listed(listing("0"), scene.now);
-    BOOST_TEST(!scene.choose().has_value());
+    fixture.balancer.updateListing(leaving, fixture.now);
+    BOOST_TEST(!fixture.choose().has_value());
+    fixture.balancer.updateListing(listing("0"), fixture.now);
+    BOOST_TEST(!fixture.choose().has_value());
 }
 
-// The store was away, and entries lapsed although their targets live. Taking the list at its word would leave nobody to serve; a target
-// that is still missing a while after the store's return is gone.
-BOOST_AUTO_TEST_CASE(lapsedEntriesAreDoubtedForAWhile)
+// Guards against a router that drops all targets because their entries expired while the store was unreachable. Live targets rewrite their
+// entries once the store is back; a target that is still missing after the grace period is removed.
+BOOST_AUTO_TEST_CASE(missingEntriesStayForTheGracePeriod)
 {
-    Board scene(2);
-    scene.board.storeReachable(false, scene.now);
-    scene.now += ms(4000);
-    scene.board.storeReachable(true, scene.now);
-    scene.board.setAll({}, scene.now);
-    scene.now += ms(1500);
-    scene.board.expire(scene.now);
-    BOOST_TEST(scene.choose().has_value());
-    scene.board.listed(listing("1"), scene.now);
-    scene.now += ms(1500);
-    scene.board.expire(scene.now);
-    BOOST_REQUIRE(scene.choose().has_value());
-    BOOST_TEST(scene.choose()->incarnation == "1");
+    Fixture fixture(2);
+    fixture.balancer.setStoreReachable(false, fixture.now);
+    fixture.now += ms(4000);
+    fixture.balancer.setStoreReachable(true, fixture.now);
+    fixture.balancer.replaceAll({}, fixture.now);
+    fixture.now += ms(1500);
+    fixture.balancer.removeExpired(fixture.now);
+    BOOST_TEST(fixture.choose().has_value());
+    fixture.balancer.updateListing(listing("1"), fixture.now);
+    fixture.now += ms(1500);
+    fixture.balancer.removeExpired(fixture.now);
+    BOOST_REQUIRE(fixture.choose().has_value());
+    BOOST_TEST(fixture.choose()->incarnation == "1");
 }
 
-// While the store answers, a vanished entry is a target that is gone, at once.
-BOOST_AUTO_TEST_CASE(vanishedEntryIsGoneAtOnce)
+// Guards against requests to a target whose entry was removed while the store was reachable.
+BOOST_AUTO_TEST_CASE(removedEntryIsDroppedAtOnce)
 {
-    Board scene(1);
-    scene.board.unlisted("0", scene.now);
-    BOOST_TEST(!scene.choose().has_value());
+    Fixture fixture(1);
+    fixture.balancer.removeListing("0", fixture.now);
+    BOOST_TEST(!fixture.choose().has_value());
 }
 
-// A target does not answer any more. It is left alone, tried again by a single request after a while, and left alone for longer when that
-// fails.
-BOOST_AUTO_TEST_CASE(brokenTargetIsTriedBySingleRequests)
+// Guards against a burst of requests at a target that has failed. After the back-off it gets a single request, and others only once that
+// one has succeeded.
+BOOST_AUTO_TEST_CASE(failedTargetIsProbedBySingleRequests)
 {
-    Board scene(2);
-    scene.board.sent("0", {}, 0, scene.now);
-    scene.board.begun("0", 0, scene.now);
-    scene.board.done("0", TargetSign::Broken, scene.now);
+    Fixture fixture(2);
+    fixture.balancer.requestSent("0", {}, 0, fixture.now);
+    fixture.balancer.firstByteReceived("0", 0, fixture.now);
+    fixture.balancer.attemptEnded("0", HealthSignal::ConnectionFailure, fixture.now);
     for (int count = 0; count < 5; ++count) {
-        BOOST_TEST(scene.send() == "1");
+        BOOST_TEST(fixture.send() == "1");
     }
-    scene.now += ms(500);
-    BOOST_TEST(scene.send() == "0");
-    BOOST_TEST(scene.send() == "1");
-    scene.board.begun("0", 0, scene.now);
-    scene.board.done("0", TargetSign::Sound, scene.now);
-    BOOST_TEST(scene.send() == "0");
+    fixture.now += ms(500);
+    BOOST_TEST(fixture.send() == "0");
+    BOOST_TEST(fixture.send() == "1");
+    fixture.balancer.firstByteReceived("0", 0, fixture.now);
+    fixture.balancer.attemptEnded("0", HealthSignal::Success, fixture.now);
+    BOOST_TEST(fixture.send() == "0");
 }
 
-// Every target has failed a moment ago. One that may be back serves the caller better than a refusal.
-BOOST_AUTO_TEST_CASE(allBrokenStillOffersOne)
+// Guards against refusals when all targets are in back-off: one that may have recovered serves the caller better.
+BOOST_AUTO_TEST_CASE(allInBackoffStillOffersOne)
 {
-    Board scene(2);
+    Fixture fixture(2);
     for (const char *incarnation : {"0", "1"}) {
-        scene.board.sent(incarnation, {}, 0, scene.now);
-        scene.board.done(incarnation, TargetSign::Broken, scene.now);
+        fixture.balancer.requestSent(incarnation, {}, 0, fixture.now);
+        fixture.balancer.attemptEnded(incarnation, HealthSignal::ConnectionFailure, fixture.now);
     }
-    BOOST_TEST(scene.choose().has_value());
+    BOOST_TEST(fixture.choose().has_value());
     const std::vector<std::string> tried{"0", "1"};
-    BOOST_TEST(!scene.choose({}, tried).has_value());
+    BOOST_TEST(!fixture.choose({}, tried).has_value());
 }
 
-// A target goes silent without closing anything. Requests that wait for it speak against it, long before their time is up.
-BOOST_AUTO_TEST_CASE(silentTargetLosesItsShare)
+// Guards against further requests to a target that hangs without closing its connections. It loses its share as soon as a first byte is
+// overdue, long before a request times out.
+BOOST_AUTO_TEST_CASE(targetWithOverdueFirstByteIsAvoided)
 {
-    Board scene(2);
-    scene.board.sent("0", {}, 0, scene.now);
-    scene.now += ms(900);
+    Fixture fixture(2);
+    fixture.balancer.requestSent("0", {}, 0, fixture.now);
+    fixture.now += ms(900);
     for (int count = 0; count < 20; ++count) {
-        BOOST_TEST(scene.send() == "1");
-        scene.board.begun("1", 0, scene.now);
+        BOOST_TEST(fixture.send() == "1");
+        fixture.balancer.firstByteReceived("1", 0, fixture.now);
     }
 }
 
-// Single failures are the requests' own; a row of them is the target's.
-BOOST_AUTO_TEST_CASE(failuresInARowPauseATarget)
+// Guards against a back-off for single error responses, which are attributed to the requests. Only consecutive ones count against the
+// target.
+BOOST_AUTO_TEST_CASE(consecutiveErrorsStartABackoff)
 {
-    Board scene(2);
+    Fixture fixture(2);
     for (int count = 0; count < 2; ++count) {
-        scene.board.sent("0", {}, 0, scene.now);
-        scene.board.done("0", TargetSign::Failing, scene.now);
+        fixture.balancer.requestSent("0", {}, 0, fixture.now);
+        fixture.balancer.attemptEnded("0", HealthSignal::ErrorResponse, fixture.now);
     }
-    BOOST_TEST(scene.choose()->incarnation == "0");
-    scene.board.sent("0", {}, 0, scene.now);
-    scene.board.done("0", TargetSign::Failing, scene.now);
-    BOOST_TEST(scene.choose()->incarnation == "1");
+    BOOST_TEST(fixture.choose()->incarnation == "0");
+    fixture.balancer.requestSent("0", {}, 0, fixture.now);
+    fixture.balancer.attemptEnded("0", HealthSignal::ErrorResponse, fixture.now);
+    BOOST_TEST(fixture.choose()->incarnation == "1");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/targetleavingtest.cpp
+++ b/src/tests/targetleavingtest.cpp
@@ -17,8 +17,8 @@
 
 BOOST_AUTO_TEST_SUITE(TargetLeavingTest)
 
-// Guards against requests to a target that leaves while the store, whose list would say so, is out of reach.
-BOOST_AUTO_TEST_CASE(whatAnAnswerSaysOfLeavingHolds)
+// Guards against requests to a leaving target while the store is unreachable, so that the list does not show that the target is leaving.
+BOOST_AUTO_TEST_CASE(announcedShutdownIsHonoured)
 {
     GatewayScene scene({{leaving()}, {sound()}});
     for (int sent = 0; sent < s_requests; ++sent) {
@@ -27,8 +27,8 @@
     BOOST_TEST(scene.target(0).requests().size() <= 1U);
 }
 
-// Guards against an older record of the list that brings a target back which has said that it leaves.
-BOOST_AUTO_TEST_CASE(noRecordBringsItBack)
+// Guards against an older record in the list that brings a leaving target back into service.
+BOOST_AUTO_TEST_CASE(listRecordDoesNotUndoLeaving)
 {
     GatewayScene scene({{leaving()}});
     BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
--- a/src/tests/targetlimittest.cpp
+++ b/src/tests/targetlimittest.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// Requests that a target which takes `perSecond` may get by the users' rule, in a span of at least four seconds.
-double mostInSpan(double perSecond, Duration span)
+/// The most requests that a target with a limit of `perSecond` may get in a span. The users' rule applies to spans of at least
+/// four seconds.
+double maxRequestsInSpan(double perSecond, Duration span)
 {
     constexpr double leastSeconds = 4;
     return 1.5 * perSecond * std::max(leastSeconds, seconds(span)) + 5;
@@ -25,8 +26,8 @@
 
 BOOST_AUTO_TEST_SUITE(TargetLimitTest)
 
-// Guards against a target that gets more requests than it says that it takes.
-BOOST_AUTO_TEST_CASE(aTargetGetsNoMoreThanItTakes)
+// Guards against requests beyond the rate limit that a target states in its answers.
+BOOST_AUTO_TEST_CASE(targetGetsNoMoreThanItsRateLimit)
 {
     constexpr int requests = 40;
     GatewayScene scene({{limited("1")}});
@@ -37,12 +38,12 @@
         refused += answer.starts_with("HTTP/1.1 503 ") && contains(answer, "X-Retry-Ms: ") ? 1 : 0;
     }
     const auto arrived = static_cast<int>(scene.target(0).requests().size());
-    BOOST_TEST(arrived <= mostInSpan(1, steadyNow() - begun));
+    BOOST_TEST(arrived <= maxRequestsInSpan(1, steadyNow() - begun));
     BOOST_TEST(refused == requests - arrived);
 }
 
-// Guards against requests that are refused although another target has room.
-BOOST_AUTO_TEST_CASE(whatALimitedTargetDoesNotTakeGoesElsewhere)
+// Guards against requests that are refused because of one target's rate limit although another target accepts them.
+BOOST_AUTO_TEST_CASE(excessRequestsGoToOtherTargets)
 {
     constexpr int requests = 40;
     GatewayScene scene({{limited("1")}, {sound()}});
@@ -51,7 +52,7 @@
         BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
     }
     const auto arrived = static_cast<int>(scene.target(0).requests().size());
-    BOOST_TEST(arrived <= mostInSpan(1, steadyNow() - begun));
+    BOOST_TEST(arrived <= maxRequestsInSpan(1, steadyNow() - begun));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/targetresttest.cpp
+++ b/src/tests/targetresttest.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr int s_requests = 10;
-/// Longer than the pause after a target that declines without a word.
-constexpr Duration s_between = std::chrono::milliseconds(40);
+/// Time between two requests. All of them together last longer than the back-off after a declined request without a requested rest.
+constexpr Duration s_requestInterval = std::chrono::milliseconds(40);
 
 PeerAction restingForMinutes()
 {
@@ -21,19 +21,19 @@
 
 BOOST_AUTO_TEST_SUITE(TargetRestTest)
 
-// Guards against a target that is asked again and again although it has asked for rest.
-BOOST_AUTO_TEST_CASE(aTargetGetsTheRestItAsksFor)
+// Guards against requests to a target before the rest that it requested is over.
+BOOST_AUTO_TEST_CASE(requestedRestIsHonoured)
 {
     GatewayScene scene({{restingForMinutes()}, {sound()}});
     for (int sent = 0; sent < s_requests; ++sent) {
         BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
-        std::this_thread::sleep_for(s_between);
+        std::this_thread::sleep_for(s_requestInterval);
     }
     BOOST_TEST(scene.target(0).requests().size() <= 1U);
 }
 
-// Guards against rest that is broken for want of another target: callers are refused at once, with the time at which the rest ends.
-BOOST_AUTO_TEST_CASE(whereAllRestCallersAreToldWhenToComeBack)
+// Guards against requests to a resting target because no other one is available. Callers are refused at once and told when the rest ends.
+BOOST_AUTO_TEST_CASE(callersGetRetryTimeWhenAllTargetsRest)
 {
     GatewayScene scene({{restingForMinutes()}});
     for (int sent = 0; sent < s_requests; ++sent) {
