--- a/src/budget/checkpointkeeper.h
+++ b/src/budget/checkpointkeeper.h
@@ -13,14 +13,14 @@
 
 namespace bamboohold {
 
-/// Writes a router's checkpoints to the store: at once when a request waits for one, and every few hundred milliseconds otherwise. One
-/// write at a time, which takes along all that came up meanwhile.
+/// Writes a router's checkpoints to the store: at once when a request waits for one, otherwise at the interval that the ledger requires.
+/// Only one write is in flight at a time; the next one includes everything that came up meanwhile.
 template<RowStore Store>
 class CheckpointKeeper
 {
 public:
     struct Options {
-        /// After a write that was declined or lost, the next one waits this long.
+        /// Delay before the next write after one that was declined or lost.
         Duration retryPause = std::chrono::milliseconds(100);
     };
 
@@ -36,7 +36,7 @@
     {
     }
 
-    /// Runs for as long as the process, or until another one has taken over its address.
+    /// Runs until the process ends or another one has taken over its address.
     boost::asio::awaitable<void> run()
     {
         while (!m_ledger.checkpoint().fenced()) {
--- a/src/budget/checkpointrow.cpp
+++ b/src/budget/checkpointrow.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr double s_msPerSecond = 1000;
-/// Numbers in a commitment's text.
+/// Numbers in a serialized commitment.
 constexpr std::size_t s_numbers = 3;
 
 boost::json::object toJson(const Checkpoint &checkpoint)
@@ -42,7 +42,7 @@
     return count;
 }
 
-/// The store's clock has an origin of its own, so that a process may have started before it.
+/// The store's clock has its own origin, so the time at which a process started may be negative.
 StoreTimeMs timeFrom(const boost::json::value &value)
 {
     const StoreTimeMs time = value.as_int64();
--- a/src/budget/checkpointrow.h
+++ b/src/budget/checkpointrow.h
@@ -12,46 +12,47 @@
 
 namespace bamboohold {
 
-/// The table that routers' checkpoints are in; a router's address is its part, so that no two routers ever conflict.
+/// The table of the routers' checkpoints. Each router's address is a part of its own, so that two routers never conflict.
 inline constexpr std::string_view s_checkpointTable = "checkpoint";
 
 /// The key of a checkpoint's row.
 inline constexpr std::string_view s_checkpointKey = "newest";
 
-/// A commitment does not grow for this long. A router in touch with the store writes another one sooner, so the growth serves outages of
-/// the store alone; and what it allows is lost when routers die, since nobody knows how much of it was used. Killed processes are most
-/// often back within this time.
+/// Time after a checkpoint during which its commitments do not grow. A router that reaches the store writes its next checkpoint sooner, so
+/// growth is needed only while the store is away. What growth allows is lost when a router dies, because nobody knows how much of it was
+/// used; killed processes are mostly back within this time.
 inline constexpr Duration s_stillTime = std::chrono::milliseconds(2500);
 
-/// No count of tokens or time that a row of ours holds is larger; one that is comes from somewhere else, and sums of such do not overflow.
+/// Upper limit of all token counts and times in stored rows. A larger value was not written by a router and is rejected, so that sums of
+/// stored values do not overflow.
 inline constexpr std::int64_t s_mostStored = 1'000'000'000'000'000;
 
-/// What a router promises about one team from the moment of a checkpoint until its next one.
+/// The limit on what a router commits for one team, valid from one checkpoint until the next.
 struct Commitment {
-    /// Tokens spent for good, lent, or reserved at that moment.
+    /// Tokens spent, lent, or reserved at the time of the checkpoint.
     Tokens committed = 0;
-    /// On top of it: this much at once, and once `s_stillTime` has passed so many tokens a second.
+    /// Tokens that may be committed beyond that: `burst` at once, and `rate` tokens a second after `s_stillTime` has passed.
     Tokens burst = 0;
     Tokens rate = 0;
 
-    /// The most that is committed this long after the checkpoint.
+    /// Maximum number of committed tokens this long after the checkpoint.
     Tokens most(double elapsedSeconds) const;
 
     bool operator==(const Commitment &) const = default;
 };
 
-/// The last checkpoint of one process.
+/// The latest checkpoint of one process.
 struct Checkpoint {
     std::string incarnation;
     std::uint64_t sequence = 0;
-    /// Store time that is not later than the moment from which the process counts.
+    /// Store time no later than the moment at which the process made the checkpoint.
     StoreTimeMs baseline = 0;
-    /// Store time by which the process was surely dead; none while that is unknown.
+    /// Store time by which the process was certainly dead; none while unknown.
     std::optional<StoreTimeMs> diedBefore;
-    /// By team. A team that is not in it had nothing committed.
+    /// By team. A team without an entry had nothing committed.
     std::map<std::string, Commitment, std::less<>> teams;
 
-    /// The most that a process that was dead at that store time can have committed for the team.
+    /// Maximum number of tokens that the process can have committed for the team if it was dead by `deadBy`.
     Tokens mostCommitted(std::string_view team, StoreTimeMs deadBy) const;
 };
 
@@ -61,8 +62,8 @@
     std::vector<Checkpoint> earlier;
 };
 
-/// The row's text in the store. A text that cannot be read leaves a line in the log and gives a row without any checkpoint, by which all
-/// that the dead held counts as spent.
+/// Serialize a row to its text in the store, and parse it. A text that cannot be parsed is logged as an error and yields a row without
+/// checkpoints; all tokens held by the dead processes then count as spent.
 std::string toText(const CheckpointRow &row);
 CheckpointRow checkpointRowFrom(const StoredRow &stored);
 
--- a/src/budget/demandmeter.cpp
+++ b/src/budget/demandmeter.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double s_boundWeight = 0.1;
-/// A meter younger than this would take its first request for a flood.
+/// Minimum age for the correction. Without it, the first request of a new meter would yield a far too high rate.
 constexpr double s_youngestSeconds = 1;
 
 }
--- a/src/budget/demandmeter.h
+++ b/src/budget/demandmeter.h
@@ -4,29 +4,29 @@
 
 namespace bamboohold {
 
-/// Estimates a budget's demand at one router from the requests it admitted: tokens a second, and the average worst case of a request.
+/// Estimates the demand for a budget at one router: tokens used a second, and the average upper bound of a request's tokens.
 class DemandMeter
 {
 public:
-    /// The rate is an exponentially weighted mean over this time.
+    /// `memory` is the time constant of the exponentially weighted rate.
     explicit DemandMeter(Duration memory = std::chrono::seconds(60))
         : m_memorySeconds(seconds(memory))
     {
     }
 
-    /// Counts a request's worst case.
+    /// Records a request's upper bound of tokens.
     void addRequest(Tokens bound);
 
-    /// Counts tokens used.
+    /// Records used tokens.
     void addUse(Tokens used, Instant now);
 
-    /// Tokens a second, exponentially weighted; low until the memory has filled.
+    /// Tokens a second. Too low until the meter has run for several time constants.
     double rate(Instant now) const;
 
-    /// The same for a meter that began to count at `since`: what it has not seen yet does not count as no demand.
+    /// Tokens a second, corrected for a meter that started to count at `since`.
     double rateSince(Instant since, Instant now) const;
 
-    /// Average worst case of recent requests; 0 before the first.
+    /// Average upper bound of recent requests in tokens; 0 before the first request.
     double averageBound() const
     {
         return m_averageBound;
--- a/src/budget/holdercheckpoint.cpp
+++ b/src/budget/holdercheckpoint.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Dead processes whose checkpoints are kept at most. More of them mean a router that dies again and again before it recovers anything;
-/// what the oldest held then counts as spent.
+/// Maximum number of dead processes whose checkpoints are kept. More of them mean a router that dies repeatedly before it recovers
+/// anything; all that the oldest ones held then counts as spent.
 constexpr std::size_t s_mostEarlier = 8;
-/// Steps in which the time of a limit is looked for.
+/// Step of the search for the time at which a limit is reached.
 constexpr Duration s_limitStep = std::chrono::milliseconds(50);
 
 std::int64_t inMs(Duration duration)
@@ -71,7 +71,7 @@
     }
     CheckpointRow row{.own = {.incarnation = m_options.incarnation, .sequence = ++m_sequence, .baseline = storeTimeAtLeast(now)}};
     if (sealed()) {
-        // Before the store's time is known there is no baseline to count from, so the first write promises nothing.
+        // The first write promises nothing, because the store's time, and so the baseline, is not known yet.
         row.own.teams = teams;
     }
     row.earlier = m_earlier;
@@ -95,13 +95,13 @@
     const StoredRow *row = current == verdict.current.end() ? nullptr : &*current;
     const Checkpoint seen = row == nullptr ? Checkpoint{} : checkpointRowFrom(*row).own;
     if (row != nullptr && seen.incarnation == m_options.incarnation && seen.sequence == m_inFlight->counted.checkpoint.sequence) {
-        // The store took this write before and its answer was lost.
+        // The store applied this write earlier, and its answer was lost.
         stand(verdict, row->version, now);
         return true;
     }
     m_inFlight.reset();
     if (sealed()) {
-        // Only a process that was able to bind this address writes this row.
+        // Only a process that could bind this address writes this row.
         m_fenced = true;
     } else {
         adopt(row);
@@ -114,8 +114,8 @@
     m_storeTime = verdict.storeTime;
     m_storeTimeAt = now;
     if (!m_startedBefore) {
-        // The store answered after the write was sent, so its clock showed at most this at the start. A suspension in between only makes
-        // the time since the start too short and the bound too late, which is the safe side.
+        // The store answered after the write was sent, so this is an upper limit of its clock at the start. A suspension in between only
+        // makes the measured time since the start too short and the limit too late, which is safe.
         m_startedBefore = m_storeTime - inMs(m_inFlight->sentAt - m_options.startedAt);
         for (Checkpoint &checkpoint : m_earlier) {
             checkpoint.diedBefore = std::min(*m_startedBefore, checkpoint.diedBefore.value_or(*m_startedBefore));
@@ -149,7 +149,7 @@
         const auto found = counted.checkpoint.teams.find(team);
         return found == counted.checkpoint.teams.end() ? 0 : found->second.most(seconds(now - counted.start));
     };
-    // The store has the last answered checkpoint, or already the one on its way; a successor may go by either.
+    // The store contains the last acknowledged checkpoint or already the one in flight; a successor may rely on either.
     const Tokens sure = allowed(*m_acked);
     return m_inFlight ? std::min(sure, allowed(m_inFlight->counted)) : sure;
 }
--- a/src/budget/holdercheckpoint.h
+++ b/src/budget/holdercheckpoint.h
@@ -13,27 +13,28 @@
 
 namespace bamboohold {
 
-/// What a router has promised in the store about the tokens that it commits, for all teams in one row.
+/// Limits what a router commits, for all teams in one row of the store. When the router dies, its successor knows from that row how much it
+/// can have spent.
 ///
-/// A router that dies leaves no word of what it committed last. So it commits no more than its newest checkpoint allows, as time passes on
-/// its own steady clock, and its successor at the same address counts just that as spent. The guard holds because
-/// - the router keeps to every checkpoint that the store may have, also to one whose write was not acknowledged;
-/// - a baseline is a store time that is surely not later than the moment from which the router counts, and a suspended router's clock
-/// stands
-///   still, so that it commits less, never more, than its successor assumes;
-/// - the successor's first write is conditional on the row it has read, so that it never goes by an old one, and shuts out late writes;
-/// - the successor was able to bind the address, so its predecessor was dead when it started.
+/// A router that dies cannot report its last commitments. It therefore commits no more than its newest checkpoint allows as time passes on
+/// its own steady clock, and its successor at the same address counts exactly that as spent. This is safe because
+/// - the router respects every checkpoint that the store may contain, including one whose write was not acknowledged;
+/// - a baseline is a store time that is certainly not later than the moment from which the router counts, and the steady clock of a
+///   suspended router stands still, so that it commits less than its successor assumes, never more;
+/// - the successor's first write is conditional on the row that it read, so it never relies on an outdated row, and it fences off later
+///   writes of the predecessor;
+/// - the successor could bind the address, so its predecessor was dead when it started.
 ///
-/// Pure: time and verdicts come in, transactions go out.
+/// Performs no I/O and reads no clock: the caller passes in times and the store's verdicts, and sends the transactions.
 class HolderCheckpoint
 {
 public:
     struct Options {
         /// This router's address.
         std::string holder;
-        /// This process.
+        /// Identifies this process.
         std::string incarnation;
-        /// When this process had bound its address: any predecessor there was dead by then.
+        /// When this process had bound its address. Any predecessor was dead by then.
         Instant startedAt{};
     };
 
@@ -41,80 +42,81 @@
 
     explicit HolderCheckpoint(Options options);
 
-    /// Where the row stands.
+    /// The address of the row in the store.
     RowAddress address() const;
 
-    /// True until the row has been read.
+    /// Whether the row has yet to be read.
     bool wantsRead() const
     {
         return !m_read;
     }
 
-    /// The row's part, as read at the start.
+    /// Takes the router's part of the checkpoint table, as read at the start.
     void loaded(const RowsRead &read);
 
-    /// The next write: `teams` as of now, or the earlier one again while it is undecided. None before the row was read, and once fenced.
+    /// The next write: a checkpoint with the commitments `teams` as of now, or the previous write again while its outcome is unknown. None
+    /// before the row has been read, and once fenced.
     std::optional<RowTransaction> plan(const Commitments &teams, Instant now);
 
-    /// The store decided the write. Returns whether the checkpoint that was planned stands.
+    /// The store decided the write. Returns whether the planned checkpoint is in effect.
     bool answered(const RowVerdict &verdict, Instant now);
 
-    /// The store did not take the write, and never will.
+    /// The store did not accept the write, and it will not take effect later.
     void declined();
 
-    /// No answer: the write may have taken effect, or may still do so.
+    /// No answer arrived: the write may have taken effect, or may still do so.
     void lost();
 
-    /// The most that may be committed for the team now, by every checkpoint that the store may have.
+    /// The maximum number of committed tokens for the team now, under every checkpoint that the store may contain.
     Tokens limit(std::string_view team, Instant now) const;
 
-    /// How long after now the limit reaches this much; none when it does not within `horizon`.
+    /// Time from now until the limit reaches `committed`; none when it does not within `horizon`.
     std::optional<Duration> timeUntil(std::string_view team, Tokens committed, Instant now, Duration horizon) const;
 
-    /// True once the predecessors' checkpoints are final: no write of theirs takes effect any more.
+    /// Whether the predecessors' checkpoints are final: none of their writes can take effect any more.
     bool sealed() const
     {
         return m_acked.has_value();
     }
 
-    /// What a dead process at this address can have committed for the team; none when it left no checkpoint.
+    /// The maximum that a dead process at this address can have committed for the team; none when it left no checkpoint.
     std::optional<Tokens> spentBy(std::string_view incarnation, std::string_view team) const;
 
     /// What a dead process at this address had committed for the team at its last checkpoint; 0 when it left none.
     Tokens committedBy(std::string_view incarnation, std::string_view team) const;
 
-    /// All holdings of dead processes at this address are recovered: their checkpoints may go.
+    /// Discards the checkpoints of dead processes at this address, once all their holdings are recovered.
     void forgetEarlier()
     {
         m_earlier.clear();
     }
 
-    /// True while checkpoints of dead processes are kept.
+    /// Whether checkpoints of dead processes are kept.
     bool keepsEarlier() const
     {
         return !m_earlier.empty();
     }
 
-    /// True when another process has taken over this address.
+    /// Whether another process has taken over this address.
     bool fenced() const
     {
         return m_fenced;
     }
 
-    /// When the newest checkpoint that the store has acknowledged was made; none before the first.
+    /// When the newest acknowledged checkpoint was made; none before the first.
     std::optional<Instant> ackedFrom() const
     {
         return m_acked ? std::optional(m_acked->start) : std::nullopt;
     }
 
-    /// True while a write is undecided.
+    /// Whether the outcome of a write is pending.
     bool undecided() const
     {
         return m_inFlight.has_value();
     }
 
 private:
-    /// A checkpoint, and the moment from which this process counts it.
+    /// A checkpoint, and the time on this process's clock at which it was made.
     struct Counted {
         Checkpoint checkpoint;
         Instant start{};
@@ -123,9 +125,9 @@
     struct Write {
         RowTransaction transaction;
         Counted counted;
-        /// When it was sent last: the store decided the answered copy no earlier.
+        /// When the write was last sent. The store decided the answered copy no earlier.
         Instant sentAt{};
-        /// True while it is unknown whether it took effect; it is sent again unchanged until the store decides.
+        /// Whether the outcome is unknown. The write is then sent again unchanged until the store decides it.
         bool lost = false;
     };
 
@@ -141,10 +143,10 @@
     std::optional<Counted> m_acked;
     std::optional<Write> m_inFlight;
     std::vector<Checkpoint> m_earlier;
-    /// The store's clock showed no more than this when this process started. From an answer to a transaction: an old read may show an old
-    /// time too, and the predecessor would seem to have died before its last commitments.
+    /// Upper limit of the store's clock at the start of this process. Taken from the answer to a transaction: an outdated read may carry an
+    /// outdated time, and the predecessor would seem to have died before its last commitments.
     std::optional<StoreTimeMs> m_startedBefore;
-    /// The store's clock showed at least this much at that instant of this process.
+    /// The store's clock showed at least `m_storeTime` at `m_storeTimeAt` on this process's clock.
     StoreTimeMs m_storeTime = 0;
     Instant m_storeTimeAt{};
 };
--- a/src/budget/holdingpolicy.h
+++ b/src/budget/holdingpolicy.h
@@ -4,63 +4,70 @@
 
 namespace bamboohold {
 
-/// How a router sizes what it holds of a team's prepaid tokens, and how fast it may commit them.
+/// Settings that determine how many of a team's prepaid tokens a router holds, and how fast it may commit them.
 struct HoldingPolicy {
-    /// A router aims to hold this much of its own demand: twice the longest cuts from the store, of about nine seconds, for demand is not
-    /// even and its keepers lend. Checkpoints bound what a death loses, so that holding more costs little.
+    /// A router aims to hold enough tokens for its own demand over this time: twice the longest loss of the store to be bridged, about nine
+    /// seconds, because demand is uneven and holders also lend to other routers. Checkpoints limit what is lost when a router dies, so
+    /// holding more costs little.
     Duration horizon = std::chrono::seconds(18);
-    /// Before a router has seen any demand of a team, all routers together hold this share of what is left of the budget: a cut in the
-    /// first seconds must not find them empty.
+    /// Before any demand of a team is known, all routers together hold this share of what remains of its budget, so that a loss of the
+    /// store in the first seconds does not find them without tokens.
     double initialShare = 0.4;
-    /// Demand is trusted, and what was drawn without it returned, once the router has served callers for this long.
+    /// Once a router has served callers for this long, it relies on the demand that it measured, and returns tokens that it drew without
+    /// demand.
     Duration learnFor = std::chrono::seconds(5);
-    /// When the budget cannot fill every router's aim, this part of what is left is held in proportion to demand; the rest stays in the
-    /// pool for routers that join. A request larger than its router's part is helped by peers.
+    /// When the budget does not cover what all routers aim to hold, this share of what remains is held in proportion to demand; the rest
+    /// stays in the pool for routers that join. A request larger than its router's part is covered by loans from peers.
     double scarceShare = 0.95;
-    /// Holdings above this multiple of the aim go back, and a draw is made below that part of it.
+    /// Tokens above this multiple of the desired holding are returned; a holding below `refillBelow` times the desired one is refilled.
     double surplusFactor = 1.2;
     double refillBelow = 0.85;
-    /// Demand is averaged over this time: long enough for tens of requests, short enough to follow a team that triples within seconds.
+    /// Time constant of the demand average: long enough to cover tens of requests, short enough to follow a team whose demand triples
+    /// within seconds.
     Duration demandMemory = std::chrono::seconds(5);
-    /// Tokens are drawn and returned this often.
+    /// Interval between flushes that draw or return tokens.
     Duration changeInterval = std::chrono::milliseconds(900);
-    /// A holding that changed is written this often: what others know of it is that old.
+    /// Interval between writes of a holding that changed. What other routers know of it is up to this old.
     Duration flushInterval = std::chrono::milliseconds(1800);
-    /// A holding that did not change is still written this often, or the others would take its holder for dead.
+    /// Interval between writes of an unchanged holding. Without them the other routers would consider its holder dead.
     Duration refreshInterval = std::chrono::seconds(3);
-    /// What others hold and demand is read this often while there is any demand here.
+    /// Interval between reads of the team's rows while this router has demand for the team.
     Duration readInterval = std::chrono::milliseconds(900);
-    /// While the budget is ample (`ampleSpan`), nothing hinges on what others know, and rows are read and written only this often; sooner
-    /// than others take the holder for dead.
+    /// Interval between reads and writes while the budget is ample (`ampleSpan`) and no decision depends on what other routers know.
+    /// Shorter than `staleAfter`, so that the others do not consider the holder dead.
     Duration ampleInterval = std::chrono::seconds(3);
-    /// A request that cannot be reserved makes the holding read and flush at once, but no more often than this.
+    /// A request that cannot be reserved triggers a read and a flush at once, but at most once in this interval.
     Duration urgentInterval = std::chrono::milliseconds(50);
-    /// A holder whose row is older takes part in nothing that is shared out now: it is dead, or cut off with what it has.
+    /// A holder whose row is older than this is left out when tokens are distributed: it is dead, or cut off from the store with the tokens
+    /// that it has.
     Duration staleAfter = std::chrono::seconds(6);
-    /// Changes below this part of the aim are not worth a conflict over the pool's row.
+    /// Changes below this share of the desired holding are not made: they are not worth a conflict over the pool's row.
     double smallestChange = 0.05;
-    /// Between two checkpoints a holder may commit its demand over this time at once, besides what waits for the checkpoint, and over the
-    /// time that two checkpoints take: the one on its way and the next. What stands here is lost when it dies; less of it, and callers wait
-    /// for one checkpoint after the other while the store is slow.
+    /// Between two checkpoints a holder may at once commit its demand over this time, in addition to the requests that wait for the
+    /// checkpoint and to its demand over the time that two checkpoint writes take: the one in flight and the next. What this allows is lost
+    /// when the holder dies; with less, callers wait for one checkpoint after the other while the store is slow.
     Duration burstSpan = std::chrono::milliseconds(100);
-    /// A budget that covers all routers' demand for this long does not miss what a death strands, and callers would miss it in an outage of
-    /// the store. Then the demand of the whole time in which commitments stand still may be committed at once.
+    /// A budget that covers the demand of all routers for this long is ample. Such a team does not notice the tokens that the death of a
+    /// router strands, but its callers would notice refusals while the store is away. The holder may then at once commit its demand over
+    /// the whole time before the commitment grows (`s_stillTime`).
     Duration ampleSpan = std::chrono::seconds(30);
-    /// Once a commitment grows (s_stillTime), it does so by this multiple of demand, to make up for the time in which it did not, and in
-    /// any case by what is held over this span: demand of a few requests a second is known roughly.
+    /// After `s_stillTime` a commitment grows at this multiple of demand, to make up for the time without growth, and at least at the rate
+    /// that would use up the unused tokens within `paceSpan`, because a demand of a few requests a second is known only roughly.
     double paceOfDemand = 1.6;
     Duration paceSpan = std::chrono::seconds(12);
-    /// Whether few routers keep a small budget, and whether routers lend. Off, every router keeps a part and lives on it.
+    /// Whether a budget is held by a few assigned routers instead of by all, and whether routers lend each other tokens. Without loans each
+    /// router serves only from the part that it holds.
     bool fewKeepers = true;
     bool loans = true;
-    /// A lender keeps this much of its own demand, and a borrower asks for this much of its own beyond the request at hand, so that it does
-    /// not ask for each request anew.
+    /// A lender keeps its own demand over `lendKeep`. A borrower asks for its own demand over `borrowAhead` beyond the requests that wait,
+    /// so that it does not have to ask again for each request.
     Duration lendKeep = std::chrono::milliseconds(300);
     Duration borrowAhead = std::chrono::seconds(1);
-    /// A router that keeps no part of the budget asks for this much ahead: with several requests a second of one team it saves most calls,
-    /// each some tenth of a millisecond of a processor at both ends, and what lies with all borrowers together is no more than this.
+    /// A router that is not an assigned holder borrows its demand over this time in advance. With several requests a second of one team
+    /// this saves most of the loan calls, each of which takes about a tenth of a millisecond of processor time on both sides, and all
+    /// borrowers together hold no more than this.
     Duration guestAhead = std::chrono::milliseconds(250);
-    /// A router that keeps no part of the budget gives back what it borrowed after so long without a request.
+    /// A router that is not an assigned holder returns borrowed tokens after this long without a request.
     Duration loanIdle = std::chrono::milliseconds(600);
 };
 
--- a/src/budget/holdingrows.cpp
+++ b/src/budget/holdingrows.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr std::string_view s_holderPrefix = "holder/";
-/// More than any budget: a pool of which this is handed out has nothing free.
+/// Larger than any budget, so that a pool with this allocation has nothing free.
 constexpr Tokens s_allHandedOut = s_mostStored + 1;
 
-/// Reads a row's fields one after the other. A field that is missing, or holds what none of ours does, spoils the whole row: read as zero,
-/// a count of tokens handed out would make them free a second time.
+/// Reads the fields of a row. A missing field or one with an invalid value makes the whole row invalid: reading zero for the allocated
+/// tokens would make them available a second time.
 class RowReader
 {
 public:
@@ -38,7 +38,7 @@
         return within(name, 0);
     }
 
-    /// A time of the store's clock, which has an origin of its own.
+    /// The store's clock has its own origin, so times may be negative.
     StoreTimeMs time(std::string_view name)
     {
         return within(name, -s_mostStored);
@@ -54,7 +54,7 @@
         return std::string(value->get_string());
     }
 
-    /// Whether all that was read was sound; says in the log what was not.
+    /// Whether all fields read were valid. Logs the field that was not.
     bool sound() const
     {
         if (!m_spoilt.empty()) {
@@ -121,7 +121,7 @@
     const PoolRow row{.prepaid = reader.whole("prepaid"),
                       .planVersion = static_cast<std::uint64_t>(reader.whole("plan_version")),
                       .allocated = reader.whole("allocated")};
-    // Taken for an untouched pool, a spoilt one would hand out what others hold already.
+    // An empty pool row would grant tokens again that other routers already hold, so an invalid one counts as fully allocated.
     return reader.sound() ? row : PoolRow{.allocated = s_allHandedOut};
 }
 
--- a/src/budget/holdingrows.h
+++ b/src/budget/holdingrows.h
@@ -9,39 +9,39 @@
 
 namespace bamboohold {
 
-/// The table that all rows of budgets are in; a team's rows are its part.
+/// The table that contains all rows of budgets. Each team's rows form one part of it.
 inline constexpr std::string_view s_budgetTable = "budget";
 
-/// The key of a team's pool row.
+/// The key of a team's pool row, which contains the tokens that no router holds.
 inline constexpr std::string_view s_poolKey = "pool";
 
 /// The key of a holder's row.
 std::string holderKey(std::string_view holder);
 
-/// A holder's row as it stands in the store.
+/// A holder's row in the store: what one router holds of a team's budget.
 struct HolderRow {
     std::string incarnation;
     std::uint64_t flush = 0;
     Tokens granted = 0;
     Tokens settled = 0;
-    /// As of this row, for the other routers; what the holder answers for stands in its checkpoint.
+    /// As of this write, for the other routers. Recovery after a death relies on the holder's checkpoint instead.
     Tokens committed = 0;
-    /// Tokens a second that the holder's requests probably use, those that it had to refuse included.
+    /// Estimated demand at the holder in tokens a second, including requests that it had to refuse.
     Tokens demand = 0;
-    /// Store time at which the row was written, or somewhat earlier.
+    /// Store time of the write, or a little earlier.
     StoreTimeMs writtenAt = 0;
 };
 
-/// The pool's row as it stands in the store.
+/// A team's pool row in the store.
 struct PoolRow {
     Tokens prepaid = 0;
     std::uint64_t planVersion = 0;
-    /// Tokens with holders, and those spent by holders that are gone.
+    /// Tokens granted to holders, and tokens spent by holders that are gone.
     Tokens allocated = 0;
 };
 
-/// The rows' text in the store. A text that cannot be read leaves a line in the log and gives a holder with nothing, or a pool with nothing
-/// free.
+/// Serialize rows to their text in the store, and parse them. A text that cannot be parsed is logged as an error, and yields a holder that
+/// holds nothing or a pool that has nothing free.
 std::string toText(const HolderRow &row);
 std::string toText(const PoolRow &row);
 HolderRow holderRowFrom(const StoredRow &stored);
--- a/src/budget/keepers.h
+++ b/src/budget/keepers.h
@@ -9,24 +9,24 @@
 
 namespace bamboohold {
 
-/// Tokens of a team's whole budget for each router that holds a part of it, in usual requests. With fewer, a router's part is a request or
-/// two: it strands when the budget ends or the router dies, and does not last through a cut.
+/// Size of a team's whole budget per assigned holder, in average requests. With less, a router's part covers only a request or two: it is
+/// stranded when the budget runs out or the router dies, and does not last through a loss of the store.
 inline constexpr double s_requestsPerKeeper = 20;
 
-/// Routers that keep a budget at the least, so that the loss of one leaves another.
+/// Minimum number of routers that hold a budget, so that another one is left when one dies.
 inline constexpr std::size_t s_fewestKeepers = 2;
 
-/// Routers that keep a budget at the most, however large it is. What each of them holds apart from the others has to be joined again when
-/// the budget ends, and each reads and writes the budget's rows, so that more keepers cost calls and strand remainders; fewer leave more
-/// of it out of reach when one dies.
+/// Maximum number of routers that hold a budget, however large it is. Each of them reads and writes the budget's rows, and their parts have
+/// to be combined again when the budget runs out, so more holders cost calls and leave remainders stranded; with fewer, more of the budget
+/// is unavailable when one dies.
 inline constexpr std::size_t s_mostKeepers = 5;
 
-/// What a usual request reserves, before a router has seen any.
+/// Assumed upper bound of a request, in tokens, before a router has seen any.
 inline constexpr double s_usualBoundAtFirst = 4000;
 
-/// The routers that hold parts of a team's budget, best first: all of them for a large budget, a few for a small one. The others borrow
-/// from these for each request. Rendezvous hashing: every router comes to the same list by itself, and a router that joins or leaves moves
-/// only the budgets that it keeps.
+/// The routers that hold parts of a team's budget, in order of preference; the larger the budget, the more of them, within the limits
+/// above. All other routers borrow from these for each request. Chosen by rendezvous hashing: every router computes the same list on its
+/// own, and a router that joins or leaves moves only the budgets that are assigned to it.
 std::vector<std::string> keepersOf(std::string_view team, Tokens prepaid, double usualBound, std::span<const std::string> routers);
 
 }
--- a/src/budget/ledgerkeeper.h
+++ b/src/budget/ledgerkeeper.h
@@ -14,16 +14,16 @@
 
 namespace bamboohold {
 
-/// Keeps each account of a TeamLedger in step with the store: reads its rows, sends its flushes, and tells it what came back. One flush at
-/// a time for each team.
+/// Synchronizes each account of a TeamLedger with the store: reads its rows, sends its flushes, and passes the results back. Only one flush
+/// per team is in flight at a time.
 template<RowStore Store>
 class LedgerKeeper
 {
 public:
     struct Options {
-        /// Routers that draw on the budgets, this one included; 0 while they have not been counted.
+        /// Number of routers that draw on the budgets, including this one; 0 until they have been counted.
         std::function<std::size_t()> routers;
-        /// After a call that was declined or lost, the next one waits this long.
+        /// Delay before the next call after one that was declined or lost.
         Duration retryPause = std::chrono::milliseconds(250);
     };
 
@@ -41,7 +41,7 @@
     boost::asio::awaitable<void> keep(TeamLedger::Entry &entry, std::string team)
     {
         while (m_options.routers() == 0) {
-            // A router that took itself for the only one would draw what is meant for all.
+            // A router that assumed to be the only one would draw the tokens meant for all of them.
             co_await pause(s_countPause);
         }
         while (!entry.holding.fenced()) {
@@ -139,7 +139,7 @@
     }
 
     static constexpr Duration s_countPause = std::chrono::milliseconds(20);
-    /// How long an account with nothing to do sleeps at most.
+    /// Maximum sleep of an account that has nothing to do.
     static constexpr Duration s_idlePause = std::chrono::seconds(1);
 
     Store &m_store;
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// A holding covers this many usual requests besides its demand over time: demand comes in whole requests.
+/// A holding covers this many average requests in addition to its demand over time, because demand comes in whole requests.
 constexpr Tokens s_usualRequests = 3;
-/// Weight of the newest request in the mean use of what is reserved, and the mean that is assumed before the first: output limits are far
-/// above what is generated.
+/// Weight of the newest request in the average share of reserved tokens that is used, and that share before the first request: output
+/// limits are far above what is generated.
 constexpr double s_useWeight = 0.03;
 constexpr double s_usedShareAtFirst = 0.6;
 
-/// An old count of what is left decides when it is this many times too small.
+/// A count of the remaining tokens that is not fresh refuses a request only if the request is larger than this multiple of it.
 constexpr Tokens s_farTooLittle = 2;
 
 Tokens fraction(double share, Tokens of)
@@ -44,7 +44,7 @@
 Tokens TeamHolding::granted() const
 {
     const Tokens sure = m_row ? m_row->granted : 0;
-    // The store has the row of the last answered flush, or already that of the one on its way.
+    // The store contains the row of the last acknowledged flush or already that of the one in flight.
     return m_inFlight ? std::min(sure, m_inFlight->row.granted) : sure;
 }
 
@@ -133,7 +133,7 @@
         return HoldingRefusal::Paced;
     }
     m_shortSinceRead = m_shortSinceRead || m_keeps;
-    // Little is given back, so that what was far too little a while ago still is; the plan tells of new amounts.
+    // Few tokens are returned to a budget, so a count that was far too small a while ago still is; new prepaid amounts come with the plan.
     const Tokens left = remainingAnywhere();
     const bool fresh = m_lastRead && now - *m_lastRead < 2 * m_options.policy.readInterval;
     return m_loaded && (fresh ? left < bound : m_keeps && s_farTooLittle * left < bound) ? HoldingRefusal::Exhausted
@@ -156,7 +156,7 @@
 
 Tokens TeamHolding::spentByPredecessor() const
 {
-    // Of a process that left no checkpoint nothing is known, so that all it held counts as spent.
+    // Nothing is known about a process that left no checkpoint, so all that it held counts as spent.
     const Tokens granted = m_predecessor->granted;
     return std::min(granted, m_checkpoint.spentBy(m_predecessor->incarnation, m_options.team).value_or(granted));
 }
@@ -176,7 +176,7 @@
 Tokens TeamHolding::lend(Tokens asked, Instant now)
 {
     const Tokens free = available(now);
-    // Near the end of a budget every router is left with less than a request's worth, and together they could serve some more.
+    // Near the end of a budget every router is left with less than one request needs; combined, the remainders still serve some.
     const bool useless = static_cast<double>(free) < m_demand.averageBound();
     const Tokens keep = useless ? 0 : static_cast<Tokens>(demand(now) * seconds(m_options.policy.lendKeep));
     const Tokens lent = std::clamp<Tokens>(free - keep, 0, std::max<Tokens>(0, asked));
@@ -203,7 +203,7 @@
     if (m_keeps) {
         return m_waiting + static_cast<Tokens>(demand(now) * seconds(m_options.policy.borrowAhead)) - m_borrowed;
     }
-    // Whole requests only: a team that sends one now and then has no next one to take tokens ahead for.
+    // Rounded down to whole requests: a team that sends a request only now and then has no next one to borrow ahead for.
     const Tokens use = std::max<Tokens>(1, typicalUse());
     const Tokens requests = static_cast<Tokens>(demand(now) * seconds(m_options.policy.guestAhead)) / use;
     return m_waiting + requests * use - m_borrowed;
@@ -312,8 +312,8 @@
         return;
     }
     if (m_row) {
-        // Only a process that was able to bind this address takes over its row, so this one is not reachable there any more and must
-        // commit nothing further: its successor has returned the rest to the pool.
+        // Only a process that could bind this address takes over its row. This process is therefore no longer reachable there and must not
+        // commit anything more: its successor has returned the rest to the pool.
         m_fenced = true;
         return;
     }
@@ -350,7 +350,8 @@
     const bool learned = m_servingSince && now - *m_servingSince >= policy.learnFor;
     const Tokens held = m_row ? m_row->granted - committed() : 0;
     const Tokens left = std::max<Tokens>(0, freeInPool() + m_unusedByActive + held);
-    // A part of what is left, not of what was paid for: routers that restart late in the day would take all of it before demand is known.
+    // A share of what remains, not of what was paid for: routers that restart late in the day would otherwise take all of it before demand
+    // is known.
     const Tokens initial = learned ? 0 : fraction(policy.initialShare, left) / static_cast<Tokens>(m_keepers.value_or(routers));
     const Tokens wanted = std::max(initial, own > 0 ? ahead + s_usualRequests * typicalUse() : 0);
     if (!learned || own <= 0) {
@@ -369,7 +370,7 @@
         return -held;
     }
     if (free < 0) {
-        // The team's prepaid amount was lowered below what is handed out.
+        // The team's prepaid amount was lowered below what is allocated.
         return -std::min(held, -free);
     }
     const Tokens goal = aim(routers, now);
@@ -416,7 +417,7 @@
     const bool changed = (m_keeps && m_borrowed > 0) || m_row->committed != committed();
     const auto wanted = static_cast<Tokens>(demand(now));
     if (!changed && held == 0 && wanted == 0 && m_row->demand == 0) {
-        // Nothing that anyone would want to know.
+        // Nothing has changed that another router would need.
         return std::nullopt;
     }
     return last + (changed && !ample(now) ? policy.flushInterval : policy.refreshInterval);
@@ -435,7 +436,7 @@
 
 bool TeamHolding::mayFlush() const
 {
-    // What a dead process left is recovered with the next flush, for which its checkpoint must be final.
+    // The next flush recovers what a dead process left, for which that process's checkpoint must be final.
     return m_loaded && !m_fenced && (!m_predecessor || m_checkpoint.sealed());
 }
 
@@ -465,7 +466,7 @@
         flush.transaction.changes.push_back({.address = poolAddress(), .value = toText(pool)});
         flush.pool = pool;
     }
-    // What a closing holder has spent stays allocated in the pool, so the row itself can go.
+    // Tokens that a closing holder has spent stay allocated in the pool, so its row can be removed.
     const std::optional<std::string> value = flush.removesRow ? std::nullopt : std::optional(toText(flush.row));
     flush.transaction.changes.push_back({.address = ownAddress(), .value = value});
     m_inFlight = std::move(flush);
@@ -511,7 +512,7 @@
         m_inFlight->returned = removedByThis ? 0 : m_inFlight->returned;
     }
     withdrawFlush();
-    // The next attempt need not wait: the rows it was planned on were only out of date.
+    // The next attempt does not have to wait, because this one failed only on outdated rows.
     m_lastFlush = now - m_options.policy.refreshInterval;
 }
 
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -18,7 +18,7 @@
 
 namespace bamboohold {
 
-/// A team's prepaid tokens as the newest routing plan states them.
+/// A team's prepaid tokens according to the newest routing plan.
 struct PrepaidStatement {
     Tokens prepaid = 0;
     std::uint64_t planVersion = 0;
@@ -26,55 +26,58 @@
 
 /// Why a reservation was not made.
 enum class HoldingRefusal {
-    /// The budget's remaining tokens do not cover the request, wherever they lie.
+    /// The remaining tokens of the whole budget do not cover the request.
     Exhausted,
-    /// This router does not hold enough; the next flush may help.
+    /// This router does not hold enough; the next flush may change that.
     NotHeld,
-    /// This router holds enough and may not commit it yet; the next checkpoint, or time, helps.
+    /// This router holds enough, but its checkpoint does not allow it to commit that much yet. The next checkpoint, or the passing of time,
+    /// changes that.
     Paced,
 };
 
 /// Tokens set aside for one request.
 struct Reservation {
     Tokens bound = 0;
-    /// Out of what peers lent.
+    /// Whether the tokens were lent by peers.
     bool borrowed = false;
 };
 
 /// What one router holds of one team's prepaid tokens, in the store and in memory.
 ///
-/// The store has a pool row for each team (what was handed out) and a row for each holder (what it was given, what it has committed).
-/// Tokens move from the pool to a holder in one conditional transaction, so neither partitions nor clocks can hand them out twice.
+/// For each team the store has a pool row (what was allocated) and one row for each holder (what it was granted and what it has committed).
+/// Tokens move from the pool to a holder in one conditional transaction, so neither network partitions nor clock errors can allocate them
+/// twice.
 ///
-/// What a holder commits of its part is bound by its router's checkpoint (HolderCheckpoint), which lets its successor return nearly all of
-/// what a dead process held.
+/// The checkpoint of the router (HolderCheckpoint) limits what the holder commits, so that a successor can return nearly everything that a
+/// dead process held.
 ///
-/// While the store is out of reach, routers lend each other what they hold. The lender counts it as spent before it says so, so a loan that
-/// is lost on its way is lost to the team, never spent twice; what the borrower does not need goes into the pool with its next flush.
+/// While the store is out of reach, routers lend each other tokens. The lender counts a loan as spent before it announces it, so that a
+/// lost message loses the tokens to the team but never lets them be spent twice. What the borrower does not need goes into the pool with
+/// its next flush.
 ///
-/// Pure: time and verdicts come in, transactions go out.
+/// Performs no I/O and reads no clock: the caller passes in times and the store's verdicts, and sends the transactions.
 class TeamHolding
 {
 public:
     struct Options {
         std::string team;
-        /// This router's address: a successor is only known to follow a dead process when it was able to bind the same one.
+        /// This router's address. A process that could bind the same address is known to succeed a dead one.
         std::string holder;
-        /// This process.
+        /// Identifies this process.
         std::string incarnation;
         HoldingPolicy policy;
     };
 
-    /// The checkpoint outlives the holding.
+    /// The checkpoint must outlive the holding.
     TeamHolding(Options options, const HolderCheckpoint &checkpoint);
 
-    /// The router serves callers since then; what it has not been asked for since says something about demand.
+    /// Sets the time since which the router serves callers. From then on, the absence of requests counts as absence of demand.
     void servingSince(Instant since);
 
-    /// A request arrived: counts as demand, whether or not it can be served.
+    /// Counts a request as demand, whether or not it can be served.
     void noteRequest(Tokens bound, Instant now);
 
-    /// A request waits for what it cannot reserve yet, or no longer waits.
+    /// Adds or removes a request that waits because it cannot be reserved yet.
     void addWaiting(Tokens bound)
     {
         m_waiting += bound;
@@ -85,29 +88,30 @@
         m_waiting -= bound;
     }
 
-    /// Sets a request's worst case aside.
+    /// Reserves a request's upper bound of tokens.
     std::variant<Reservation, HoldingRefusal> reserve(Tokens bound, Instant now);
 
-    /// Ends a reservation with what was used.
+    /// Ends a reservation and records the tokens that were used.
     void settle(const Reservation &reservation, Tokens used, Instant now);
 
-    /// Gives a peer up to this much, of what this router does not need itself within moments. Returns how much.
+    /// Lends a peer up to `asked` tokens, without those that this router needs itself within moments. Returns the number of tokens lent.
     Tokens lend(Tokens asked, Instant now);
 
-    /// The same out of a reservation, which ends with that.
+    /// Lends a peer the tokens of a reservation, which ends with this.
     void lendReserved(const Reservation &reservation);
 
-    /// Takes what a peer gave.
+    /// Adds tokens that a peer lent.
     void borrow(Tokens tokens);
 
-    /// A peer gives back what it did not need. What this router lent before is its own again at once; with a detour by the pool, a budget's
-    /// last tokens would be on the way there, for a second or two each time, instead of at hand. What goes beyond that counts as borrowed.
+    /// Accepts unused tokens from a peer. Tokens that this router lent are its own again at once: if they went through the pool, the last
+    /// tokens of a budget would be unavailable for a second or two each time. Tokens beyond that count as borrowed.
     void takeBack(Tokens tokens);
 
-    /// Hands over what was borrowed and has not been of use for a while; 0 when there is nothing, or this router keeps a part itself.
+    /// Removes and returns the borrowed tokens that have not been needed for a while; 0 when there are none, or when this router is an
+    /// assigned holder.
     Tokens takeIdleLoan(Instant now);
 
-    /// How many routers keep parts of the budget, and whether this one does or borrows for each request.
+    /// Sets whether this router is an assigned holder of the budget or borrows for each request, and how many assigned holders there are.
     void setKeeps(bool keeps, std::size_t keepers)
     {
         m_keeps = keeps;
@@ -119,143 +123,145 @@
         return m_keeps;
     }
 
-    /// The average worst case of recent requests; 0 before the first.
+    /// Average upper bound of recent requests in tokens; 0 before the first request.
     double usualBound() const
     {
         return m_demand.averageBound();
     }
 
-    /// What to ask of peers for all that waits.
+    /// Number of tokens to borrow for all requests that wait.
     Tokens loanWanted(Instant now) const;
 
-    /// What the router's next checkpoint says of this team; none when there is nothing to say. `storeTakes` is what a checkpoint takes now.
+    /// The commitment of the router's next checkpoint for this team; none when there is nothing to commit. `storeTakes` is the time that a
+    /// checkpoint's write currently takes.
     std::optional<Commitment> commitment(Instant now, Duration storeTakes = {}) const;
 
-    /// How long until this much, on top of what waits already, may be reserved by what is held, without any answer of the store; none when
-    /// that takes longer than `horizon`.
+    /// Time until `bound` tokens can be reserved from this holding, in addition to the requests that already wait and without any answer of
+    /// the store; none when that takes longer than `horizon`.
     std::optional<Duration> timeUntilPaced(Tokens bound, Instant now, Duration horizon) const;
 
-    /// Whether the whole budget covers the demand of all routers for long (`HoldingPolicy::ampleSpan`).
+    /// Whether the whole budget covers the demand of all routers for at least `HoldingPolicy::ampleSpan`.
     bool ample(Instant now) const
     {
         return ample(demand(now));
     }
 
-    /// True when this holding's row is this process's own, or there is none: nothing of an earlier process is left to recover.
+    /// Whether nothing is left to recover from an earlier process: this holding's row belongs to this process, or does not exist.
     bool recovered() const
     {
         return m_loaded && !m_predecessor && (m_row || m_rowVersion == 0);
     }
 
-    /// The plan's newest statement about the team. Returns whether it changes the amount.
+    /// Takes the newest plan's statement about the team. Returns whether it changes the amount.
     bool setPrepaid(const PrepaidStatement &statement);
 
-    /// What the team has paid for, as far as the plan and the pool tell.
+    /// Prepaid tokens of the team according to the plan or the pool, whichever is newer.
     Tokens prepaid() const;
 
-    /// The rows of the team's part. A read that shows an older state than the store has shown before is left alone: while a store rebuilds
-    /// its history it may answer so, and a holder that believed it would take its own row for gone. Returns whether it was taken.
+    /// Takes the rows of the team's part. A read of an older state than the store has shown before is ignored: a store that is rebuilding
+    /// its history may return one, and a holder that relied on it would conclude that its own row was removed. Returns whether the read was
+    /// used.
     bool loaded(const RowsRead &read, Instant now);
 
-    /// True when the rows must be read before anything else: at the start, and when a refusal hinges on what others hold.
+    /// Whether the rows have to be read before anything else: at the start, and when a refusal depends on what other routers hold.
     bool wantsRead(Instant now) const;
 
-    /// The time at which the next flush is due; none when nothing is to be written.
+    /// Time at which the next flush is due; none when nothing has to be written.
     std::optional<Instant> nextFlush(std::size_t routers, Instant now) const;
 
-    /// Makes the next flush. None while one is on its way or nothing can be done.
+    /// Creates the next flush, or repeats the one in flight; none when nothing may be written.
     std::optional<RowTransaction> planFlush(std::size_t routers, Instant now);
 
     /// The store decided the flush.
     void flushAnswered(const RowVerdict &verdict, Instant now);
 
-    /// The store did not take the flush, and never will.
+    /// The store did not accept the flush, and it will not take effect later.
     void flushDeclined();
 
-    /// No answer: the flush may have taken effect, or may still do so.
+    /// No answer arrived: the flush may have taken effect, or may still do so.
     void flushLost();
 
-    /// From now on everything unused goes back; the row goes once nothing is in flight.
+    /// Starts to return all unused tokens. The row is removed once no request is in flight.
     void beginClose()
     {
         m_closing = true;
     }
 
-    /// True when the store shows nothing of this holder any more, or never did.
+    /// Whether the store has no row of this holder.
     bool closed() const;
 
-    /// Tokens given to this router by the store, as far as it is certain.
+    /// Tokens granted to this router by the store, as far as certain.
     Tokens granted() const;
 
-    /// Tokens spent for good, or lent to peers.
+    /// Tokens spent, or lent to peers.
     Tokens settled() const
     {
         return m_settled;
     }
 
-    /// Worst cases in flight.
+    /// Upper bounds of the requests in flight, in tokens.
     Tokens reserved() const
     {
         return m_reserved;
     }
 
-    /// Tokens of peers that are free here.
+    /// Borrowed tokens that are not reserved.
     Tokens borrowed() const
     {
         return m_borrowed;
     }
 
-    /// Settled, lent and reserved: what this holder answers for.
+    /// Spent, lent and reserved tokens: what this holder is accountable for.
     Tokens committed() const
     {
         return m_settled + m_reserved;
     }
 
-    /// What may still be reserved now.
+    /// Tokens that can be reserved now.
     Tokens available(Instant now) const;
 
-    /// Tokens held and not committed, whether or not they may be committed yet.
+    /// Tokens held and not committed, whether or not the checkpoint allows them to be committed yet.
     Tokens unused() const
     {
         return std::max<Tokens>(0, granted() - committed());
     }
 
-    /// What the pool had for anyone when it was last seen.
+    /// Tokens in the pool that no router holds, as last seen.
     Tokens freeInPool() const;
 
-    /// True when another process has taken over this holder's row.
+    /// Whether another process has taken over this holder's row.
     bool fenced() const
     {
         return m_fenced;
     }
 
-    /// What is left for a request in the whole budget, as far as the rows last read tell.
+    /// Remaining tokens of the whole budget according to the rows last read.
     Tokens remainingAnywhere() const;
 
-    /// What a recovery of a dead process's row returns, and what it must count as spent.
+    /// What the recovery of a dead process's row returns to the pool, and what it has to count as spent.
     struct Recovery {
         std::string incarnation;
         Tokens granted = 0;
-        /// As the dead process's last checkpoint says.
+        /// According to the dead process's last checkpoint.
         Tokens committed = 0;
         Tokens countedAsSpent = 0;
-        /// False: the dead process left no checkpoint, so that all it held counts.
+        /// False when the dead process left no checkpoint, so that all the tokens that it held count as spent.
         bool checkpointKnown = false;
     };
 
-    /// The recovery that the next flush carries out; none when this process has no predecessor to recover.
+    /// The recovery that the next flush performs; none when there is no predecessor to recover from.
     std::optional<Recovery> recovery() const;
 
 private:
-    /// A flush that was sent and not decided, as far as this process knows.
+    /// A flush whose outcome is not known yet.
     struct Flush {
         RowTransaction transaction;
         HolderRow row;
         std::optional<PoolRow> pool;
-        /// Borrowed tokens that it puts into the pool.
+        /// Borrowed tokens that the flush puts into the pool.
         Tokens returned = 0;
         bool removesRow = false;
-        /// True while it is unknown whether it took effect; it is sent again unchanged until the store decides.
+        /// Whether the outcome is unknown. The flush is then sent again unchanged until the store decides it.
         bool lost = false;
     };
 
@@ -283,9 +289,9 @@
     Tokens m_settled = 0;
     Tokens m_reserved = 0;
     Tokens m_borrowed = 0;
-    /// Lent and not given back: a part of what is settled.
+    /// Tokens lent and not returned; included in `m_settled`.
     Tokens m_lent = 0;
-    /// Decaying sums of what requests reserved and what they used of it.
+    /// Exponentially decaying sums of the tokens that requests reserved, and of those that they used.
     double m_boundSum = 0;
     double m_usedSum = 0;
     std::optional<Instant> m_servingSince;
@@ -294,23 +300,23 @@
     bool m_fenced = false;
     bool m_closing = false;
     bool m_keeps = true;
-    /// None while the routers have not been ranked: all of them keep then.
+    /// Number of assigned holders; none until the routers have been ranked. Until then every router is an assigned holder.
     std::optional<std::size_t> m_keepers;
     /// The newest version that the store has shown.
     std::uint64_t m_seenVersion = 0;
     PoolRow m_pool;
     std::uint64_t m_poolVersion = 0;
-    /// This holder's row as the store surely had it, and its version; a dead process's row until it is recovered.
+    /// This holder's row in its last acknowledged state, and its version; the version of a dead process's row until that is recovered.
     std::optional<HolderRow> m_row;
     std::uint64_t m_rowVersion = 0;
     std::optional<HolderRow> m_predecessor;
-    /// As last read: granted to the others but not committed by them; the part of it that is with holders who take part now; and their
-    /// demand.
+    /// As of the last read: tokens granted to other routers and not committed by them, the part of those that active holders have, and the
+    /// demand of the active holders.
     Tokens m_unusedByOthers = 0;
     Tokens m_unusedByActive = 0;
     Tokens m_demandOfActive = 0;
 
-    /// The store's clock showed at least this much at that instant of this process.
+    /// The store's clock showed at least `m_storeTime` at `m_storeTimeAt` on this process's clock.
     StoreTimeMs m_storeTime = 0;
     Instant m_storeTimeAt{};
 
@@ -318,11 +324,11 @@
     std::optional<Flush> m_inFlight;
     std::optional<Instant> m_lastFlush;
     std::optional<Instant> m_lastRead;
-    /// When a request came last.
+    /// Time of the last request.
     Instant m_lastRequest{};
-    /// Worst cases of the requests that wait here.
+    /// Upper bounds of the requests that wait here, in tokens.
     Tokens m_waiting = 0;
-    /// True when a request wanted more than is held since the last read.
+    /// Whether a request needed more tokens than are held since the last read.
     bool m_shortSinceRead = false;
     bool m_askedSinceRead = false;
 };
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -16,13 +16,13 @@
 
 namespace {
 
-/// Time alone admits those who wait for the pace; this often is looked whether it has.
+/// Interval at which waiting requests check whether the growth of the commitment admits them; nothing notifies them of that.
 constexpr Duration s_paceStep = std::chrono::milliseconds(50);
-/// How many of the store's usual answers a request waits for.
+/// A request waits for this multiple of the store's average latency.
 constexpr int s_callsWaitedFor = 4;
-/// The newest answer's share in the mean time that the store takes is one in this many.
+/// The newest latency has a weight of one in this many in the average.
 constexpr int s_latencyWeight = 4;
-/// The pace is known in steps.
+/// Added to the expected wait, which is known only in steps.
 constexpr Duration s_pacedMargin = std::chrono::milliseconds(60);
 
 }
@@ -113,7 +113,7 @@
     account.holding.noteRequest(bound, begun);
     std::variant<Reservation, HoldingRefusal> result = account.holding.reserve(bound, begun);
     if (std::holds_alternative<HoldingRefusal>(result)) {
-        // Two calls, a draw and a checkpoint, and what they may take longer than usual.
+        // Enough for two calls, a draw and a checkpoint, and for some variation.
         const Duration patience = std::clamp(s_callsWaitedFor * m_storeTakes, m_options.longestWait, m_options.longestSlowWait);
         const Wish wish{.bound = bound, .longest = patience};
         result = co_await waitFor(account, team, wish);
@@ -158,7 +158,7 @@
     if (refusal == HoldingRefusal::Paced) {
         m_checkpointUrgent.notify();
     }
-    // A router that keeps no part of the budget draws on it only where those that do had nothing.
+    // A router that is not an assigned holder draws on the pool only while the assigned holders have nothing to lend.
     const bool draws = account.holding.keeps() || (!account.borrowing && steadyNow() < account.borrowAgainAt);
     if (refusal == HoldingRefusal::NotHeld && account.storeAnswers && draws) {
         account.urgent.notify();
@@ -250,7 +250,7 @@
     for (const auto &[team, account] : m_entries) {
         account->answered.notify();
         if (!wasSealed) {
-            // Recoveries waited for this.
+            // Recoveries waited for this checkpoint.
             account->urgent.notify();
         }
     }
@@ -267,9 +267,9 @@
         account.borrowAgainAt = steadyNow() + m_options.borrowPause;
     }
     if (loan.exhausted) {
-        // What was wanted is the sum of all that waits. Lenders give what they have of it: after nothing at all there is nothing for a
-        // smaller request either. Told apart by the sum, callers of a used-up budget would be told that it is out of reach, and come back
-        // in vain.
+        // The amount asked for is the sum of all waiting requests. Lenders lend what they have of it, so when they lend nothing at all,
+        // there is nothing for a smaller request either. With the sum as the limit, callers of an exhausted budget would be told that it is
+        // unreachable, and would retry in vain.
         account.uncovered = loan.tokens == 0 ? 1 : wanted - loan.tokens;
         account.uncoveredUntil = steadyNow() + m_options.borrowPause;
     }
@@ -291,7 +291,7 @@
     if (!account.holding.keeps()) {
         co_return Loan{.tokens = account.holding.lend(asked, steadyNow())};
     }
-    // When that is more than this router holds, the peer gets all of it, as soon as a checkpoint covers it.
+    // If the peer asks for more than this router holds, it gets all of that, as soon as a checkpoint covers it.
     const Tokens held = account.holding.unused();
     const Wish wish{.bound = held > 0 ? std::min(asked, held) : asked, .longest = m_options.longestLoanWait, .mayBorrow = false};
     const std::variant<Reservation, HoldingRefusal> result = co_await waitFor(account, team, wish);
@@ -357,7 +357,7 @@
         m_options.policy.fewKeepers ? keepersOf(team, account.holding.prepaid(), account.holding.usualBound(), m_routers) : m_routers;
     const std::size_t count = keepers.size();
     const bool keeps = std::erase(keepers, m_options.link) > 0;
-    // Each borrower begins with another keeper, so that all of them lend about as much.
+    // Each borrower starts with another assigned holder, so that all of them lend about the same amount.
     if (!keepers.empty()) {
         const auto first = static_cast<std::ptrdiff_t>(stableHash(m_options.link) % keepers.size());
         std::rotate(keepers.begin(), keepers.begin() + first, keepers.end());
@@ -372,7 +372,7 @@
     if (m_servingSince) {
         return;
     }
-    // For every team: one that has sent nothing here since then has no demand here, and what was drawn for it is missing elsewhere.
+    // Set for all teams: one that has sent nothing here since then has no demand here, and tokens drawn for it are missing elsewhere.
     m_servingSince = now;
     for (const auto &[team, account] : m_entries) {
         account->holding.servingSince(now);
--- a/src/budget/teamledger.h
+++ b/src/budget/teamledger.h
@@ -17,8 +17,8 @@
 
 namespace bamboohold {
 
-/// What a router holds of every team's budget, for requests to reserve from. Lives on one event loop; LedgerKeeper moves tokens between it
-/// and the store, CheckpointKeeper writes what the router answers for.
+/// What a router holds of every team's budget, for requests to reserve from. Used on one event loop only. LedgerKeeper moves tokens between
+/// the ledger and the store, and CheckpointKeeper writes the router's checkpoints.
 class TeamLedger
 {
 public:
@@ -26,54 +26,57 @@
         std::string holder;
         std::string incarnation;
         HoldingPolicy policy;
-        /// This router's link address, by which peers know it.
+        /// This router's link address, by which peers identify it.
         std::string link;
-        /// After peers gave less than was asked of them, they are left alone for this long: about as long as a checkpoint or a draw at the
-        /// lender takes. While it lasts every request of the team is refused here, small ones too that a peer could have covered.
+        /// After peers lent less than was asked for, they are not asked again for this long: about the time of a checkpoint or a draw at
+        /// the lender. Until then every request of the team that needs a loan is refused here, even a small one that a peer could have
+        /// covered.
         Duration borrowPause = std::chrono::milliseconds(60);
-        /// A lender looks this long for tokens that it does not have at hand: a draw and a checkpoint, less than borrowers wait.
+        /// Maximum time a lender waits for tokens that it does not have at hand: a draw and a checkpoint, and less than borrowers wait.
         Duration longestLoanWait = std::chrono::milliseconds(70);
-        /// A request waits this long at most for tokens or a checkpoint: both take about ten milliseconds when all is well, and a refusal
-        /// that comes soon lets the caller go elsewhere in time.
+        /// Maximum time a request waits for tokens or a checkpoint. Both take about ten milliseconds in normal operation, and an early
+        /// refusal lets the caller go elsewhere in time.
         Duration longestWait = std::chrono::milliseconds(150);
-        /// While the store answers and is slow, a hundred milliseconds or more a call, a request waits longer: the other routers are no
-        /// better off. Still within most objectives.
+        /// Maximum time a request waits while the store answers slowly, a hundred milliseconds or more a call: the other routers have the
+        /// same problem. Still shorter than most latency objectives.
         Duration longestSlowWait = std::chrono::milliseconds(500);
-        /// It waits longer where the pace of this router will admit it within this time: sooner than the caller would be back.
+        /// A request waits longer than that if the growth of the commitment will admit it within this time, which is sooner than the caller
+        /// would retry.
         Duration longestPacedWait = std::chrono::milliseconds(400);
-        /// Checkpoints for which requests wait follow each other by this at least, so that one write carries several requests.
+        /// Minimum interval between checkpoints that requests wait for, so that one write serves several requests.
         Duration groupInterval = std::chrono::milliseconds(12);
-        /// A checkpoint that nobody waits for is written this often while anything is held: what a dead router could have committed since
-        /// its last one is lost.
+        /// Interval between checkpoints that no request waits for, while tokens are held. What a router could have committed since its last
+        /// checkpoint is lost when it dies.
         Duration checkpointInterval = std::chrono::milliseconds(250);
-        /// This often while all that is held is of ample budgets: their promises cover 2.5 s of demand.
+        /// Interval while all held tokens belong to ample budgets, whose commitments cover 2.5 s of demand.
         Duration ampleInterval = std::chrono::seconds(1);
-        /// And this often while nothing is held.
+        /// Interval while no tokens are held.
         Duration idleInterval = std::chrono::seconds(3);
-        /// A caller is told when its request's tokens may be committed, if that is no longer off than this.
+        /// A refused caller is told when its request's tokens can be committed if that is within this time.
         Duration paceHorizon = std::chrono::seconds(4);
-        /// Told to a caller whose refusal may be over after the next flush.
+        /// Retry-After for a refusal that the next flush may remedy, in milliseconds.
         std::int64_t retryAfterFlushMs = 500;
-        /// Told to a caller whose team has too little left while other requests may still return some.
+        /// Retry-After when the team's remaining tokens do not cover the request, in milliseconds; requests in flight may still return
+        /// some.
         std::int64_t retryAfterExhaustionMs = 3000;
     };
 
-    /// One team's holding and what waits for it.
+    /// One team's holding, and the state of the requests that wait for it.
     struct Entry {
         Entry(const boost::asio::any_io_executor &executor, TeamHolding::Options options, const HolderCheckpoint &checkpoint);
 
         TeamHolding holding;
-        /// The store or a peer answered, which may admit those who wait.
+        /// Notified when the store or a peer has answered, which may admit requests that wait.
         Signal answered;
-        /// A flush became more urgent.
+        /// Notified when a flush has become more urgent.
         Signal urgent;
-        /// A loan is being asked for, or must not be asked for before then.
+        /// Whether a loan request is in progress, and the time before which no other may be made.
         bool borrowing = false;
         Instant borrowAgainAt{};
-        /// Peers that keep the budget said that it does not cover this much; believed until then.
+        /// Assigned holders reported that the budget does not cover this many tokens. Valid until `uncoveredUntil`.
         Tokens uncovered = 0;
         Instant uncoveredUntil{};
-        /// Link addresses of the routers that keep the budget, this one left out, in the order in which this one asks them.
+        /// Link addresses of the assigned holders except this router, in the order in which it asks them.
         std::vector<std::string> lenders;
         /// Whether the store answered the last call for this team.
         bool storeAnswers = true;
@@ -81,48 +84,50 @@
 
     TeamLedger(boost::asio::any_io_executor executor, Options options);
 
-    /// This process holds its address alone from now on. Before the first account is opened.
+    /// Creates the checkpoint of this process, which from now on is the only one at its address. To be called before the first account is
+    /// opened.
     void start();
 
-    /// Takes over what the plan says of a team. Opens its account on first mention.
+    /// Takes the plan's statement about a team. Opens the team's account on its first mention.
     void setPrepaid(const std::string &team, const PrepaidStatement &statement);
 
-    /// Reserves a request's worst case. Failures, all not run: BudgetExhausted when the budget cannot cover it, BudgetUnreachable when this
-    /// router does not hold enough now and gets no more in time.
+    /// Reserves a request's upper bound of tokens. Fails, always with the request not run, with BudgetExhausted when the budget cannot
+    /// cover it, and with BudgetUnreachable when this router does not hold enough and gets no more in time.
     boost::asio::awaitable<absl::StatusOr<Reservation>> reserve(std::string team, Tokens bound);
 
-    /// Ends a reservation with what was used.
+    /// Ends a reservation and records the tokens that were used.
     void settle(const std::string &team, const Reservation &reservation, Tokens used);
 
-    /// What a peer got of what it asked for.
+    /// The result of a loan request.
     struct Loan {
         Tokens tokens = 0;
-        /// The whole budget does not cover what was asked for.
+        /// Whether the whole budget does not cover what was asked for.
         bool exhausted = false;
     };
 
-    /// Gives a peer tokens of the team.
+    /// Lends tokens of the team to a peer.
     boost::asio::awaitable<Loan> lend(std::string team, Tokens asked);
 
-    /// Takes what is left of a loan, or came too late.
+    /// Accepts tokens that a peer returns, or a loan that arrived too late.
     void takeGift(const std::string &team, Tokens tokens);
 
-    /// Who asks these peers, one after the other, for tokens of a team.
+    /// Asks the given peers, one after the other, for tokens of a team.
     using Borrow = std::function<boost::asio::awaitable<Loan>(std::string team, Tokens asked, std::vector<std::string> lenders)>;
-    /// Who hands tokens to a peer.
+    /// Returns tokens to a peer.
     using Give = std::function<void(const std::string &peer, const std::string &team, Tokens tokens)>;
+    /// Sets the functions that exchange tokens with peers.
     void onShortage(Borrow borrow, Give give);
 
-    /// The routers that live, by link address: decides which of them keep which budget.
+    /// Sets the routers that are alive, by link address. Determines which of them are assigned to hold which budget.
     void setRouters(const std::vector<std::string> &routers);
 
-    /// Gives back what a team's requests have not needed for a while. Call now and then.
+    /// Returns borrowed tokens that the team's requests have not needed for a while. To be called periodically.
     void returnIdleLoan(Entry &account, const std::string &team);
 
-    /// Called with each new account, so that someone keeps it in step with the store.
+    /// Sets a function to be called with each new account, so that it can be synchronized with the store.
     void onOpened(std::function<void(Entry &, const std::string &team)> callback);
 
-    /// What this router has promised in the store.
+    /// This router's checkpoint in the store.
     HolderCheckpoint &checkpoint()
     {
         return *m_checkpoint;
@@ -134,16 +139,16 @@
         return m_checkpointUrgent;
     }
 
-    /// When the next checkpoint should be written.
+    /// Time at which the next checkpoint is due.
     Instant checkpointDue(Instant now) const;
 
-    /// The next checkpoint; none before the first read, and once fenced.
+    /// The next checkpoint; none before the row has been read, and once fenced.
     std::optional<RowTransaction> planCheckpoint(Instant now);
 
-    /// The store decided a checkpoint, which may admit those who wait.
+    /// The store decided a checkpoint, which may admit requests that wait.
     void checkpointAnswered(const RowVerdict &verdict, Instant now);
 
-    /// Whether the store answered the last checkpoint's write.
+    /// Whether the store answered the last write of a checkpoint.
     bool checkpointAnswers() const
     {
         return m_checkpointAnswers;
@@ -154,10 +159,10 @@
         m_checkpointAnswers = answers;
     }
 
-    /// Gives everything unused back.
+    /// Starts to return all unused tokens.
     void beginClose();
 
-    /// True when the store shows nothing of this process any more.
+    /// Whether the store has no budget rows of this process any more.
     bool closed() const;
 
 private:
@@ -171,7 +176,7 @@
     bool hopeless(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     void assignKeepers(Entry &account, const std::string &team);
 
-    /// Who waits for tokens, and how.
+    /// How a request or a loan waits for tokens.
     struct Wish {
         Tokens bound = 0;
         Duration longest{};
@@ -185,16 +190,16 @@
 
     boost::asio::any_io_executor m_executor;
     Options m_options;
-    /// Made by start(); holdings refer to it.
+    /// Created by start(); holdings refer to it.
     std::unique_ptr<HolderCheckpoint> m_checkpoint;
     Signal m_checkpointUrgent;
     bool m_checkpointAnswers = true;
-    /// What the store takes for a checkpoint, on average.
+    /// Average time the store takes for a checkpoint.
     Duration m_storeTakes{};
     std::optional<Instant> m_lastCheckpoint;
-    /// When the checkpoint on its way was sent first: while answers get lost, the next one stands only after all repeats.
+    /// When the checkpoint in flight was first sent: while answers are lost, the next one takes effect only after all repeats.
     Instant m_checkpointBegun{};
-    /// Requests that wait for tokens or a checkpoint.
+    /// Number of requests and loans that wait for tokens or a checkpoint.
     std::size_t m_waiters = 0;
     std::map<std::string, std::unique_ptr<Entry>, std::less<>> m_entries;
     std::function<void(Entry &, const std::string &)> m_onOpened;
