--- a/src/tests/holdercheckpointtest.cpp
+++ b/src/tests/holdercheckpointtest.cpp
@@ -16,7 +16,7 @@
     return std::chrono::milliseconds(value);
 }
 
-/// A router's checkpoint with a store of its own, and one clock for both.
+/// One process of a router, with its checkpoint, the store, and one clock for both.
 struct Router {
     explicit Router(MemoryRows &rows, std::string incarnation, Instant started)
         : store(rows)
@@ -47,7 +47,7 @@
         return checkpoint.answered(*store.transact(plan(teams), storeTime()), now);
     }
 
-    /// Reads, seals, and promises.
+    /// Reads the row, fences off predecessors, and writes the commitments.
     void start(const HolderCheckpoint::Commitments &teams)
     {
         read();
@@ -80,8 +80,8 @@
     BOOST_TEST(router.checkpoint.limit("another", router.now) == 0);
 }
 
-// A budget is overspent. A checkpoint that allows less is on its way and its answer is lost; the router commits by the older one that
-// allows more, dies, and its successor goes by the newer one that the store has.
+// Guards against an overspent budget: the answer to a checkpoint with a lower limit is lost, the router commits by the previous, higher one
+// and dies, and its successor relies on the lower one in the store.
 BOOST_AUTO_TEST_CASE(theTighterOfTwoPossibleCheckpointsBinds)
 {
     MemoryRows store;
@@ -93,8 +93,8 @@
     BOOST_TEST(router.checkpoint.limit("team", router.now + ms(5000)) == 1000);
 }
 
-// A router dies three seconds after its checkpoint, and its successor starts 400 ms later while the store is slow. It counts the 3,400 ms
-// in which the dead process may have committed, and not the time for which it waited itself.
+// A router dies about three seconds after its checkpoint, and its successor starts soon after and waits for a slow store. The successor
+// counts the time up to its own start, in which the dead process may have committed tokens, but not the time that it waited itself.
 BOOST_AUTO_TEST_CASE(theSuccessorCountsUpToItsOwnStart)
 {
     MemoryRows store;
@@ -111,8 +111,8 @@
     BOOST_TEST(!successor.checkpoint.spentBy("unknown", "team").has_value());
 }
 
-// A budget is overspent. A dead router's last write is still on its way when its successor reads the row; it takes effect, or would take
-// effect later. The successor sees it in the first case and shuts it out in the second.
+// Guards against an overspent budget: the last write of a dead router is still in flight when its successor reads the row. If the write
+// takes effect before the successor's first one, the successor takes it into account; otherwise the store rejects it.
 BOOST_AUTO_TEST_CASE(lateWritesOfTheDeadAreSeenOrShutOut)
 {
     MemoryRows store;
@@ -133,8 +133,8 @@
     BOOST_TEST(dead.checkpoint.limit("team", dead.now) == 0);
 }
 
-// A router dies, its successor dies as well before it has recovered anything, and the third process still knows what the first one
-// committed, bound by the second one's start.
+// A router dies, and so does its successor before it has recovered anything. The third process still knows what the first one can have
+// committed, limited by the start of the second.
 BOOST_AUTO_TEST_CASE(checkpointsOfTheDeadAreHandedOn)
 {
     MemoryRows store;
@@ -153,7 +153,7 @@
     BOOST_TEST(!fourth.checkpoint.spentBy("a", "team").has_value());
 }
 
-// The row is damaged. Nothing is known of the dead process, so that all it held counts as spent, and the router serves on.
+// The row is damaged. Nothing is known about the dead process, so all that it held counts as spent, and the router continues to serve.
 BOOST_AUTO_TEST_CASE(anUnreadableRowTellsNothing)
 {
     MemoryRows store;
--- a/src/tests/keeperstest.cpp
+++ b/src/tests/keeperstest.cpp
@@ -24,8 +24,8 @@
 
 BOOST_AUTO_TEST_SUITE(KeepersTest)
 
-// A team of a few requests a second sends them to all of 26 routers. Spread over all of them its budget lay in parts of one or two
-// requests, and a fifth of it was lost or out of reach at the end.
+// Guards against a small budget that is spread over all 26 routers: each part covered only one or two requests, and a fifth of the budget
+// was lost or unavailable at the end.
 BOOST_AUTO_TEST_CASE(smallBudgetsHaveFewKeepers)
 {
     const std::vector<std::string> routers = fleet(26);
@@ -36,14 +36,14 @@
     BOOST_TEST(keepersOf("alone", 450'000, s_usual, fleet(1)).size() == 1);
 }
 
-// 103 routers kept the parts of each large budget. Each read and wrote the rows of each team, 45 to 67 calls a router and second, and when
-// the budget ended its last tokens lay in 103 parts of less than a request.
+// Guards against too many holders of a large budget. With 103 of them, each router made 45 to 67 calls a second to read and write the rows
+// of every team, and the last tokens of the budget lay in 103 parts, each too small for a request.
 BOOST_AUTO_TEST_CASE(largeFleetHasNoMoreKeepers)
 {
     for (const std::size_t size : {20U, 103U, 330U}) {
         BOOST_TEST(keepersOf("large", 70'000'000, s_usual, fleet(size)).size() == s_mostKeepers);
     }
-    // Each router keeps about as many budgets as the next.
+    // The budgets are distributed about evenly over the routers.
     const std::vector<std::string> routers = fleet(103);
     std::map<std::string, int> kept;
     for (int team = 0; team < 4000; ++team) {
@@ -64,7 +64,8 @@
     BOOST_TEST(keepersOf("team", 450'000, s_usual, routers) == keepers);
 }
 
-// A router joins or leaves. Budgets that it does not keep stay where they are, or all of them would be drawn and returned at once.
+// When a router joins or leaves, budgets that it does not hold stay where they are. Otherwise all of them would be drawn and returned at
+// once.
 BOOST_AUTO_TEST_CASE(aLeavingRouterMovesOnlyItsOwnBudgets)
 {
     const std::vector<std::string> routers = fleet(26);
--- a/src/tests/patiencetest.cpp
+++ b/src/tests/patiencetest.cpp
@@ -20,8 +20,8 @@
 
 BOOST_AUTO_TEST_SUITE(PatienceTest)
 
-// The store takes a write and its answer gets lost. Requests wait for it: it is asked for again after a fifth of a second, not after one
-// and a half.
+// The store takes a write and the answer is lost while requests wait for it. With a fast peer the call is repeated after 200 ms, not after
+// 1.5 s.
 BOOST_AUTO_TEST_CASE(aQuickPeerIsAskedAgainSoon)
 {
     Patience meter = patience();
@@ -29,7 +29,7 @@
     BOOST_TEST((meter.current() == ms(200)));
 }
 
-// The store is slow. Its answers are waited for, or every call would be sent again and slow it further.
+// The store is slow. The timeout adapts to it; otherwise every call would be repeated and slow it further.
 BOOST_AUTO_TEST_CASE(aSlowPeerIsWaitedFor)
 {
     Patience meter = patience();
--- a/src/tests/sharedrows.h
+++ b/src/tests/sharedrows.h
@@ -11,7 +11,7 @@
 
 namespace bamboohold {
 
-/// The store that all routers of a test share: it answers at once, at the time that the test sets.
+/// The store shared by all routers of a test. It answers at once, with the store time that the test sets.
 struct SharedRows {
     boost::asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
     {
@@ -32,7 +32,7 @@
         co_return rows.changesSince(table, version);
     }
 
-    /// Writes or removes a row as somebody else would.
+    /// Writes or removes a row without any condition, as another client would.
     void put(RowAddress address, std::optional<std::string> value)
     {
         (void)rows.transact({.changes = {{.address = std::move(address), .value = std::move(value)}}}, now);
@@ -41,7 +41,7 @@
     MemoryRows rows;
     StoreTimeMs now = 5'000'000;
     int writes = 0;
-    /// An answer that the store gave a while ago and gives again.
+    /// If set, an outdated result that every read returns.
     std::optional<RowsRead> older;
 };
 
--- a/src/tests/storedrowstest.cpp
+++ b/src/tests/storedrowstest.cpp
@@ -30,7 +30,7 @@
     return pool.prepaid - pool.allocated;
 }
 
-/// The text with some bytes changed.
+/// Returns the text with up to three bytes changed.
 std::string spoilt(std::string text, std::mt19937 &random)
 {
     for (unsigned change = random() % 3 + 1; change > 0; --change) {
@@ -54,7 +54,7 @@
     BOOST_TEST(holder.committed == s_holder.committed);
 }
 
-// The store's clock began after a router had started: times before its origin are sound.
+// A router may have started before the origin of the store's clock, so negative times are valid.
 BOOST_AUTO_TEST_CASE(timesBeforeTheStoresOriginAreSound)
 {
     HolderRow holder = s_holder;
@@ -67,8 +67,8 @@
     BOOST_TEST(back.earlier.size() == 1U);
 }
 
-// A pool's row lost the field that says what is handed out, or has a number there that none of ours is. Read as nothing handed out, the
-// whole budget would be free once more, and the team would get it twice.
+// Guards against a team that gets its budget twice: a pool row whose allocated tokens are missing or invalid must not be read as a pool of
+// which nothing is allocated.
 BOOST_AUTO_TEST_CASE(aSpoiltPoolHasNothingFree)
 {
     for (const char *text : {"",
@@ -85,7 +85,7 @@
     }
 }
 
-// A dead router's row has no count of what it settled, or a count that none of ours is: nothing of it goes back to the pool.
+// A dead router's row has missing or invalid counts: nothing of it is returned to the pool.
 BOOST_AUTO_TEST_CASE(aSpoiltHolderHasNothingToReturn)
 {
     for (const char *text :
@@ -100,7 +100,8 @@
     }
 }
 
-// A checkpoint with a negative or endless promise would make its dead router have spent less than nothing, or overflow.
+// Guards against checkpoints with negative or huge limits, by which a dead router would have spent a negative number of tokens, or sums
+// would overflow.
 BOOST_AUTO_TEST_CASE(aSpoiltCheckpointTellsNothing)
 {
     const std::string sound =
@@ -113,7 +114,7 @@
     }
 }
 
-// Whatever bytes stand in a row: no process ends over it, and no budget is free beyond what is paid for.
+// Whatever bytes a row contains, no process crashes, and no budget has more free tokens than were paid for.
 BOOST_AUTO_TEST_CASE(anyBytesAreBorne)
 {
     std::mt19937 random(20261203);
--- a/src/tests/teamholdingtest.cpp
+++ b/src/tests/teamholdingtest.cpp
@@ -31,7 +31,7 @@
     return std::to_string(router) + "~" + std::to_string(life);
 }
 
-/// One router process: its checkpoint, its holding, and its steady clock.
+/// One router process with its checkpoint, its holding, and its steady clock.
 struct Process {
     explicit Process(std::size_t router, std::size_t life, Instant started = Instant(std::chrono::seconds(1)))
         : checkpoint({.holder = holderName(router), .incarnation = incarnationName(router, life), .startedAt = started})
@@ -60,7 +60,7 @@
     std::vector<Reservation> reserved;
 };
 
-/// Routers, the store, and everything between them that can go wrong.
+/// Routers and a store, with all faults that can occur between them.
 class Fleet
 {
 public:
@@ -81,7 +81,7 @@
         return m_store;
     }
 
-    /// Time passes everywhere, except for a suspended router, whose steady clock stands still.
+    /// Advances all clocks, except the steady clock of a suspended router.
     void pass(Duration time, std::optional<std::size_t> suspended)
     {
         m_storeNow += std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
@@ -97,7 +97,7 @@
         process(router).holding.loaded(m_store.read(s_budgetTable, "team", m_storeNow), process(router).now);
     }
 
-    /// Keeps what a read would have seen now, to be answered later.
+    /// Keeps the result of a read, to be returned later.
     void rememberRead()
     {
         m_remembered = m_store.read(s_budgetTable, "team", m_storeNow);
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Writes a router's checkpoint, which it has to read first.
+    /// Writes a router's checkpoint, or reads its row if it has not been read yet.
     void checkpoint(std::size_t router, Fate fate)
     {
         Process &sender = process(router);
@@ -177,7 +177,8 @@
         }
     }
 
-    /// What a router that has the store's ear does at its start, and again and again: read, seal, recover, draw, promise.
+    /// What a router that reaches the store does at its start and then repeatedly: it reads its rows, fences off predecessors, recovers,
+    /// draws tokens, and writes its checkpoint.
     void settleDown(std::size_t router)
     {
         constexpr int s_rounds = 3;
@@ -189,7 +190,7 @@
         checkpoint(router, Fate::Answered);
     }
 
-    /// A transaction whose sender waits no longer takes effect, if its conditions still hold.
+    /// Delivers a transaction whose sender no longer waits. It takes effect if its conditions still hold.
     void deliverLate()
     {
         if (!m_late.empty()) {
@@ -198,16 +199,16 @@
         }
     }
 
-    /// A process dies; the next one at its address knows nothing. All that it had reserved may have been used.
+    /// A process dies and is replaced by one at its address that knows nothing. All that it had reserved may have been used.
     void replace(std::size_t router)
     {
-        // Requests in flight count as used: their worst cases are in the sum already.
+        // Requests in flight count as used: their upper bounds are included in the sum already.
         const Instant now = process(router).now;
         m_storeNow += 5;
         m_processes[router] = std::make_unique<Process>(router, ++m_lives, now + ms(5));
     }
 
-    /// A loan between two routers; a lost one reaches the borrower never.
+    /// A loan from one router to another; a lost one never reaches the borrower.
     void lend(std::size_t lender, std::size_t borrower, Tokens asked, bool lost)
     {
         const Tokens lent = process(lender).holding.lend(asked, process(lender).now);
@@ -216,7 +217,7 @@
         }
     }
 
-    /// A borrower gives back what it did not need, to the lender's address, whichever process has it now; a lost one reaches nobody.
+    /// A borrower returns what it did not need to the lender's address, whichever process has it now; what is lost reaches nobody.
     void giveBack(std::size_t borrower, std::size_t lender, bool lost)
     {
         Process &from = process(borrower);
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Counts what callers have used, or may still use.
+    /// Counts tokens that callers have used or may still use.
     void addSpent(Tokens tokens)
     {
         m_spent += tokens;
@@ -259,7 +260,7 @@
     }
 }
 
-/// Commits all that the process may commit now.
+/// Commits all tokens that the process may commit now.
 void reserveAll(Fleet &fleet, Process &process)
 {
     reserve(fleet, process, std::max<Tokens>(1, process.holding.available(process.now)));
@@ -277,7 +278,7 @@
     }
 }
 
-/// One random event.
+/// Performs one random event.
 void step(Fleet &fleet)
 {
     const auto router = *rc::gen::inRange<std::size_t>(0, s_routers);
@@ -333,8 +334,8 @@
     }
 }
 
-/// Every process commits all it may, dies, and leaves its successor to recover what it can, until nobody gets anything more: a token that
-/// was returned twice is spent here.
+/// Every process commits all it may, dies, and leaves its successor to recover what it can, until no tokens are left: a token that was
+/// returned twice would be spent here.
 void spendEverything(Fleet &fleet)
 {
     constexpr int s_rounds = 12;
@@ -353,14 +354,15 @@
     }
 }
 
-/// A router alone with the store, past its first read and draw.
+/// One router with the store to itself, after its first read and draw.
 struct Single {
     Single()
     {
         fleet.settleDown(0);
     }
 
-    /// Two requests a second that use all they reserve, each written ahead, with the store in touch. Returns what they spent.
+    /// Serves two requests a second that use all the tokens that they reserve, each covered by a checkpoint in advance, while the store is
+    /// reachable. Returns the tokens spent.
     Tokens serve(Tokens demandASecond, int requests)
     {
         Process &process = fleet.process(0);
@@ -388,9 +390,9 @@
 
 BOOST_AUTO_TEST_SUITE(TeamHoldingTest)
 
-// A team is billed more than it paid for. Flushes are lost, take effect late or twice, reads are old, processes die with requests in
-// flight, are suspended, and are followed by successors that recover what is left: whatever the order, the commitments of all processes
-// that ever lived stay within the prepaid amount.
+// Guards against a team that is billed more than it paid for. Flushes are lost, delayed or repeated, reads are outdated, and processes are
+// suspended or die with requests in flight and are recovered by successors. Whatever the order, the commitments of all processes that ever
+// ran stay within the prepaid amount.
 BOOST_AUTO_TEST_CASE(neverSpendsMoreThanPrepaid)
 {
     BOOST_TEST(rc::check("commitments of the living and the dead stay within the prepaid amount", [] {
@@ -405,8 +407,8 @@
     }));
 }
 
-// A router refuses a team for the rest of the day although its budget is nearly whole. While the store rebuilds its history it answers
-// reads with an older state; the router took the row that it did not find there for recovered by a successor and stopped spending for good.
+// Guards against a router that refuses a team for good although its budget is nearly full. A store that rebuilds its history returns
+// outdated reads; the router did not find its row in one, concluded that a successor had recovered it, and stopped spending.
 BOOST_AUTO_TEST_CASE(oldReadDoesNotFence)
 {
     Fleet fleet;
@@ -421,8 +423,8 @@
     BOOST_TEST(holding.granted() == granted);
 }
 
-// A router dies three seconds after its last checkpoint, with most of what it held unused. Its successor gets nearly all of it back into
-// the pool at once: only what the predecessor could have committed since that checkpoint stays counted as spent.
+// A router dies three seconds after its last checkpoint, with most of its tokens unused. Its successor returns nearly all of them to the
+// pool at once: only what the predecessor could have committed since that checkpoint counts as spent.
 BOOST_AUTO_TEST_CASE(successorReturnsMostOfWhatWasHeld)
 {
     Single single;
@@ -437,8 +439,8 @@
     BOOST_TEST(lost < held / 4);
 }
 
-// A team sends a request now and then, larger than what its router may commit unannounced. The request waits for one checkpoint, a few
-// milliseconds, and is served, without a draw from the budget.
+// A team sends a request only now and then, and it is larger than what the router may commit at once. The request waits a few milliseconds
+// for one checkpoint and is served without a draw from the pool.
 BOOST_AUTO_TEST_CASE(aWaitingRequestIsAdmittedByTheNextCheckpoint)
 {
     Single single;
@@ -454,9 +456,9 @@
     BOOST_TEST(process.reserved.size() == 1);
 }
 
-// Every router loses power at once, a quarter of a second after its last checkpoint, and is back two seconds later. Of what the fleet held,
-// the team loses a quarter of a second's demand at most; it was up to two and a half seconds' of it, and the team's requests were refused
-// at the end of the day for tokens that nobody had got.
+// All routers lose power a quarter of a second after their last checkpoint and are back two seconds later. The team loses at most the
+// demand of a quarter of a second. It used to lose up to two and a half seconds of demand, and requests were refused at the end of the day
+// for tokens that nobody had used.
 BOOST_AUTO_TEST_CASE(deathInTouchLosesLittleMoreThanADemand)
 {
     Single single;
@@ -473,8 +475,8 @@
     BOOST_TEST(lost <= s_demandASecond / 4);
 }
 
-// The store is away for nine seconds. A router goes on serving its callers out of what it holds: after the first moments, in which it might
-// have died, as much as they ask for.
+// The store is unreachable for nine seconds. The router continues to serve its callers from what it holds: after the first seconds, in
+// which it might have died and been replaced, without a limit that they would notice.
 BOOST_AUTO_TEST_CASE(aLongOutageIsServedOutOfTheHolding)
 {
     Single single;
@@ -489,8 +491,8 @@
     BOOST_TEST(process.holding.available(process.now) >= 9 * s_demandASecond);
 }
 
-// The store goes away, and a team that has paid for hours is refused for the first seconds although its router holds plenty. What a death
-// would strand, such a team never misses: its router may commit the demand of those seconds at once.
+// Guards against refusals in the first seconds of a store outage for a team that has paid for hours of demand and whose router holds
+// plenty. Such a team does not notice the tokens that a death strands, so its router may commit the demand of those seconds at once.
 BOOST_AUTO_TEST_CASE(anAmpleBudgetIsNotHeldBackInAnOutage)
 {
     Single single;
@@ -500,7 +502,8 @@
     BOOST_TEST(process.holding.available(process.now) >= 2 * s_demandASecond);
 }
 
-// Each answer of the store takes 300 ms. Callers wait for one checkpoint at most: a promise covers what comes until the next one stands.
+// Each answer of the store takes 300 ms. Callers wait for at most one checkpoint, because a commitment covers the demand until the next one
+// is in effect.
 BOOST_AUTO_TEST_CASE(aSlowStoreIsPromisedFurtherAhead)
 {
     Single single;
@@ -513,8 +516,8 @@
     BOOST_TEST(slow >= usual + s_demandASecond / 2);
 }
 
-// The budget is nearly used up and each router holds less than a request's worth. One of them gets what the others cannot use, and serves
-// one more request.
+// The budget is nearly exhausted, and each router holds less than one request needs. One of them gets the tokens that the others cannot
+// use, and serves one more request.
 BOOST_AUTO_TEST_CASE(remaindersAreJoined)
 {
     Single single;
@@ -525,8 +528,8 @@
     BOOST_TEST(lender.holding.lend(5000, lender.now) == 900);
 }
 
-// A router dies while nobody reaches the store, and its successor waits ten seconds for it. What the successor must count as spent does not
-// grow while it waits: it knows how long it has been there itself.
+// A router dies while the store is unreachable, and its successor waits ten seconds for it. What the successor counts as spent does not
+// grow meanwhile, because it knows how long it has been running itself.
 BOOST_AUTO_TEST_CASE(waitingForTheStoreLosesNothing)
 {
     Single prompt;
@@ -542,7 +545,8 @@
     BOOST_TEST(waiting.fleet.process(0).holding.remainingAnywhere() == prompt.fleet.process(0).holding.remainingAnywhere());
 }
 
-// A process lives on although another one has taken its address and its row: it commits nothing further once the store tells it so.
+// A process is still running although another one has taken over its address and its row. It commits nothing more once the store tells it
+// so.
 BOOST_AUTO_TEST_CASE(fencedByItsSuccessor)
 {
     Single single;
@@ -567,7 +571,7 @@
     BOOST_TEST(single.holding.available(single.fleet.process(0).now) == 0);
 }
 
-// A flush takes effect, its answer is lost, and the router sends it again: the store turns the copy down, and the router takes the row for
+// A flush takes effect, its answer is lost, and the router sends it again. The store rejects the copy, and the router recognizes the row as
 // its own instead of drawing a second time.
 BOOST_AUTO_TEST_CASE(lostAnswerIsRecognised)
 {
@@ -582,8 +586,8 @@
     BOOST_TEST(holding.remainingAnywhere() == s_prepaid);
 }
 
-// Late in the day one router after the other restarts. None of them takes more than its part of what is left before it knows any demand, or
-// the first ones would leave nothing to the router that the team's callers are sent to.
+// Routers restart one after the other late in the day. Before a router knows its demand, it takes no more than its part of what remains;
+// otherwise the first ones would leave nothing to the router that serves the team's callers.
 BOOST_AUTO_TEST_CASE(aRestartTakesAPartOfWhatIsLeft)
 {
     Single single;
@@ -600,7 +604,7 @@
     BOOST_TEST(single.fleet.process(1).holding.granted() <= 10'000 / 2);
 }
 
-// A router that ends in good order leaves nothing behind but what it spent.
+// A router that shuts down in an orderly way leaves nothing allocated except what it spent.
 BOOST_AUTO_TEST_CASE(closingReturnsEverything)
 {
     Single single;
@@ -616,7 +620,7 @@
     BOOST_TEST(single.fleet.process(1).holding.remainingAnywhere() == s_prepaid - 200);
 }
 
-// The operator lowers a team's prepaid amount below what routers hold: what is unused goes back, and nothing more is drawn.
+// The operator lowers a team's prepaid amount below what routers hold: unused tokens are returned, and no more are drawn.
 BOOST_AUTO_TEST_CASE(loweredPrepaidTakesHoldingsBack)
 {
     Single single;
@@ -627,7 +631,7 @@
     BOOST_TEST(single.holding.granted() <= granted / 2);
 }
 
-// The budget has nothing left: a request is told so, and not that it should try again at once.
+// When the budget does not cover a request, the refusal says so, and does not ask the caller to retry soon.
 BOOST_AUTO_TEST_CASE(exhaustedIsToldApartFromNotHeld)
 {
     Single single;
@@ -638,8 +642,8 @@
     BOOST_TEST((std::get<HoldingRefusal>(notHeld) == HoldingRefusal::NotHeld));
 }
 
-// A router that restarted while nobody reaches the store holds nothing, and its callers are refused although the budget is nearly whole. A
-// peer lends it some; what is left of it when the store is back goes into the pool, and the budget is as if the loan had never been.
+// A router that restarted while the store is unreachable holds nothing, and refuses callers although the budget is nearly full. A peer
+// lends it tokens; what is left of them when the store is back goes into the pool, and the budget is as if there had been no loan.
 BOOST_AUTO_TEST_CASE(loanIsSpentOnceAndReturned)
 {
     Single single;
@@ -659,8 +663,8 @@
     BOOST_TEST(single.fleet.process(2).holding.remainingAnywhere() == s_prepaid - 400);
 }
 
-// Routers that keep no part of a budget borrow for each request and give back what it did not use, most of it. Tokens that went back by
-// way of the pool were on the way there for a second or two, and near the end of a budget its keeper refused for want of them.
+// Routers that are not assigned holders borrow for each request and return most of it. When the tokens were returned through the pool, they
+// were unavailable for a second or two, and near the end of a budget its holder refused requests for lack of them.
 BOOST_AUTO_TEST_CASE(givenBackTokensAreAtHandAtOnce)
 {
     Single single;
@@ -673,7 +677,7 @@
     const Tokens left = lender.holding.available(lender.now);
     lender.holding.takeBack(lent - 100);
     BOOST_TEST(lender.holding.available(lender.now) == left + lent - 100);
-    // More than was lent is somebody else's loan, and nothing of this router's own.
+    // Tokens beyond what was lent belong to another router's loan.
     lender.holding.takeBack(500);
     BOOST_TEST(lender.holding.borrowed() == 400);
 }
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -16,7 +16,7 @@
 
 constexpr Tokens s_prepaid = 100'000;
 
-/// A store in memory that answers at once, or not at all.
+/// An in-memory store that answers at once, or not at all.
 struct Store {
     asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
     {
@@ -44,10 +44,10 @@
     bool answers = true;
 };
 
-/// One router's ledger over the store, and peers whose loans the test decides.
+/// One router's ledger with a store, and peers whose loans the test determines.
 struct Scene {
     explicit Scene(std::vector<std::string> routers = {})
-        // Nothing here waits for real time to run out.
+        // The waits are long, so that no test depends on real time.
         : ledger(loop.get_executor(),
                  {.holder = "10.0.0.1:80",
                   .incarnation = "a",
@@ -79,7 +79,7 @@
         });
     }
 
-    /// Lets the loop run until something is so.
+    /// Runs the loop until the condition holds.
     template<typename Condition>
     void runUntil(Condition condition)
     {
@@ -124,7 +124,7 @@
     Tokens given = 0;
 };
 
-/// Routers that rank before this one for the team, so that it keeps nothing.
+/// Routers that rank before this one for the team, so that it is not an assigned holder.
 std::vector<std::string> routersWithoutThis()
 {
     return {"10.0.0.7:7340", "10.0.0.8:7340", "10.0.0.9:7340"};
@@ -142,8 +142,8 @@
     BOOST_TEST(scene.askedOf.empty());
 }
 
-// A router that keeps no part of a small budget serves its team all the same: it borrows what the request needs from those that do, draws
-// nothing from the store, and gives back what the request did not use.
+// A router that is not an assigned holder of a small budget still serves its team: it borrows what the request needs, draws nothing from
+// the pool, and returns what the request did not use.
 BOOST_AUTO_TEST_CASE(othersBorrowForEachRequest)
 {
     Scene scene(routersWithoutThis());
@@ -162,7 +162,7 @@
     BOOST_TEST(rows.rows.empty());
 }
 
-// The budget is used up. The caller is told so at once, and the next one without asking anybody again.
+// The budget is exhausted. The caller is told so at once, and so is the next one, without another loan request.
 BOOST_AUTO_TEST_CASE(anExhaustedBudgetIsRefusedAtOnce)
 {
     Scene scene(routersWithoutThis());
@@ -175,8 +175,8 @@
     BOOST_TEST(scene.askedOf.empty());
 }
 
-// A budget is used up, and several requests of its team wait at a router that keeps no part of it. The lenders have nothing of what all of
-// them need together. Each caller is told that the budget is used up; told that it is out of reach for the moment, they came back in vain.
+// Guards against callers that retry in vain. Several requests wait at a router that is not an assigned holder, and the lenders have nothing
+// of their sum. Each caller is told that the budget is exhausted, not that it is unreachable.
 BOOST_AUTO_TEST_CASE(allWhoWaitForAUsedUpBudgetAreToldSo)
 {
     Scene scene(routersWithoutThis());
@@ -196,7 +196,8 @@
     }
 }
 
-// A keeper lends to a peer as it serves its own callers: the loan waits for the checkpoint that covers it, and counts as spent.
+// An assigned holder lends tokens the same way as it serves its own callers: the loan waits for the checkpoint that covers it, and counts
+// as spent.
 BOOST_AUTO_TEST_CASE(aLoanIsCoveredByACheckpoint)
 {
     Scene scene;
@@ -207,9 +208,9 @@
     BOOST_TEST(checkpointRowFrom(rows.rows.front()).own.teams.at("team").most(0) >= 6000);
 }
 
-// All routers have restarted and the demand of a team is at one of them. It asks for more than any other has; each gives all that it has,
-// as soon as its checkpoint covers it, instead of the little that it may commit at that moment. Requests were refused for three seconds
-// with 200,000 tokens left.
+// Guards against small loans after a restart of all routers, when the demand of a team is at one of them. A peer asked for more than it
+// holds lends all of that as soon as a checkpoint covers it, not only the little that it may commit at that moment. Requests were refused
+// for three seconds with 200,000 tokens left.
 BOOST_AUTO_TEST_CASE(aLenderGivesAllItHas)
 {
     Scene scene;
@@ -218,8 +219,8 @@
     BOOST_TEST(loan.tokens >= s_prepaid / 4);
 }
 
-// Guards against a keeper that takes asks which it cannot serve for demand: each borrower repeats them at every keeper, the keepers promise
-// to commit for all of them, and that much counts as spent when one dies.
+// Guards against loan requests that a lender cannot serve and counts as demand. Borrowers repeat them at every assigned holder; each would
+// write a commitment for all of them, and that much counts as spent when it dies.
 BOOST_AUTO_TEST_CASE(whatIsNotLentIsNoDemand)
 {
     Scene scene;
