--- a/src/budget/checkpointrow.cpp
+++ b/src/budget/checkpointrow.cpp
@@ -37,7 +37,7 @@
 {
     const std::int64_t count = value.as_int64();
     if (count < 0 || count > s_mostStored) {
-        throw std::invalid_argument("a count out of range");
+        throw std::invalid_argument("count out of range");
     }
     return count;
 }
@@ -47,7 +47,7 @@
 {
     const StoreTimeMs time = value.as_int64();
     if (time < -s_mostStored || time > s_mostStored) {
-        throw std::invalid_argument("a time out of range");
+        throw std::invalid_argument("time out of range");
     }
     return time;
 }
@@ -56,7 +56,7 @@
 {
     const boost::json::array &numbers = value.as_array();
     if (numbers.size() != s_numbers) {
-        throw std::invalid_argument("a commitment has three numbers");
+        throw std::invalid_argument("a commitment must be an array of three numbers");
     }
     return {.committed = countFrom(numbers[0]), .burst = countFrom(numbers[1]), .rate = countFrom(numbers[2])};
 }
--- a/src/budget/holdingrows.cpp
+++ b/src/budget/holdingrows.cpp
@@ -27,7 +27,7 @@
         boost::json::error_code error;
         boost::json::value value = boost::json::parse(stored.value, error);
         if (error || !value.is_object()) {
-            m_spoilt = "no object";
+            m_spoilt = "not a JSON object";
         } else {
             m_object = std::move(value.get_object());
         }
