--- a/src/budget/holdingpolicy.h
+++ b/src/budget/holdingpolicy.h
@@ -9,13 +9,13 @@
     /// A router aims to hold enough tokens for its own demand over this time: twice the longest loss of the store to be bridged, about nine
     /// seconds, because demand is uneven and holders also lend to other routers. Checkpoints limit what is lost when a router dies, so
     /// holding more costs little.
-    Duration horizon = std::chrono::seconds(18);
+    Duration holdingSpan = std::chrono::seconds(18);
     /// Before any demand of a team is known, all routers together hold this share of what remains of its budget, so that a loss of the
     /// store in the first seconds does not find them without tokens.
     double initialShare = 0.4;
     /// Once a router has served callers for this long, it relies on the demand that it measured, and returns tokens that it drew without
     /// demand.
-    Duration learnFor = std::chrono::seconds(5);
+    Duration warmUpTime = std::chrono::seconds(5);
     /// When the budget does not cover what all routers aim to hold, this share of what remains is held in proportion to demand; the rest
     /// stays in the pool for routers that join. A request larger than its router's part is covered by loans from peers.
     double scarceShare = 0.95;
@@ -24,9 +24,9 @@
     double refillBelow = 0.85;
     /// Time constant of the demand average: long enough to cover tens of requests, short enough to follow a team whose demand triples
     /// within seconds.
-    Duration demandMemory = std::chrono::seconds(5);
+    Duration demandTimeConstant = std::chrono::seconds(5);
     /// Interval between flushes that draw or return tokens.
-    Duration changeInterval = std::chrono::milliseconds(900);
+    Duration transferInterval = std::chrono::milliseconds(900);
     /// Interval between writes of a holding that changed. What other routers know of it is up to this old.
     Duration flushInterval = std::chrono::milliseconds(1800);
     /// Interval between writes of an unchanged holding. Without them the other routers would consider its holder dead.
@@ -42,7 +42,7 @@
     /// that it has.
     Duration staleAfter = std::chrono::seconds(6);
     /// Changes below this share of the desired holding are not made: they are not worth a conflict over the pool's row.
-    double smallestChange = 0.05;
+    double minChangeShare = 0.05;
     /// Between two checkpoints a holder may at once commit its demand over this time, in addition to the requests that wait for the
     /// checkpoint and to its demand over the time that two checkpoint writes take: the one in flight and the next. What this allows is lost
     /// when the holder dies; with less, callers wait for one checkpoint after the other while the store is slow.
@@ -59,16 +59,16 @@
     /// router serves only from the part that it holds.
     bool fewKeepers = true;
     bool loans = true;
-    /// A lender keeps its own demand over `lendKeep`. A borrower asks for its own demand over `borrowAhead` beyond the requests that wait,
-    /// so that it does not have to ask again for each request.
-    Duration lendKeep = std::chrono::milliseconds(300);
+    /// A lender keeps its own demand over `lenderKeepSpan`. A borrower asks for its own demand over `borrowAhead` beyond the requests that
+    /// wait, so that it does not have to ask again for each request.
+    Duration lenderKeepSpan = std::chrono::milliseconds(300);
     Duration borrowAhead = std::chrono::seconds(1);
     /// A router that is not an assigned holder borrows its demand over this time in advance. With several requests a second of one team
     /// this saves most of the loan calls, each of which takes about a tenth of a millisecond of processor time on both sides, and all
     /// borrowers together hold no more than this.
-    Duration guestAhead = std::chrono::milliseconds(250);
+    Duration unassignedBorrowAhead = std::chrono::milliseconds(250);
     /// A router that is not an assigned holder returns borrowed tokens after this long without a request.
-    Duration loanIdle = std::chrono::milliseconds(600);
+    Duration loanIdleTimeout = std::chrono::milliseconds(600);
 };
 
 }
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -27,7 +27,7 @@
 TeamHolding::TeamHolding(Options options, const HolderCheckpoint &checkpoint)
     : m_options(std::move(options))
     , m_checkpoint(checkpoint)
-    , m_demand(m_options.policy.demandMemory)
+    , m_demand(m_options.policy.demandTimeConstant)
 {
 }
 
@@ -178,7 +178,7 @@
     const Tokens free = available(now);
     // Near the end of a budget every router is left with less than one request needs; combined, the remainders still serve some.
     const bool useless = static_cast<double>(free) < m_demand.averageBound();
-    const Tokens keep = useless ? 0 : static_cast<Tokens>(demand(now) * seconds(m_options.policy.lendKeep));
+    const Tokens keep = useless ? 0 : static_cast<Tokens>(demand(now) * seconds(m_options.policy.lenderKeepSpan));
     const Tokens lent = std::clamp<Tokens>(free - keep, 0, std::max<Tokens>(0, asked));
     m_settled += lent;
     m_lent += lent;
@@ -205,7 +205,7 @@
     }
     // Rounded down to whole requests: a team that sends a request only now and then has no next one to borrow ahead for.
     const Tokens use = std::max<Tokens>(1, typicalUse());
-    const Tokens requests = static_cast<Tokens>(demand(now) * seconds(m_options.policy.guestAhead)) / use;
+    const Tokens requests = static_cast<Tokens>(demand(now) * seconds(m_options.policy.unassignedBorrowAhead)) / use;
     return m_waiting + requests * use - m_borrowed;
 }
 
@@ -220,7 +220,7 @@
 
 Tokens TeamHolding::takeIdleLoan(Instant now)
 {
-    const bool idle = now - m_lastRequest >= m_options.policy.loanIdle && m_waiting == 0;
+    const bool idle = now - m_lastRequest >= m_options.policy.loanIdleTimeout && m_waiting == 0;
     return idle && !m_keeps && !m_closing ? std::exchange(m_borrowed, 0) : 0;
 }
 
@@ -339,22 +339,22 @@
     return static_cast<Tokens>(usedShare * m_demand.averageBound());
 }
 
-Tokens TeamHolding::aim(std::size_t routers, Instant now) const
+Tokens TeamHolding::desiredHolding(std::size_t routers, Instant now) const
 {
     if (!m_keeps) {
         return 0;
     }
     const HoldingPolicy &policy = m_options.policy;
     const double own = demand(now);
-    const auto ahead = static_cast<Tokens>(own * seconds(policy.horizon));
-    const bool learned = m_servingSince && now - *m_servingSince >= policy.learnFor;
+    const auto ahead = static_cast<Tokens>(own * seconds(policy.holdingSpan));
+    const bool warmedUp = m_servingSince && now - *m_servingSince >= policy.warmUpTime;
     const Tokens held = m_row ? m_row->granted - committed() : 0;
     const Tokens left = std::max<Tokens>(0, freeInPool() + m_unusedByActive + held);
     // A share of what remains, not of what was paid for: routers that restart late in the day would otherwise take all of it before demand
     // is known.
-    const Tokens initial = learned ? 0 : fraction(policy.initialShare, left) / static_cast<Tokens>(m_keepers.value_or(routers));
+    const Tokens initial = warmedUp ? 0 : fraction(policy.initialShare, left) / static_cast<Tokens>(m_keepers.value_or(routers));
     const Tokens wanted = std::max(initial, own > 0 ? ahead + s_usualRequests * typicalUse() : 0);
-    if (!learned || own <= 0) {
+    if (!warmedUp || own <= 0) {
         return wanted;
     }
     const double ownPart = own / (own + static_cast<double>(m_demandOfActive));
@@ -373,17 +373,17 @@
         // The team's prepaid amount was lowered below what is allocated.
         return -std::min(held, -free);
     }
-    const Tokens goal = aim(routers, now);
-    const Tokens keep = std::max(goal, m_waiting);
+    const Tokens desired = desiredHolding(routers, now);
+    const Tokens keep = std::max(desired, m_waiting);
     const Tokens spare = m_keeps ? fraction(policy.surplusFactor, keep) + typicalUse() : keep;
     if (held > spare) {
         return keep - held;
     }
-    if (held >= fraction(policy.refillBelow, goal) && held >= m_waiting) {
+    if (held >= fraction(policy.refillBelow, desired) && held >= m_waiting) {
         return 0;
     }
     const Tokens change = std::min(keep - held, free);
-    const bool worthwhile = change >= fraction(policy.smallestChange, goal) || held < m_waiting;
+    const bool worthwhile = change >= fraction(policy.minChangeShare, desired) || held < m_waiting;
     return worthwhile ? std::max<Tokens>(0, change) : 0;
 }
 
@@ -409,7 +409,7 @@
         return last + policy.urgentInterval;
     }
     if (m_inFlight || m_predecessor || (m_keeps && !m_row) || wantedChange(routers, now) != 0) {
-        return last + policy.changeInterval;
+        return last + policy.transferInterval;
     }
     if (!m_row) {
         return std::nullopt;
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -271,7 +271,7 @@
     Tokens typicalUse() const;
     double demand(Instant now) const;
     bool ample(double ownDemand) const;
-    Tokens aim(std::size_t routers, Instant now) const;
+    Tokens desiredHolding(std::size_t routers, Instant now) const;
     Tokens wantedChange(std::size_t routers, Instant now) const;
     StoreTimeMs storeTimeAtLeast(Instant now) const;
     HolderRow rowAfter(Tokens change, Instant now) const;
