--- a/src/budget/demandmeter.cpp
+++ b/src/budget/demandmeter.cpp
@@ -9,7 +9,7 @@
 
 constexpr double s_boundWeight = 0.1;
 /// Minimum age for the correction. Without it, the first request of a new meter would yield a far too high rate.
-constexpr double s_youngestSeconds = 1;
+constexpr double s_minAgeSeconds = 1;
 
 }
 
@@ -21,20 +21,20 @@
 
 void DemandMeter::addUse(Tokens used, Instant now)
 {
-    m_weightedSum = rate(now) * m_memorySeconds + static_cast<double>(used);
+    m_weightedSum = rate(now) * m_timeConstantSeconds + static_cast<double>(used);
     m_updated = now;
 }
 
 double DemandMeter::rate(Instant now) const
 {
     const double age = seconds(now - m_updated);
-    return m_weightedSum * std::exp(-age / m_memorySeconds) / m_memorySeconds;
+    return m_weightedSum * std::exp(-age / m_timeConstantSeconds) / m_timeConstantSeconds;
 }
 
 double DemandMeter::rateSince(Instant since, Instant now) const
 {
-    const double age = std::max(s_youngestSeconds, seconds(now - since));
-    return rate(now) / (1 - std::exp(-age / m_memorySeconds));
+    const double age = std::max(s_minAgeSeconds, seconds(now - since));
+    return rate(now) / (1 - std::exp(-age / m_timeConstantSeconds));
 }
 
 }
--- a/src/budget/demandmeter.h
+++ b/src/budget/demandmeter.h
@@ -8,9 +8,9 @@
 class DemandMeter
 {
 public:
-    /// `memory` is the time constant of the exponentially weighted rate.
-    explicit DemandMeter(Duration memory = std::chrono::seconds(60))
-        : m_memorySeconds(seconds(memory))
+    /// `timeConstant` is the time constant of the exponentially weighted rate.
+    explicit DemandMeter(Duration timeConstant = std::chrono::seconds(60))
+        : m_timeConstantSeconds(seconds(timeConstant))
     {
     }
 
@@ -33,7 +33,7 @@
     }
 
 private:
-    double m_memorySeconds;
+    double m_timeConstantSeconds;
     double m_weightedSum = 0;
     double m_averageBound = 0;
     Instant m_updated{};
