--- a/src/budget/checkpointrow.cpp
+++ b/src/budget/checkpointrow.cpp
@@ -15,7 +15,7 @@
 
 constexpr double s_msPerSecond = 1000;
 /// Numbers in a serialized commitment.
-constexpr std::size_t s_numbers = 3;
+constexpr std::size_t s_commitmentNumbers = 3;
 
 boost::json::object toJson(const Checkpoint &checkpoint)
 {
@@ -36,7 +36,7 @@
 std::int64_t countFrom(const boost::json::value &value)
 {
     const std::int64_t count = value.as_int64();
-    if (count < 0 || count > s_mostStored) {
+    if (count < 0 || count > s_maxStoredValue) {
         throw std::invalid_argument("count out of range");
     }
     return count;
@@ -46,7 +46,7 @@
 StoreTimeMs timeFrom(const boost::json::value &value)
 {
     const StoreTimeMs time = value.as_int64();
-    if (time < -s_mostStored || time > s_mostStored) {
+    if (time < -s_maxStoredValue || time > s_maxStoredValue) {
         throw std::invalid_argument("time out of range");
     }
     return time;
@@ -55,7 +55,7 @@
 Commitment commitmentFrom(const boost::json::value &value)
 {
     const boost::json::array &numbers = value.as_array();
-    if (numbers.size() != s_numbers) {
+    if (numbers.size() != s_commitmentNumbers) {
         throw std::invalid_argument("a commitment must be an array of three numbers");
     }
     return {.committed = countFrom(numbers[0]), .burst = countFrom(numbers[1]), .rate = countFrom(numbers[2])};
--- a/src/budget/checkpointrow.h
+++ b/src/budget/checkpointrow.h
@@ -25,7 +25,7 @@
 
 /// Upper limit of all token counts and times in stored rows. A larger value was not written by a router and is rejected, so that sums of
 /// stored values do not overflow.
-inline constexpr std::int64_t s_mostStored = 1'000'000'000'000'000;
+inline constexpr std::int64_t s_maxStoredValue = 1'000'000'000'000'000;
 
 /// The limit on what a router commits for one team, valid from one checkpoint until the next.
 struct Commitment {
--- a/src/budget/holdingrows.cpp
+++ b/src/budget/holdingrows.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::string_view s_holderPrefix = "holder/";
 /// Larger than any budget, so that a pool with this allocation has nothing free.
-constexpr Tokens s_allHandedOut = s_mostStored + 1;
+constexpr Tokens s_fullyAllocated = s_maxStoredValue + 1;
 
 /// Reads the fields of a row. A missing field or one with an invalid value makes the whole row invalid: reading zero for the allocated
 /// tokens would make them available a second time.
@@ -27,61 +27,62 @@
         boost::json::error_code error;
         boost::json::value value = boost::json::parse(stored.value, error);
         if (error || !value.is_object()) {
-            m_spoilt = "not a JSON object";
+            m_error = "not a JSON object";
         } else {
             m_object = std::move(value.get_object());
         }
     }
 
-    std::int64_t whole(std::string_view name)
+    std::int64_t readCount(std::string_view name)
     {
-        return within(name, 0);
+        return readInteger(name, 0);
     }
 
     /// The store's clock has its own origin, so times may be negative.
-    StoreTimeMs time(std::string_view name)
+    StoreTimeMs readTime(std::string_view name)
     {
-        return within(name, -s_mostStored);
+        return readInteger(name, -s_maxStoredValue);
     }
 
-    std::string text(std::string_view name)
+    std::string readText(std::string_view name)
     {
         const auto *value = m_object.if_contains({name.data(), name.size()});
         if (value == nullptr || !value->is_string()) {
-            spoiltBy(name);
+            markInvalid(name);
             return {};
         }
         return std::string(value->get_string());
     }
 
     /// Whether all fields read were valid. Logs the field that was not.
-    bool sound() const
+    bool valid() const
     {
-        if (!m_spoilt.empty()) {
+        if (!m_error.empty()) {
             logLine(Severity::Error,
                     "budget.row_unreadable",
-                    {{"row", m_stored.address.key}, {"team", m_stored.address.part}, {"detail", m_spoilt}});
+                    {{"row", m_stored.address.key}, {"team", m_stored.address.part}, {"detail", m_error}});
         }
-        return m_spoilt.empty();
+        return m_error.empty();
     }
 
 private:
-    std::int64_t within(std::string_view name, std::int64_t least)
+    std::int64_t readInteger(std::string_view name, std::int64_t minimum)
     {
         const auto *value = m_object.if_contains({name.data(), name.size()});
-        const bool sound = value != nullptr && value->is_int64() && value->get_int64() >= least && value->get_int64() <= s_mostStored;
-        return sound ? value->get_int64() : spoiltBy(name);
+        const bool inRange =
+            value != nullptr && value->is_int64() && value->get_int64() >= minimum && value->get_int64() <= s_maxStoredValue;
+        return inRange ? value->get_int64() : markInvalid(name);
     }
 
-    std::int64_t spoiltBy(std::string_view name)
+    std::int64_t markInvalid(std::string_view name)
     {
-        m_spoilt = name;
+        m_error = name;
         return 0;
     }
 
     const StoredRow &m_stored;
     boost::json::object m_object;
-    std::string m_spoilt;
+    std::string m_error;
 };
 
 }
@@ -94,14 +95,14 @@
 HolderRow holderRowFrom(const StoredRow &stored)
 {
     RowReader reader(stored);
-    HolderRow row{.incarnation = reader.text("incarnation"),
-                  .flush = static_cast<std::uint64_t>(reader.whole("flush")),
-                  .granted = reader.whole("granted"),
-                  .settled = reader.whole("settled"),
-                  .committed = reader.whole("committed"),
-                  .demand = reader.whole("demand"),
-                  .writtenAt = reader.time("written_at_ms")};
-    return reader.sound() ? row : HolderRow{};
+    HolderRow row{.incarnation = reader.readText("incarnation"),
+                  .flush = static_cast<std::uint64_t>(reader.readCount("flush")),
+                  .granted = reader.readCount("granted"),
+                  .settled = reader.readCount("settled"),
+                  .committed = reader.readCount("committed"),
+                  .demand = reader.readCount("demand"),
+                  .writtenAt = reader.readTime("written_at_ms")};
+    return reader.valid() ? row : HolderRow{};
 }
 
 std::string toText(const HolderRow &row)
@@ -118,11 +119,11 @@
 PoolRow poolRowFrom(const StoredRow &stored)
 {
     RowReader reader(stored);
-    const PoolRow row{.prepaid = reader.whole("prepaid"),
-                      .planVersion = static_cast<std::uint64_t>(reader.whole("plan_version")),
-                      .allocated = reader.whole("allocated")};
+    const PoolRow row{.prepaid = reader.readCount("prepaid"),
+                      .planVersion = static_cast<std::uint64_t>(reader.readCount("plan_version")),
+                      .allocated = reader.readCount("allocated")};
     // An empty pool row would grant tokens again that other routers already hold, so an invalid one counts as fully allocated.
-    return reader.sound() ? row : PoolRow{.allocated = s_allHandedOut};
+    return reader.valid() ? row : PoolRow{.allocated = s_fullyAllocated};
 }
 
 std::string toText(const PoolRow &row)
