--- a/src/budget/holdingrows.cpp
+++ b/src/budget/holdingrows.cpp
@@ -96,7 +96,7 @@
 {
     RowReader reader(stored);
     HolderRow row{.incarnation = reader.readText("incarnation"),
-                  .flush = static_cast<std::uint64_t>(reader.readCount("flush")),
+                  .flushSequence = static_cast<std::uint64_t>(reader.readCount("flush")),
                   .granted = reader.readCount("granted"),
                   .settled = reader.readCount("settled"),
                   .committed = reader.readCount("committed"),
@@ -108,7 +108,7 @@
 std::string toText(const HolderRow &row)
 {
     return boost::json::serialize(boost::json::object{{"incarnation", row.incarnation},
-                                                      {"flush", row.flush},
+                                                      {"flush", row.flushSequence},
                                                       {"granted", row.granted},
                                                       {"settled", row.settled},
                                                       {"committed", row.committed},
--- a/src/budget/holdingrows.h
+++ b/src/budget/holdingrows.h
@@ -21,7 +21,7 @@
 /// A holder's row in the store: what one router holds of a team's budget.
 struct HolderRow {
     std::string incarnation;
-    std::uint64_t flush = 0;
+    std::uint64_t flushSequence = 0;
     Tokens granted = 0;
     Tokens settled = 0;
     /// As of this write, for the other routers. Recovery after a death relies on the holder's checkpoint instead.
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -426,7 +426,7 @@
 HolderRow TeamHolding::rowAfter(Tokens change, Instant now) const
 {
     return {.incarnation = m_options.incarnation,
-            .flush = m_flush,
+            .flushSequence = m_flushSequence,
             .granted = (m_row ? m_row->granted : 0) + change,
             .settled = m_settled,
             .committed = committed(),
@@ -450,7 +450,7 @@
         return m_inFlight->transaction;
     }
     const Tokens change = wantedChange(routers, now);
-    ++m_flush;
+    ++m_flushSequence;
     Flush flush{.row = rowAfter(change, now)};
     flush.removesRow = m_closing && m_reserved == 0;
     flush.transaction.conditions.push_back({.address = ownAddress(), .version = m_rowVersion});
@@ -500,7 +500,7 @@
             adoptPoolRow(row);
         }
     }
-    const bool tookEffectBefore = m_row && m_row->flush == m_inFlight->row.flush;
+    const bool tookEffectBefore = m_row && m_row->flushSequence == m_inFlight->row.flushSequence;
     if (tookEffectBefore) {
         m_predecessor.reset();
         m_inFlight->returned = 0;
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -320,7 +320,7 @@
     StoreTimeMs m_storeTime = 0;
     Instant m_storeTimeAt{};
 
-    std::uint64_t m_flush = 0;
+    std::uint64_t m_flushSequence = 0;
     std::optional<Flush> m_inFlight;
     std::optional<Instant> m_lastFlush;
     std::optional<Instant> m_lastRead;
--- a/src/tests/storedrowstest.cpp
+++ b/src/tests/storedrowstest.cpp
@@ -13,7 +13,7 @@
 
 const PoolRow s_pool{.prepaid = 5'000'000, .planVersion = 7, .allocated = 4'000'000};
 const HolderRow s_holder{.incarnation = "router~1",
-                         .flush = 12,
+                         .flushSequence = 12,
                          .granted = 90'000,
                          .settled = 70'000,
                          .committed = 75'000,
