--- a/src/budget/checkpointrow.cpp
+++ b/src/budget/checkpointrow.cpp
@@ -78,20 +78,20 @@
 
 }
 
-Tokens Commitment::most(double elapsedSeconds) const
+Tokens Commitment::limitAfter(double elapsedSeconds) const
 {
-    const double growing = std::max(0.0, elapsedSeconds - seconds(s_stillTime));
+    const double growing = std::max(0.0, elapsedSeconds - seconds(s_growthDelay));
     return committed + burst + static_cast<Tokens>(static_cast<double>(rate) * growing);
 }
 
-Tokens Checkpoint::mostCommitted(std::string_view team, StoreTimeMs deadBy) const
+Tokens Checkpoint::maxCommitted(std::string_view team, StoreTimeMs deadBy) const
 {
     const auto found = teams.find(team);
     if (found == teams.end()) {
         return 0;
     }
     const StoreTimeMs end = std::min(deadBy, diedBefore.value_or(deadBy));
-    return found->second.most(static_cast<double>(end - baseline) / s_msPerSecond);
+    return found->second.limitAfter(static_cast<double>(end - baseline) / s_msPerSecond);
 }
 
 std::string toText(const CheckpointRow &row)
--- a/src/budget/checkpointrow.h
+++ b/src/budget/checkpointrow.h
@@ -21,7 +21,7 @@
 /// Time after a checkpoint during which its commitments do not grow. A router that reaches the store writes its next checkpoint sooner, so
 /// growth is needed only while the store is away. What growth allows is lost when a router dies, because nobody knows how much of it was
 /// used; killed processes are mostly back within this time.
-inline constexpr Duration s_stillTime = std::chrono::milliseconds(2500);
+inline constexpr Duration s_growthDelay = std::chrono::milliseconds(2500);
 
 /// Upper limit of all token counts and times in stored rows. A larger value was not written by a router and is rejected, so that sums of
 /// stored values do not overflow.
@@ -31,12 +31,12 @@
 struct Commitment {
     /// Tokens spent, lent, or reserved at the time of the checkpoint.
     Tokens committed = 0;
-    /// Tokens that may be committed beyond that: `burst` at once, and `rate` tokens a second after `s_stillTime` has passed.
+    /// Tokens that may be committed beyond that: `burst` at once, and `rate` tokens a second after `s_growthDelay` has passed.
     Tokens burst = 0;
     Tokens rate = 0;
 
     /// Maximum number of committed tokens this long after the checkpoint.
-    Tokens most(double elapsedSeconds) const;
+    Tokens limitAfter(double elapsedSeconds) const;
 
     bool operator==(const Commitment &) const = default;
 };
@@ -53,7 +53,7 @@
     std::map<std::string, Commitment, std::less<>> teams;
 
     /// Maximum number of tokens that the process can have committed for the team if it was dead by `deadBy`.
-    Tokens mostCommitted(std::string_view team, StoreTimeMs deadBy) const;
+    Tokens maxCommitted(std::string_view team, StoreTimeMs deadBy) const;
 };
 
 /// A router's row: its own checkpoint, and those of earlier processes at its address whose holdings are not all recovered yet.
--- a/src/budget/holdercheckpoint.cpp
+++ b/src/budget/holdercheckpoint.cpp
@@ -147,7 +147,7 @@
     }
     const auto allowed = [&](const Counted &counted) {
         const auto found = counted.checkpoint.teams.find(team);
-        return found == counted.checkpoint.teams.end() ? 0 : found->second.most(seconds(now - counted.start));
+        return found == counted.checkpoint.teams.end() ? 0 : found->second.limitAfter(seconds(now - counted.start));
     };
     // The store contains the last acknowledged checkpoint or already the one in flight; a successor may rely on either.
     const Tokens sure = allowed(*m_acked);
@@ -180,7 +180,7 @@
     if (found == m_earlier.end() || !m_startedBefore) {
         return std::nullopt;
     }
-    return found->mostCommitted(team, *m_startedBefore);
+    return found->maxCommitted(team, *m_startedBefore);
 }
 
 }
--- a/src/budget/holdingpolicy.h
+++ b/src/budget/holdingpolicy.h
@@ -49,10 +49,10 @@
     Duration burstSpan = std::chrono::milliseconds(100);
     /// A budget that covers the demand of all routers for this long is ample. Such a team does not notice the tokens that the death of a
     /// router strands, but its callers would notice refusals while the store is away. The holder may then at once commit its demand over
-    /// the whole time before the commitment grows (`s_stillTime`).
+    /// the whole time before the commitment grows (`s_growthDelay`).
     Duration ampleSpan = std::chrono::seconds(30);
-    /// After `s_stillTime` a commitment grows at this multiple of demand, to make up for the time without growth, and at least at the rate
-    /// that would use up the unused tokens within `paceSpan`, because a demand of a few requests a second is known only roughly.
+    /// After `s_growthDelay` a commitment grows at this multiple of demand, to make up for the time without growth, and at least at the
+    /// rate that would use up the unused tokens within `paceSpan`, because a demand of a few requests a second is known only roughly.
     double paceOfDemand = 1.6;
     Duration paceSpan = std::chrono::seconds(12);
     /// Whether a budget is held by a few assigned routers instead of by all, and whether routers lend each other tokens. Without loans each
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -67,7 +67,7 @@
     const double wanted = demand(now);
     const double pace = std::max(policy.paceOfDemand * wanted, static_cast<double>(unused) / seconds(policy.paceSpan));
     const Duration soon = policy.burstSpan + 2 * storeTakes;
-    const Duration span = ample(wanted) ? std::max(soon, s_stillTime) : soon;
+    const Duration span = ample(wanted) ? std::max(soon, s_growthDelay) : soon;
     const auto ahead = static_cast<Tokens>(wanted * seconds(span));
     return Commitment{
         .committed = committed(), .burst = std::min(unused, ahead + m_waiting), .rate = std::min(unused, static_cast<Tokens>(pace))};
--- a/src/tests/storedrowstest.cpp
+++ b/src/tests/storedrowstest.cpp
@@ -125,7 +125,7 @@
         const HolderRow holder = holderRowFrom(row(spoilt(toText(s_holder), random)));
         BOOST_TEST((holder.granted >= 0 && holder.settled >= 0));
         for (const auto &[team, commitment] : checkpointRowFrom(row(spoilt(checkpoint, random))).own.teams) {
-            BOOST_TEST(commitment.most(1e6) >= 0);
+            BOOST_TEST(commitment.limitAfter(1e6) >= 0);
         }
     }
     const std::string nested(200'000, '[');
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -205,7 +205,7 @@
     BOOST_TEST(loan.tokens == 6000);
     const RowsRead rows = scene.store.rows.read(s_checkpointTable, "10.0.0.1:80", 0);
     BOOST_REQUIRE(rows.rows.size() == 1);
-    BOOST_TEST(checkpointRowFrom(rows.rows.front()).own.teams.at("team").most(0) >= 6000);
+    BOOST_TEST(checkpointRowFrom(rows.rows.front()).own.teams.at("team").limitAfter(0) >= 6000);
 }
 
 // Guards against small loans after a restart of all routers, when the demand of a team is at one of them. A peer asked for more than it
