--- a/src/budget/checkpointrow.cpp
+++ b/src/budget/checkpointrow.cpp
@@ -96,11 +96,11 @@
 
 std::string toText(const CheckpointRow &row)
 {
-    boost::json::array earlier;
-    for (const Checkpoint &checkpoint : row.earlier) {
-        earlier.push_back(toJson(checkpoint));
+    boost::json::array predecessors;
+    for (const Checkpoint &checkpoint : row.predecessors) {
+        predecessors.push_back(toJson(checkpoint));
     }
-    return boost::json::serialize(boost::json::object{{"own", toJson(row.own)}, {"earlier", std::move(earlier)}});
+    return boost::json::serialize(boost::json::object{{"own", toJson(row.own)}, {"earlier", std::move(predecessors)}});
 }
 
 CheckpointRow checkpointRowFrom(const StoredRow &stored)
@@ -110,8 +110,8 @@
         const boost::json::value value = boost::json::parse(stored.value);
         const boost::json::object &object = value.as_object();
         row.own = checkpointFrom(object.at("own"));
-        for (const boost::json::value &earlier : object.at("earlier").as_array()) {
-            row.earlier.push_back(checkpointFrom(earlier));
+        for (const boost::json::value &predecessor : object.at("earlier").as_array()) {
+            row.predecessors.push_back(checkpointFrom(predecessor));
         }
     } catch (const std::exception &problem) {
         logLine(Severity::Error, "checkpoint.row_unreadable", {{"router", stored.address.part}, {"detail", problem.what()}});
--- a/src/budget/checkpointrow.h
+++ b/src/budget/checkpointrow.h
@@ -59,7 +59,7 @@
 /// A router's row: its own checkpoint, and those of earlier processes at its address whose holdings are not all recovered yet.
 struct CheckpointRow {
     Checkpoint own;
-    std::vector<Checkpoint> earlier;
+    std::vector<Checkpoint> predecessors;
 };
 
 /// Serialize a row to its text in the store, and parse it. A text that cannot be parsed is logged as an error and yields a row without
--- a/src/budget/holdercheckpoint.cpp
+++ b/src/budget/holdercheckpoint.cpp
@@ -9,7 +9,7 @@
 
 /// Maximum number of dead processes whose checkpoints are kept. More of them mean a router that dies repeatedly before it recovers
 /// anything; all that the oldest ones held then counts as spent.
-constexpr std::size_t s_mostEarlier = 8;
+constexpr std::size_t s_maxPredecessors = 8;
 /// Step of the search for the time at which a limit is reached.
 constexpr Duration s_limitStep = std::chrono::milliseconds(50);
 
@@ -43,16 +43,16 @@
 void HolderCheckpoint::adopt(const StoredRow *row)
 {
     m_version = row == nullptr ? 0 : row->version;
-    m_earlier.clear();
+    m_predecessors.clear();
     if (row == nullptr) {
         return;
     }
     CheckpointRow seen = checkpointRowFrom(*row);
-    m_earlier = std::move(seen.earlier);
+    m_predecessors = std::move(seen.predecessors);
     if (!seen.own.incarnation.empty()) {
-        m_earlier.insert(m_earlier.begin(), std::move(seen.own));
+        m_predecessors.insert(m_predecessors.begin(), std::move(seen.own));
     }
-    m_earlier.resize(std::min(m_earlier.size(), s_mostEarlier));
+    m_predecessors.resize(std::min(m_predecessors.size(), s_maxPredecessors));
 }
 
 StoreTimeMs HolderCheckpoint::storeTimeAtLeast(Instant now) const
@@ -74,7 +74,7 @@
         // The first write promises nothing, because the store's time, and so the baseline, is not known yet.
         row.own.teams = teams;
     }
-    row.earlier = m_earlier;
+    row.predecessors = m_predecessors;
     Write write{.counted = {.checkpoint = row.own, .start = now}, .sentAt = now};
     write.transaction.conditions.push_back({.address = address(), .version = m_version});
     write.transaction.changes.push_back({.address = address(), .value = toText(row)});
@@ -117,7 +117,7 @@
         // The store answered after the write was sent, so this is an upper limit of its clock at the start. A suspension in between only
         // makes the measured time since the start too short and the limit too late, which is safe.
         m_startedBefore = m_storeTime - inMs(m_inFlight->sentAt - m_options.startedAt);
-        for (Checkpoint &checkpoint : m_earlier) {
+        for (Checkpoint &checkpoint : m_predecessors) {
             checkpoint.diedBefore = std::min(*m_startedBefore, checkpoint.diedBefore.value_or(*m_startedBefore));
         }
     }
@@ -166,8 +166,8 @@
 
 Tokens HolderCheckpoint::committedBy(std::string_view incarnation, std::string_view team) const
 {
-    const auto found = std::ranges::find(m_earlier, incarnation, &Checkpoint::incarnation);
-    if (found == m_earlier.end()) {
+    const auto found = std::ranges::find(m_predecessors, incarnation, &Checkpoint::incarnation);
+    if (found == m_predecessors.end()) {
         return 0;
     }
     const auto commitment = found->teams.find(team);
@@ -176,8 +176,8 @@
 
 std::optional<Tokens> HolderCheckpoint::spentBy(std::string_view incarnation, std::string_view team) const
 {
-    const auto found = std::ranges::find(m_earlier, incarnation, &Checkpoint::incarnation);
-    if (found == m_earlier.end() || !m_startedBefore) {
+    const auto found = std::ranges::find(m_predecessors, incarnation, &Checkpoint::incarnation);
+    if (found == m_predecessors.end() || !m_startedBefore) {
         return std::nullopt;
     }
     return found->maxCommitted(team, *m_startedBefore);
--- a/src/budget/holdercheckpoint.h
+++ b/src/budget/holdercheckpoint.h
@@ -86,15 +86,15 @@
     Tokens committedBy(std::string_view incarnation, std::string_view team) const;
 
     /// Discards the checkpoints of dead processes at this address, once all their holdings are recovered.
-    void forgetEarlier()
+    void discardPredecessors()
     {
-        m_earlier.clear();
+        m_predecessors.clear();
     }
 
     /// Whether checkpoints of dead processes are kept.
-    bool keepsEarlier() const
+    bool hasPredecessors() const
     {
-        return !m_earlier.empty();
+        return !m_predecessors.empty();
     }
 
     /// Whether another process has taken over this address.
@@ -142,7 +142,7 @@
     std::uint64_t m_sequence = 0;
     std::optional<Counted> m_acked;
     std::optional<Write> m_inFlight;
-    std::vector<Checkpoint> m_earlier;
+    std::vector<Checkpoint> m_predecessors;
     /// Upper limit of the store's clock at the start of this process. Taken from the answer to a transaction: an outdated read may carry an
     /// outdated time, and the predecessor would seem to have died before its last commitments.
     std::optional<StoreTimeMs> m_startedBefore;
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -237,7 +237,7 @@
         }
     }
     if (recovered && !m_entries.empty()) {
-        m_checkpoint->forgetEarlier();
+        m_checkpoint->discardPredecessors();
     }
     return m_checkpoint->plan(commitments, now);
 }
--- a/src/measure/bookrouter.cpp
+++ b/src/measure/bookrouter.cpp
@@ -141,7 +141,7 @@
         recovered = recovered && holding->recovered();
     }
     if (recovered) {
-        m_checkpoint.forgetEarlier();
+        m_checkpoint.discardPredecessors();
     }
     if (const std::optional<RowTransaction> transaction = m_checkpoint.plan(commitments, m_store.now)) {
         ++m_store.use.checkpoints;
--- a/src/tests/holdercheckpointtest.cpp
+++ b/src/tests/holdercheckpointtest.cpp
@@ -146,7 +146,7 @@
     third.start({});
     BOOST_TEST(third.checkpoint.spentBy("a", "team").value() == 1400);
     BOOST_TEST(third.checkpoint.spentBy("b", "team").value() == 0);
-    third.checkpoint.forgetEarlier();
+    third.checkpoint.discardPredecessors();
     BOOST_TEST(third.write({}));
     Router fourth(store, "d", Instant(ms(9500)));
     fourth.start({});
@@ -170,14 +170,14 @@
 {
     const CheckpointRow row{
         .own = {.incarnation = "b", .sequence = 7, .baseline = 90, .teams = {{"team", s_promise}}},
-        .earlier = {{.incarnation = "a", .sequence = 2, .baseline = 10, .diedBefore = 80, .teams = {{"t", s_promise}}}}};
+        .predecessors = {{.incarnation = "a", .sequence = 2, .baseline = 10, .diedBefore = 80, .teams = {{"t", s_promise}}}}};
     const CheckpointRow back = checkpointRowFrom({.value = toText(row), .version = 1});
     BOOST_TEST(back.own.incarnation == "b");
     BOOST_TEST(back.own.sequence == 7);
     BOOST_TEST((back.own.teams.at("team") == s_promise));
-    BOOST_REQUIRE(back.earlier.size() == 1);
-    BOOST_TEST(back.earlier.front().diedBefore.value() == 80);
-    BOOST_TEST((back.earlier.front().teams.at("t") == s_promise));
+    BOOST_REQUIRE(back.predecessors.size() == 1);
+    BOOST_TEST(back.predecessors.front().diedBefore.value() == 80);
+    BOOST_TEST((back.predecessors.front().teams.at("t") == s_promise));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/storedrowstest.cpp
+++ b/src/tests/storedrowstest.cpp
@@ -61,10 +61,10 @@
     holder.writtenAt = -1500;
     BOOST_TEST(holderRowFrom(row(toText(holder))).granted == s_holder.granted);
     const CheckpointRow checkpoint{.own = {.incarnation = "router~2", .baseline = -200},
-                                   .earlier = {{.incarnation = "router~1", .baseline = -900, .diedBefore = -100}}};
+                                   .predecessors = {{.incarnation = "router~1", .baseline = -900, .diedBefore = -100}}};
     const CheckpointRow back = checkpointRowFrom(row(toText(checkpoint)));
     BOOST_TEST(back.own.incarnation == "router~2");
-    BOOST_TEST(back.earlier.size() == 1U);
+    BOOST_TEST(back.predecessors.size() == 1U);
 }
 
 // Guards against a team that gets its budget twice: a pool row whose allocated tokens are missing or invalid must not be read as a pool of
--- a/src/tests/teamholdingtest.cpp
+++ b/src/tests/teamholdingtest.cpp
@@ -49,7 +49,7 @@
             commitments.emplace("team", *commitment);
         }
         if (holding.recovered()) {
-            checkpoint.forgetEarlier();
+            checkpoint.discardPredecessors();
         }
         return checkpoint.plan(commitments, now);
     }
