--- a/src/budget/holdercheckpoint.cpp
+++ b/src/budget/holdercheckpoint.cpp
@@ -70,7 +70,7 @@
         return m_inFlight->transaction;
     }
     CheckpointRow row{.own = {.incarnation = m_options.incarnation, .sequence = ++m_sequence, .baseline = storeTimeAtLeast(now)}};
-    if (sealed()) {
+    if (predecessorsFenced()) {
         // The first write promises nothing, because the store's time, and so the baseline, is not known yet.
         row.own.teams = teams;
     }
@@ -100,7 +100,7 @@
         return true;
     }
     m_inFlight.reset();
-    if (sealed()) {
+    if (predecessorsFenced()) {
         // Only a process that could bind this address writes this row.
         m_fenced = true;
     } else {
--- a/src/budget/holdercheckpoint.h
+++ b/src/budget/holdercheckpoint.h
@@ -74,7 +74,7 @@
     std::optional<Duration> timeUntil(std::string_view team, Tokens committed, Instant now, Duration horizon) const;
 
     /// Whether the predecessors' checkpoints are final: none of their writes can take effect any more.
-    bool sealed() const
+    bool predecessorsFenced() const
     {
         return m_acked.has_value();
     }
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -163,7 +163,7 @@
 
 std::optional<TeamHolding::Recovery> TeamHolding::recovery() const
 {
-    if (!m_predecessor || !m_checkpoint.sealed()) {
+    if (!m_predecessor || !m_checkpoint.predecessorsFenced()) {
         return std::nullopt;
     }
     return Recovery{.incarnation = m_predecessor->incarnation,
@@ -437,7 +437,7 @@
 bool TeamHolding::mayFlush() const
 {
     // The next flush recovers what a dead process left, for which that process's checkpoint must be final.
-    return m_loaded && !m_fenced && (!m_predecessor || m_checkpoint.sealed());
+    return m_loaded && !m_fenced && (!m_predecessor || m_checkpoint.predecessorsFenced());
 }
 
 std::optional<RowTransaction> TeamHolding::planFlush(std::size_t routers, Instant now)
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -198,7 +198,7 @@
 
 Instant TeamLedger::checkpointDue(Instant now) const
 {
-    if (!m_lastCheckpoint || !m_checkpoint->sealed() || m_checkpoint->undecided()) {
+    if (!m_lastCheckpoint || !m_checkpoint->predecessorsFenced() || m_checkpoint->undecided()) {
         return now;
     }
     if (m_waiters > 0) {
@@ -244,12 +244,12 @@
 
 void TeamLedger::checkpointAnswered(const RowVerdict &verdict, Instant now)
 {
-    const bool wasSealed = m_checkpoint->sealed();
+    const bool fencedBefore = m_checkpoint->predecessorsFenced();
     m_storeTakes += (now - m_checkpointBegun - m_storeTakes) / s_latencyWeight;
     m_checkpoint->answered(verdict, now);
     for (const auto &[team, account] : m_entries) {
         account->answered.notify();
-        if (!wasSealed) {
+        if (!fencedBefore) {
             // Recoveries waited for this checkpoint.
             account->urgent.notify();
         }
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -75,7 +75,7 @@
         ledger.setPrepaid("team", {.prepaid = s_prepaid, .planVersion = 1});
         asio::co_spawn(loop, checkpoints.run(), asio::detached);
         runUntil([this] {
-            return ledger.checkpoint().sealed();
+            return ledger.checkpoint().predecessorsFenced();
         });
     }
 
