--- a/src/budget/checkpointkeeper.h
+++ b/src/budget/checkpointkeeper.h
@@ -41,7 +41,7 @@
     {
         while (!m_ledger.checkpoint().fenced()) {
             bool answered = true;
-            if (m_ledger.checkpoint().wantsRead()) {
+            if (m_ledger.checkpoint().needsRead()) {
                 answered = co_await read();
             }
             if (answered) {
@@ -71,7 +71,7 @@
         const RowAddress address = m_ledger.checkpoint().address();
         const absl::StatusOr<RowsRead> rows = co_await m_store.read(address.table, address.part);
         if (rows.ok()) {
-            m_ledger.checkpoint().loaded(*rows);
+            m_ledger.checkpoint().handleRead(*rows);
         }
         co_return rows.ok();
     }
@@ -88,9 +88,9 @@
             co_return true;
         }
         if (toFailure(verdict.status()).ran == Ran::No) {
-            m_ledger.checkpoint().declined();
+            m_ledger.checkpoint().writeDeclined();
         } else {
-            m_ledger.checkpoint().lost();
+            m_ledger.checkpoint().writeLost();
         }
         co_return false;
     }
--- a/src/budget/holdercheckpoint.cpp
+++ b/src/budget/holdercheckpoint.cpp
@@ -30,7 +30,7 @@
     return {.table = std::string(s_checkpointTable), .part = m_options.holder, .key = std::string(s_checkpointKey)};
 }
 
-void HolderCheckpoint::loaded(const RowsRead &read)
+void HolderCheckpoint::handleRead(const RowsRead &read)
 {
     if (m_read) {
         return;
@@ -60,7 +60,7 @@
     return m_storeTime + inMs(now - m_storeTimeAt);
 }
 
-std::optional<RowTransaction> HolderCheckpoint::plan(const Commitments &teams, Instant now)
+std::optional<RowTransaction> HolderCheckpoint::planWrite(const Commitments &teams, Instant now)
 {
     if (!m_read || m_fenced) {
         return std::nullopt;
@@ -75,14 +75,14 @@
         row.own.teams = teams;
     }
     row.predecessors = m_predecessors;
-    Write write{.counted = {.checkpoint = row.own, .start = now}, .sentAt = now};
+    Write write{.timed = {.checkpoint = row.own, .start = now}, .sentAt = now};
     write.transaction.conditions.push_back({.address = address(), .version = m_version});
     write.transaction.changes.push_back({.address = address(), .value = toText(row)});
     m_inFlight = std::move(write);
     return m_inFlight->transaction;
 }
 
-bool HolderCheckpoint::answered(const RowVerdict &verdict, Instant now)
+bool HolderCheckpoint::writeAnswered(const RowVerdict &verdict, Instant now)
 {
     if (!m_inFlight) {
         return false;
@@ -94,7 +94,7 @@
     const auto current = std::ranges::find(verdict.current, address(), &StoredRow::address);
     const StoredRow *row = current == verdict.current.end() ? nullptr : &*current;
     const Checkpoint seen = row == nullptr ? Checkpoint{} : checkpointRowFrom(*row).own;
-    if (row != nullptr && seen.incarnation == m_options.incarnation && seen.sequence == m_inFlight->counted.checkpoint.sequence) {
+    if (row != nullptr && seen.incarnation == m_options.incarnation && seen.sequence == m_inFlight->timed.checkpoint.sequence) {
         // The store applied this write earlier, and its answer was lost.
         stand(verdict, row->version, now);
         return true;
@@ -122,21 +122,21 @@
         }
     }
     m_version = version;
-    m_acked = std::move(m_inFlight->counted);
+    m_acked = std::move(m_inFlight->timed);
     m_inFlight.reset();
 }
 
-void HolderCheckpoint::declined()
+void HolderCheckpoint::writeDeclined()
 {
-    if (m_inFlight && !m_inFlight->lost) {
+    if (m_inFlight && !m_inFlight->outcomeUnknown) {
         m_inFlight.reset();
     }
 }
 
-void HolderCheckpoint::lost()
+void HolderCheckpoint::writeLost()
 {
     if (m_inFlight) {
-        m_inFlight->lost = true;
+        m_inFlight->outcomeUnknown = true;
     }
 }
 
@@ -145,13 +145,13 @@
     if (!m_acked || m_fenced) {
         return 0;
     }
-    const auto allowed = [&](const Counted &counted) {
-        const auto found = counted.checkpoint.teams.find(team);
-        return found == counted.checkpoint.teams.end() ? 0 : found->second.limitAfter(seconds(now - counted.start));
+    const auto allowed = [&](const TimedCheckpoint &timed) {
+        const auto found = timed.checkpoint.teams.find(team);
+        return found == timed.checkpoint.teams.end() ? 0 : found->second.limitAfter(seconds(now - timed.start));
     };
     // The store contains the last acknowledged checkpoint or already the one in flight; a successor may rely on either.
     const Tokens sure = allowed(*m_acked);
-    return m_inFlight ? std::min(sure, allowed(m_inFlight->counted)) : sure;
+    return m_inFlight ? std::min(sure, allowed(m_inFlight->timed)) : sure;
 }
 
 std::optional<Duration> HolderCheckpoint::timeUntil(std::string_view team, Tokens committed, Instant now, Duration horizon) const
--- a/src/budget/holdercheckpoint.h
+++ b/src/budget/holdercheckpoint.h
@@ -46,26 +46,26 @@
     RowAddress address() const;
 
     /// Whether the row has yet to be read.
-    bool wantsRead() const
+    bool needsRead() const
     {
         return !m_read;
     }
 
     /// Takes the router's part of the checkpoint table, as read at the start.
-    void loaded(const RowsRead &read);
+    void handleRead(const RowsRead &read);
 
     /// The next write: a checkpoint with the commitments `teams` as of now, or the previous write again while its outcome is unknown. None
     /// before the row has been read, and once fenced.
-    std::optional<RowTransaction> plan(const Commitments &teams, Instant now);
+    std::optional<RowTransaction> planWrite(const Commitments &teams, Instant now);
 
     /// The store decided the write. Returns whether the planned checkpoint is in effect.
-    bool answered(const RowVerdict &verdict, Instant now);
+    bool writeAnswered(const RowVerdict &verdict, Instant now);
 
     /// The store did not accept the write, and it will not take effect later.
-    void declined();
+    void writeDeclined();
 
     /// No answer arrived: the write may have taken effect, or may still do so.
-    void lost();
+    void writeLost();
 
     /// The maximum number of committed tokens for the team now, under every checkpoint that the store may contain.
     Tokens limit(std::string_view team, Instant now) const;
@@ -110,25 +110,25 @@
     }
 
     /// Whether the outcome of a write is pending.
-    bool undecided() const
+    bool writePending() const
     {
         return m_inFlight.has_value();
     }
 
 private:
     /// A checkpoint, and the time on this process's clock at which it was made.
-    struct Counted {
+    struct TimedCheckpoint {
         Checkpoint checkpoint;
         Instant start{};
     };
 
     struct Write {
         RowTransaction transaction;
-        Counted counted;
+        TimedCheckpoint timed;
         /// When the write was last sent. The store decided the answered copy no earlier.
         Instant sentAt{};
         /// Whether the outcome is unknown. The write is then sent again unchanged until the store decides it.
-        bool lost = false;
+        bool outcomeUnknown = false;
     };
 
     StoreTimeMs storeTimeAtLeast(Instant now) const;
@@ -140,7 +140,7 @@
     bool m_fenced = false;
     std::uint64_t m_version = 0;
     std::uint64_t m_sequence = 0;
-    std::optional<Counted> m_acked;
+    std::optional<TimedCheckpoint> m_acked;
     std::optional<Write> m_inFlight;
     std::vector<Checkpoint> m_predecessors;
     /// Upper limit of the store's clock at the start of this process. Taken from the answer to a transaction: an outdated read may carry an
--- a/src/budget/ledgerkeeper.h
+++ b/src/budget/ledgerkeeper.h
@@ -47,7 +47,7 @@
         while (!entry.holding.fenced()) {
             m_ledger.returnIdleLoan(entry, team);
             std::optional<bool> answered;
-            if (entry.holding.wantsRead(steadyNow())) {
+            if (entry.holding.needsRead(steadyNow())) {
                 answered = co_await readRows(entry, team);
             }
             const Instant now = steadyNow();
@@ -84,7 +84,7 @@
         if (!rows.ok()) {
             co_return false;
         }
-        const bool taken = entry.holding.loaded(*rows, steadyNow());
+        const bool taken = entry.holding.handleRead(*rows, steadyNow());
         entry.answered.notify();
         co_return taken;
     }
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -234,7 +234,7 @@
     return changes;
 }
 
-bool TeamHolding::wantsRead(Instant now) const
+bool TeamHolding::needsRead(Instant now) const
 {
     if (!m_loaded || !m_lastRead) {
         return true;
@@ -256,7 +256,7 @@
     return m_storeTime + std::chrono::duration_cast<std::chrono::milliseconds>(now - m_storeTimeAt).count();
 }
 
-bool TeamHolding::loaded(const RowsRead &read, Instant now)
+bool TeamHolding::handleRead(const RowsRead &read, Instant now)
 {
     if (read.version < m_seenVersion) {
         return false;
@@ -524,7 +524,7 @@
 
 void TeamHolding::flushDeclined()
 {
-    if (m_inFlight && !m_inFlight->lost) {
+    if (m_inFlight && !m_inFlight->outcomeUnknown) {
         withdrawFlush();
     }
 }
@@ -532,7 +532,7 @@
 void TeamHolding::flushLost()
 {
     if (m_inFlight) {
-        m_inFlight->lost = true;
+        m_inFlight->outcomeUnknown = true;
     }
 }
 
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -161,10 +161,10 @@
     /// Takes the rows of the team's part. A read of an older state than the store has shown before is ignored: a store that is rebuilding
     /// its history may return one, and a holder that relied on it would conclude that its own row was removed. Returns whether the read was
     /// used.
-    bool loaded(const RowsRead &read, Instant now);
+    bool handleRead(const RowsRead &read, Instant now);
 
     /// Whether the rows have to be read before anything else: at the start, and when a refusal depends on what other routers hold.
-    bool wantsRead(Instant now) const;
+    bool needsRead(Instant now) const;
 
     /// Time at which the next flush is due; none when nothing has to be written.
     std::optional<Instant> nextFlush(std::size_t routers, Instant now) const;
@@ -262,7 +262,7 @@
         Tokens returned = 0;
         bool removesRow = false;
         /// Whether the outcome is unknown. The flush is then sent again unchanged until the store decides it.
-        bool lost = false;
+        bool outcomeUnknown = false;
     };
 
     RowAddress poolAddress() const;
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -198,7 +198,7 @@
 
 Instant TeamLedger::checkpointDue(Instant now) const
 {
-    if (!m_lastCheckpoint || !m_checkpoint->predecessorsFenced() || m_checkpoint->undecided()) {
+    if (!m_lastCheckpoint || !m_checkpoint->predecessorsFenced() || m_checkpoint->writePending()) {
         return now;
     }
     if (m_waiters > 0) {
@@ -225,7 +225,7 @@
 std::optional<RowTransaction> TeamLedger::planCheckpoint(Instant now)
 {
     m_lastCheckpoint = now;
-    if (!m_checkpoint->undecided()) {
+    if (!m_checkpoint->writePending()) {
         m_checkpointBegun = now;
     }
     HolderCheckpoint::Commitments commitments;
@@ -239,14 +239,14 @@
     if (recovered && !m_entries.empty()) {
         m_checkpoint->discardPredecessors();
     }
-    return m_checkpoint->plan(commitments, now);
+    return m_checkpoint->planWrite(commitments, now);
 }
 
 void TeamLedger::checkpointAnswered(const RowVerdict &verdict, Instant now)
 {
     const bool fencedBefore = m_checkpoint->predecessorsFenced();
     m_storeTakes += (now - m_checkpointBegun - m_storeTakes) / s_latencyWeight;
-    m_checkpoint->answered(verdict, now);
+    m_checkpoint->writeAnswered(verdict, now);
     for (const auto &[team, account] : m_entries) {
         account->answered.notify();
         if (!fencedBefore) {
--- a/src/measure/bookfleet.cpp
+++ b/src/measure/bookfleet.cpp
@@ -65,7 +65,7 @@
         const RowsRead rows = m_store.rows.read(s_budgetTable, BookRouter::teamName(budget), m_store.time);
         for (const auto &router : m_routers) {
             TeamHolding &holding = router->holding(budget);
-            holding.loaded(rows, m_store.now);
+            holding.handleRead(rows, m_store.now);
             left += holding.unused() + holding.borrowed();
         }
         left += m_routers.front()->holding(budget).freeInPool();
--- a/src/measure/bookrouter.cpp
+++ b/src/measure/bookrouter.cpp
@@ -79,13 +79,13 @@
         return;
     }
     for (const auto &[budget, holding] : m_holdings) {
-        if (holding->wantsRead(m_store.now)) {
+        if (holding->needsRead(m_store.now)) {
             const RowsRead rows = m_store.rows.read(s_budgetTable, teamName(budget), m_store.time);
             ++m_store.use.reads;
             for (const StoredRow &row : rows.rows) {
                 m_store.use.bytes += s_rowOverhead + encodedSize(row.value.size());
             }
-            holding->loaded(rows, m_store.now);
+            holding->handleRead(rows, m_store.now);
         }
         const std::optional<Instant> due = holding->nextFlush(routers, m_store.now);
         if (due && *due <= m_store.now) {
@@ -128,8 +128,8 @@
 
 void BookRouter::writeCheckpoint()
 {
-    if (m_checkpoint.wantsRead()) {
-        m_checkpoint.loaded(m_store.rows.read(s_checkpointTable, m_holder, m_store.time));
+    if (m_checkpoint.needsRead()) {
+        m_checkpoint.handleRead(m_store.rows.read(s_checkpointTable, m_holder, m_store.time));
     }
     m_lastCheckpoint = m_store.now;
     HolderCheckpoint::Commitments commitments;
@@ -143,10 +143,10 @@
     if (recovered) {
         m_checkpoint.discardPredecessors();
     }
-    if (const std::optional<RowTransaction> transaction = m_checkpoint.plan(commitments, m_store.now)) {
+    if (const std::optional<RowTransaction> transaction = m_checkpoint.planWrite(commitments, m_store.now)) {
         ++m_store.use.checkpoints;
         addBytes(*transaction);
-        m_checkpoint.answered(*m_store.rows.transact(*transaction, m_store.time), m_store.now);
+        m_checkpoint.writeAnswered(*m_store.rows.transact(*transaction, m_store.time), m_store.now);
     }
 }
 
--- a/src/tests/holdercheckpointtest.cpp
+++ b/src/tests/holdercheckpointtest.cpp
@@ -32,19 +32,19 @@
 
     void read()
     {
-        checkpoint.loaded(store.read(s_checkpointTable, "10.0.0.1:80", storeTime()));
+        checkpoint.handleRead(store.read(s_checkpointTable, "10.0.0.1:80", storeTime()));
     }
 
     RowTransaction plan(const HolderCheckpoint::Commitments &teams)
     {
-        const auto planned = checkpoint.plan(teams, now);
+        const auto planned = checkpoint.planWrite(teams, now);
         BOOST_REQUIRE(planned.has_value());
         return *planned;
     }
 
     bool write(const HolderCheckpoint::Commitments &teams)
     {
-        return checkpoint.answered(*store.transact(plan(teams), storeTime()), now);
+        return checkpoint.writeAnswered(*store.transact(plan(teams), storeTime()), now);
     }
 
     /// Reads the row, fences off predecessors, and writes the commitments.
@@ -89,7 +89,7 @@
     router.start({{"team", s_promise}});
     const RowTransaction lost = router.plan({{"team", {.committed = 1000}}});
     BOOST_TEST(store.transact(lost, router.storeTime())->applied);
-    router.checkpoint.lost();
+    router.checkpoint.writeLost();
     BOOST_TEST(router.checkpoint.limit("team", router.now + ms(5000)) == 1000);
 }
 
@@ -103,7 +103,7 @@
     Router successor(store, "b", Instant(ms(4250)));
     successor.read();
     const RowTransaction unanswered = successor.plan({});
-    successor.checkpoint.lost();
+    successor.checkpoint.writeLost();
     successor.now += ms(3000);
     BOOST_TEST(successor.write({}));
     BOOST_TEST(successor.checkpoint.spentBy("a", "team").value() == 1500);
@@ -128,7 +128,7 @@
 
     const RowTransaction later = dead.plan({{"team", {.committed = 9000}}});
     BOOST_TEST(!store.transact(later, successor.storeTime())->applied);
-    BOOST_TEST(!dead.checkpoint.answered(*store.transact(later, successor.storeTime()), dead.now));
+    BOOST_TEST(!dead.checkpoint.writeAnswered(*store.transact(later, successor.storeTime()), dead.now));
     BOOST_TEST(dead.checkpoint.fenced());
     BOOST_TEST(dead.checkpoint.limit("team", dead.now) == 0);
 }
--- a/src/tests/teamholdingtest.cpp
+++ b/src/tests/teamholdingtest.cpp
@@ -51,7 +51,7 @@
         if (holding.recovered()) {
             checkpoint.discardPredecessors();
         }
-        return checkpoint.plan(commitments, now);
+        return checkpoint.planWrite(commitments, now);
     }
 
     HolderCheckpoint checkpoint;
@@ -94,7 +94,7 @@
 
     void read(std::size_t router)
     {
-        process(router).holding.loaded(m_store.read(s_budgetTable, "team", m_storeNow), process(router).now);
+        process(router).holding.handleRead(m_store.read(s_budgetTable, "team", m_storeNow), process(router).now);
     }
 
     /// Keeps the result of a read, to be returned later.
@@ -106,7 +106,7 @@
     void staleRead(std::size_t router)
     {
         if (m_remembered) {
-            process(router).holding.loaded(*m_remembered, process(router).now);
+            process(router).holding.handleRead(*m_remembered, process(router).now);
         }
     }
 
@@ -149,8 +149,8 @@
     void checkpoint(std::size_t router, Fate fate)
     {
         Process &sender = process(router);
-        if (sender.checkpoint.wantsRead()) {
-            sender.checkpoint.loaded(m_store.read(s_checkpointTable, holderName(router), m_storeNow));
+        if (sender.checkpoint.needsRead()) {
+            sender.checkpoint.handleRead(m_store.read(s_checkpointTable, holderName(router), m_storeNow));
             return;
         }
         const auto transaction = sender.planCheckpoint();
@@ -158,22 +158,22 @@
             return;
         }
         if (fate == Fate::Declined) {
-            sender.checkpoint.declined();
+            sender.checkpoint.writeDeclined();
             return;
         }
         if (fate == Fate::Late) {
             m_late.push_back(*transaction);
         }
         if (fate == Fate::LostBefore || fate == Fate::Late) {
-            sender.checkpoint.lost();
+            sender.checkpoint.writeLost();
             return;
         }
         const auto verdict = m_store.transact(*transaction, m_storeNow);
         RC_ASSERT(verdict.ok());
         if (fate == Fate::LostAfter) {
-            sender.checkpoint.lost();
+            sender.checkpoint.writeLost();
         } else {
-            sender.checkpoint.answered(*verdict, sender.now);
+            sender.checkpoint.writeAnswered(*verdict, sender.now);
         }
     }
 
@@ -553,11 +553,11 @@
     Process successor(0, 99, single.fleet.process(0).now);
     MemoryRows &store = single.fleet.store();
     constexpr StoreTimeMs s_now = 1500;
-    successor.checkpoint.loaded(store.read(s_checkpointTable, holderName(0), s_now));
+    successor.checkpoint.handleRead(store.read(s_checkpointTable, holderName(0), s_now));
     const auto seal = successor.planCheckpoint();
     BOOST_REQUIRE(seal.has_value());
-    BOOST_TEST(successor.checkpoint.answered(*store.transact(*seal, s_now), successor.now));
-    successor.holding.loaded(store.read(s_budgetTable, "team", s_now), successor.now);
+    BOOST_TEST(successor.checkpoint.writeAnswered(*store.transact(*seal, s_now), successor.now));
+    successor.holding.handleRead(store.read(s_budgetTable, "team", s_now), successor.now);
     const auto recovery = successor.holding.planFlush(s_routers, successor.now);
     BOOST_REQUIRE(recovery.has_value());
     const auto verdict = store.transact(*recovery, s_now);
