--- a/src/budget/holdercheckpoint.cpp
+++ b/src/budget/holdercheckpoint.cpp
@@ -55,7 +55,7 @@
     m_predecessors.resize(std::min(m_predecessors.size(), s_maxPredecessors));
 }
 
-StoreTimeMs HolderCheckpoint::storeTimeAtLeast(Instant now) const
+StoreTimeMs HolderCheckpoint::minStoreTime(Instant now) const
 {
     return m_storeTime + inMs(now - m_storeTimeAt);
 }
@@ -69,7 +69,7 @@
         m_inFlight->sentAt = now;
         return m_inFlight->transaction;
     }
-    CheckpointRow row{.own = {.incarnation = m_options.incarnation, .sequence = ++m_sequence, .baseline = storeTimeAtLeast(now)}};
+    CheckpointRow row{.own = {.incarnation = m_options.incarnation, .sequence = ++m_sequence, .baseline = minStoreTime(now)}};
     if (predecessorsFenced()) {
         // The first write promises nothing, because the store's time, and so the baseline, is not known yet.
         row.own.teams = teams;
@@ -88,7 +88,7 @@
         return false;
     }
     if (verdict.applied) {
-        stand(verdict, verdict.version, now);
+        acknowledge(verdict, verdict.version, now);
         return true;
     }
     const auto current = std::ranges::find(verdict.current, address(), &StoredRow::address);
@@ -96,7 +96,7 @@
     const Checkpoint seen = row == nullptr ? Checkpoint{} : checkpointRowFrom(*row).own;
     if (row != nullptr && seen.incarnation == m_options.incarnation && seen.sequence == m_inFlight->timed.checkpoint.sequence) {
         // The store applied this write earlier, and its answer was lost.
-        stand(verdict, row->version, now);
+        acknowledge(verdict, row->version, now);
         return true;
     }
     m_inFlight.reset();
@@ -109,7 +109,7 @@
     return false;
 }
 
-void HolderCheckpoint::stand(const RowVerdict &verdict, std::uint64_t version, Instant now)
+void HolderCheckpoint::acknowledge(const RowVerdict &verdict, std::uint64_t version, Instant now)
 {
     m_storeTime = verdict.storeTime;
     m_storeTimeAt = now;
@@ -122,7 +122,7 @@
         }
     }
     m_version = version;
-    m_acked = std::move(m_inFlight->timed);
+    m_acknowledged = std::move(m_inFlight->timed);
     m_inFlight.reset();
 }
 
@@ -142,7 +142,7 @@
 
 Tokens HolderCheckpoint::limit(std::string_view team, Instant now) const
 {
-    if (!m_acked || m_fenced) {
+    if (!m_acknowledged || m_fenced) {
         return 0;
     }
     const auto allowed = [&](const TimedCheckpoint &timed) {
@@ -150,8 +150,8 @@
         return found == timed.checkpoint.teams.end() ? 0 : found->second.limitAfter(seconds(now - timed.start));
     };
     // The store contains the last acknowledged checkpoint or already the one in flight; a successor may rely on either.
-    const Tokens sure = allowed(*m_acked);
-    return m_inFlight ? std::min(sure, allowed(m_inFlight->timed)) : sure;
+    const Tokens acknowledged = allowed(*m_acknowledged);
+    return m_inFlight ? std::min(acknowledged, allowed(m_inFlight->timed)) : acknowledged;
 }
 
 std::optional<Duration> HolderCheckpoint::timeUntil(std::string_view team, Tokens committed, Instant now, Duration horizon) const
@@ -164,7 +164,7 @@
     return std::nullopt;
 }
 
-Tokens HolderCheckpoint::committedBy(std::string_view incarnation, std::string_view team) const
+Tokens HolderCheckpoint::committedAtCheckpoint(std::string_view incarnation, std::string_view team) const
 {
     const auto found = std::ranges::find(m_predecessors, incarnation, &Checkpoint::incarnation);
     if (found == m_predecessors.end()) {
@@ -174,7 +174,7 @@
     return commitment == found->teams.end() ? 0 : commitment->second.committed;
 }
 
-std::optional<Tokens> HolderCheckpoint::spentBy(std::string_view incarnation, std::string_view team) const
+std::optional<Tokens> HolderCheckpoint::maxSpentBy(std::string_view incarnation, std::string_view team) const
 {
     const auto found = std::ranges::find(m_predecessors, incarnation, &Checkpoint::incarnation);
     if (found == m_predecessors.end() || !m_startedBefore) {
--- a/src/budget/holdercheckpoint.h
+++ b/src/budget/holdercheckpoint.h
@@ -76,14 +76,14 @@
     /// Whether the predecessors' checkpoints are final: none of their writes can take effect any more.
     bool predecessorsFenced() const
     {
-        return m_acked.has_value();
+        return m_acknowledged.has_value();
     }
 
     /// The maximum that a dead process at this address can have committed for the team; none when it left no checkpoint.
-    std::optional<Tokens> spentBy(std::string_view incarnation, std::string_view team) const;
+    std::optional<Tokens> maxSpentBy(std::string_view incarnation, std::string_view team) const;
 
     /// What a dead process at this address had committed for the team at its last checkpoint; 0 when it left none.
-    Tokens committedBy(std::string_view incarnation, std::string_view team) const;
+    Tokens committedAtCheckpoint(std::string_view incarnation, std::string_view team) const;
 
     /// Discards the checkpoints of dead processes at this address, once all their holdings are recovered.
     void discardPredecessors()
@@ -104,9 +104,9 @@
     }
 
     /// When the newest acknowledged checkpoint was made; none before the first.
-    std::optional<Instant> ackedFrom() const
+    std::optional<Instant> acknowledgedCheckpointTime() const
     {
-        return m_acked ? std::optional(m_acked->start) : std::nullopt;
+        return m_acknowledged ? std::optional(m_acknowledged->start) : std::nullopt;
     }
 
     /// Whether the outcome of a write is pending.
@@ -131,16 +131,16 @@
         bool outcomeUnknown = false;
     };
 
-    StoreTimeMs storeTimeAtLeast(Instant now) const;
+    StoreTimeMs minStoreTime(Instant now) const;
     void adopt(const StoredRow *row);
-    void stand(const RowVerdict &verdict, std::uint64_t version, Instant now);
+    void acknowledge(const RowVerdict &verdict, std::uint64_t version, Instant now);
 
     Options m_options;
     bool m_read = false;
     bool m_fenced = false;
     std::uint64_t m_version = 0;
     std::uint64_t m_sequence = 0;
-    std::optional<TimedCheckpoint> m_acked;
+    std::optional<TimedCheckpoint> m_acknowledged;
     std::optional<Write> m_inFlight;
     std::vector<Checkpoint> m_predecessors;
     /// Upper limit of the store's clock at the start of this process. Taken from the answer to a transaction: an outdated read may carry an
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -43,9 +43,9 @@
 
 Tokens TeamHolding::granted() const
 {
-    const Tokens sure = m_row ? m_row->granted : 0;
+    const Tokens acknowledged = m_row ? m_row->granted : 0;
     // The store contains the row of the last acknowledged flush or already that of the one in flight.
-    return m_inFlight ? std::min(sure, m_inFlight->row.granted) : sure;
+    return m_inFlight ? std::min(acknowledged, m_inFlight->row.granted) : acknowledged;
 }
 
 Tokens TeamHolding::available(Instant now) const
@@ -158,7 +158,7 @@
 {
     // Nothing is known about a process that left no checkpoint, so all that it held counts as spent.
     const Tokens granted = m_predecessor->granted;
-    return std::min(granted, m_checkpoint.spentBy(m_predecessor->incarnation, m_options.team).value_or(granted));
+    return std::min(granted, m_checkpoint.maxSpentBy(m_predecessor->incarnation, m_options.team).value_or(granted));
 }
 
 std::optional<TeamHolding::Recovery> TeamHolding::recovery() const
@@ -168,9 +168,9 @@
     }
     return Recovery{.incarnation = m_predecessor->incarnation,
                     .granted = m_predecessor->granted,
-                    .committed = m_checkpoint.committedBy(m_predecessor->incarnation, m_options.team),
+                    .committed = m_checkpoint.committedAtCheckpoint(m_predecessor->incarnation, m_options.team),
                     .countedAsSpent = spentByPredecessor(),
-                    .checkpointKnown = m_checkpoint.spentBy(m_predecessor->incarnation, m_options.team).has_value()};
+                    .checkpointKnown = m_checkpoint.maxSpentBy(m_predecessor->incarnation, m_options.team).has_value()};
 }
 
 Tokens TeamHolding::lend(Tokens asked, Instant now)
@@ -245,13 +245,13 @@
     return urgent || (m_askedSinceRead && age >= interval);
 }
 
-void TeamHolding::noteStoreTime(StoreTimeMs time, Instant now)
+void TeamHolding::setStoreTime(StoreTimeMs time, Instant now)
 {
     m_storeTime = time;
     m_storeTimeAt = now;
 }
 
-StoreTimeMs TeamHolding::storeTimeAtLeast(Instant now) const
+StoreTimeMs TeamHolding::minStoreTime(Instant now) const
 {
     return m_storeTime + std::chrono::duration_cast<std::chrono::milliseconds>(now - m_storeTimeAt).count();
 }
@@ -262,7 +262,7 @@
         return false;
     }
     m_seenVersion = read.version;
-    noteStoreTime(read.storeTime, now);
+    setStoreTime(read.storeTime, now);
     m_lastRead = now;
     m_shortSinceRead = false;
     m_askedSinceRead = false;
@@ -431,7 +431,7 @@
             .settled = m_settled,
             .committed = committed(),
             .demand = static_cast<Tokens>(demand(now)),
-            .writtenAt = storeTimeAtLeast(now)};
+            .writtenAt = minStoreTime(now)};
 }
 
 bool TeamHolding::mayFlush() const
@@ -475,7 +475,7 @@
 
 void TeamHolding::flushAnswered(const RowVerdict &verdict, Instant now)
 {
-    noteStoreTime(verdict.storeTime, now);
+    setStoreTime(verdict.storeTime, now);
     m_seenVersion = std::max(m_seenVersion, verdict.version);
     if (!m_inFlight) {
         return;
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -273,9 +273,9 @@
     bool ample(double ownDemand) const;
     Tokens desiredHolding(std::size_t routers, Instant now) const;
     Tokens wantedChange(std::size_t routers, Instant now) const;
-    StoreTimeMs storeTimeAtLeast(Instant now) const;
+    StoreTimeMs minStoreTime(Instant now) const;
     HolderRow rowAfter(Tokens change, Instant now) const;
-    void noteStoreTime(StoreTimeMs time, Instant now);
+    void setStoreTime(StoreTimeMs time, Instant now);
     void adoptOwnRow(const StoredRow &row);
     void adoptPoolRow(const StoredRow &row);
     void rowGone();
--- a/src/tests/holdercheckpointtest.cpp
+++ b/src/tests/holdercheckpointtest.cpp
@@ -106,9 +106,9 @@
     successor.checkpoint.writeLost();
     successor.now += ms(3000);
     BOOST_TEST(successor.write({}));
-    BOOST_TEST(successor.checkpoint.spentBy("a", "team").value() == 1500);
-    BOOST_TEST(successor.checkpoint.spentBy("a", "another").value() == 0);
-    BOOST_TEST(!successor.checkpoint.spentBy("unknown", "team").has_value());
+    BOOST_TEST(successor.checkpoint.maxSpentBy("a", "team").value() == 1500);
+    BOOST_TEST(successor.checkpoint.maxSpentBy("a", "another").value() == 0);
+    BOOST_TEST(!successor.checkpoint.maxSpentBy("unknown", "team").has_value());
 }
 
 // Guards against an overspent budget: the last write of a dead router is still in flight when its successor reads the row. If the write
@@ -124,7 +124,7 @@
     BOOST_TEST(store.transact(late, successor.storeTime())->applied);
     BOOST_TEST(!successor.write({}));
     BOOST_TEST(successor.write({}));
-    BOOST_TEST(successor.checkpoint.spentBy("a", "team").value() == 5000);
+    BOOST_TEST(successor.checkpoint.maxSpentBy("a", "team").value() == 5000);
 
     const RowTransaction later = dead.plan({{"team", {.committed = 9000}}});
     BOOST_TEST(!store.transact(later, successor.storeTime())->applied);
@@ -144,13 +144,13 @@
     second.start({});
     Router third(store, "c", Instant(ms(9000)));
     third.start({});
-    BOOST_TEST(third.checkpoint.spentBy("a", "team").value() == 1400);
-    BOOST_TEST(third.checkpoint.spentBy("b", "team").value() == 0);
+    BOOST_TEST(third.checkpoint.maxSpentBy("a", "team").value() == 1400);
+    BOOST_TEST(third.checkpoint.maxSpentBy("b", "team").value() == 0);
     third.checkpoint.discardPredecessors();
     BOOST_TEST(third.write({}));
     Router fourth(store, "d", Instant(ms(9500)));
     fourth.start({});
-    BOOST_TEST(!fourth.checkpoint.spentBy("a", "team").has_value());
+    BOOST_TEST(!fourth.checkpoint.maxSpentBy("a", "team").has_value());
 }
 
 // The row is damaged. Nothing is known about the dead process, so all that it held counts as spent, and the router continues to serve.
@@ -162,7 +162,7 @@
         store.transact({.changes = {{.address = address, .value = R"({"own":{"incarnation":"a","teams":[1]}})"}}}, s_storeStart)->applied);
     Router router(store, "b", Instant(ms(1000)));
     router.start({{"team", s_promise}});
-    BOOST_TEST(!router.checkpoint.spentBy("a", "team").has_value());
+    BOOST_TEST(!router.checkpoint.maxSpentBy("a", "team").has_value());
     BOOST_TEST(router.checkpoint.limit("team", router.now) == 1200);
 }
 
