--- a/src/budget/holdingpolicy.h
+++ b/src/budget/holdingpolicy.h
@@ -52,9 +52,9 @@
     /// the whole time before the commitment grows (`s_growthDelay`).
     Duration ampleSpan = std::chrono::seconds(30);
     /// After `s_growthDelay` a commitment grows at this multiple of demand, to make up for the time without growth, and at least at the
-    /// rate that would use up the unused tokens within `paceSpan`, because a demand of a few requests a second is known only roughly.
-    double paceOfDemand = 1.6;
-    Duration paceSpan = std::chrono::seconds(12);
+    /// rate that would use up the unused tokens within `growthSpan`, because a demand of a few requests a second is known only roughly.
+    double growthDemandFactor = 1.6;
+    Duration growthSpan = std::chrono::seconds(12);
     /// Whether a budget is held by a few assigned routers instead of by all, and whether routers lend each other tokens. Without loans each
     /// router serves only from the part that it holds.
     bool fewKeepers = true;
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -65,12 +65,12 @@
         return std::nullopt;
     }
     const double wanted = demand(now);
-    const double pace = std::max(policy.paceOfDemand * wanted, static_cast<double>(unused) / seconds(policy.paceSpan));
+    const double growth = std::max(policy.growthDemandFactor * wanted, static_cast<double>(unused) / seconds(policy.growthSpan));
     const Duration soon = policy.burstSpan + 2 * storeTakes;
     const Duration span = ample(wanted) ? std::max(soon, s_growthDelay) : soon;
     const auto ahead = static_cast<Tokens>(wanted * seconds(span));
     return Commitment{
-        .committed = committed(), .burst = std::min(unused, ahead + m_waiting), .rate = std::min(unused, static_cast<Tokens>(pace))};
+        .committed = committed(), .burst = std::min(unused, ahead + m_waiting), .rate = std::min(unused, static_cast<Tokens>(growth))};
 }
 
 bool TeamHolding::ample(double ownDemand) const
@@ -79,7 +79,7 @@
     return static_cast<double>(remainingAnywhere()) > ofAll * seconds(m_options.policy.ampleSpan);
 }
 
-std::optional<Duration> TeamHolding::timeUntilPaced(Tokens bound, Instant now, Duration horizon) const
+std::optional<Duration> TeamHolding::timeUntilCommittable(Tokens bound, Instant now, Duration horizon) const
 {
     if (m_fenced || granted() - committed() < m_waiting + bound) {
         return std::nullopt;
@@ -130,7 +130,7 @@
         return Reservation{.bound = bound, .borrowed = true};
     }
     if (bound <= granted() - committed()) {
-        return HoldingRefusal::Paced;
+        return HoldingRefusal::CommitLimited;
     }
     m_shortSinceRead = m_shortSinceRead || m_keeps;
     // Few tokens are returned to a budget, so a count that was far too small a while ago still is; new prepaid amounts come with the plan.
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -32,7 +32,7 @@
     NotHeld,
     /// This router holds enough, but its checkpoint does not allow it to commit that much yet. The next checkpoint, or the passing of time,
     /// changes that.
-    Paced,
+    CommitLimited,
 };
 
 /// Tokens set aside for one request.
@@ -138,7 +138,7 @@
 
     /// Time until `bound` tokens can be reserved from this holding, in addition to the requests that already wait and without any answer of
     /// the store; none when that takes longer than `horizon`.
-    std::optional<Duration> timeUntilPaced(Tokens bound, Instant now, Duration horizon) const;
+    std::optional<Duration> timeUntilCommittable(Tokens bound, Instant now, Duration horizon) const;
 
     /// Whether the whole budget covers the demand of all routers for at least `HoldingPolicy::ampleSpan`.
     bool ample(Instant now) const
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -17,13 +17,13 @@
 namespace {
 
 /// Interval at which waiting requests check whether the growth of the commitment admits them; nothing notifies them of that.
-constexpr Duration s_paceStep = std::chrono::milliseconds(50);
+constexpr Duration s_commitLimitPoll = std::chrono::milliseconds(50);
 /// A request waits for this multiple of the store's average latency.
 constexpr int s_callsWaitedFor = 4;
 /// The newest latency has a weight of one in this many in the average.
 constexpr int s_latencyWeight = 4;
 /// Added to the expected wait, which is known only in steps.
-constexpr Duration s_pacedMargin = std::chrono::milliseconds(60);
+constexpr Duration s_commitLimitMargin = std::chrono::milliseconds(60);
 
 }
 
@@ -101,8 +101,8 @@
     if (refusal == HoldingRefusal::Exhausted) {
         return m_options.retryAfterExhaustionMs;
     }
-    const std::optional<Duration> paced = account.holding.timeUntilPaced(bound, steadyNow(), m_options.paceHorizon);
-    return paced ? std::chrono::duration_cast<std::chrono::milliseconds>(*paced).count() : m_options.retryAfterFlushMs;
+    const std::optional<Duration> committableIn = account.holding.timeUntilCommittable(bound, steadyNow(), m_options.commitHorizon);
+    return committableIn ? std::chrono::duration_cast<std::chrono::milliseconds>(*committableIn).count() : m_options.retryAfterFlushMs;
 }
 
 boost::asio::awaitable<absl::StatusOr<Reservation>> TeamLedger::reserve(std::string team, Tokens bound)
@@ -128,8 +128,9 @@
 {
     const Instant begun = steadyNow();
     Instant giveUp = begun + wish.longest;
-    if (const auto paced = account.holding.timeUntilPaced(wish.bound, begun, m_options.longestPacedWait); paced && wish.mayBorrow) {
-        giveUp = std::max(giveUp, begun + *paced + s_pacedMargin);
+    if (const auto committableIn = account.holding.timeUntilCommittable(wish.bound, begun, m_options.maxCommitLimitWait);
+        committableIn && wish.mayBorrow) {
+        giveUp = std::max(giveUp, begun + *committableIn + s_commitLimitMargin);
     }
     account.holding.addWaiting(wish.bound);
     ++m_waiters;
@@ -145,7 +146,7 @@
             break;
         }
         seek(account, refusal);
-        co_await account.answered.wait(std::min<Duration>(giveUp - steadyNow(), s_paceStep));
+        co_await account.answered.wait(std::min<Duration>(giveUp - steadyNow(), s_commitLimitPoll));
         result = account.holding.reserve(wish.bound, steadyNow());
     }
     --m_waiters;
@@ -155,7 +156,7 @@
 
 void TeamLedger::seek(Entry &account, HoldingRefusal refusal)
 {
-    if (refusal == HoldingRefusal::Paced) {
+    if (refusal == HoldingRefusal::CommitLimited) {
         m_checkpointUrgent.notify();
     }
     // A router that is not an assigned holder draws on the pool only while the assigned holders have nothing to lend.
@@ -173,8 +174,8 @@
     if (account.borrowing) {
         return false;
     }
-    const bool paced = account.holding.timeUntilPaced(0, steadyNow(), m_options.longestPacedWait).has_value();
-    return !storeHelps(account, refusal, bound) && !paced;
+    const bool committableSoon = account.holding.timeUntilCommittable(0, steadyNow(), m_options.maxCommitLimitWait).has_value();
+    return !storeHelps(account, refusal, bound) && !committableSoon;
 }
 
 bool TeamLedger::uncovered(const Entry &account, Tokens bound) const
@@ -184,7 +185,7 @@
 
 bool TeamLedger::storeHelps(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
-    if (refusal == HoldingRefusal::Paced) {
+    if (refusal == HoldingRefusal::CommitLimited) {
         return m_checkpointAnswers;
     }
     return account.storeAnswers && account.holding.freeInPool() >= bound;
--- a/src/budget/teamledger.h
+++ b/src/budget/teamledger.h
@@ -42,7 +42,7 @@
         Duration longestSlowWait = std::chrono::milliseconds(500);
         /// A request waits longer than that if the growth of the commitment will admit it within this time, which is sooner than the caller
         /// would retry.
-        Duration longestPacedWait = std::chrono::milliseconds(400);
+        Duration maxCommitLimitWait = std::chrono::milliseconds(400);
         /// Minimum interval between checkpoints that requests wait for, so that one write serves several requests.
         Duration groupInterval = std::chrono::milliseconds(12);
         /// Interval between checkpoints that no request waits for, while tokens are held. What a router could have committed since its last
@@ -53,7 +53,7 @@
         /// Interval while no tokens are held.
         Duration idleInterval = std::chrono::seconds(3);
         /// A refused caller is told when its request's tokens can be committed if that is within this time.
-        Duration paceHorizon = std::chrono::seconds(4);
+        Duration commitHorizon = std::chrono::seconds(4);
         /// Retry-After for a refusal that the next flush may remedy, in milliseconds.
         std::int64_t retryAfterFlushMs = 500;
         /// Retry-After when the team's remaining tokens do not cover the request, in milliseconds; requests in flight may still return
--- a/src/measure/bookrouter.cpp
+++ b/src/measure/bookrouter.cpp
@@ -51,7 +51,7 @@
         if (const auto *made = std::get_if<Reservation>(&result)) {
             return *made;
         }
-        if (written || std::get<HoldingRefusal>(result) != HoldingRefusal::Paced || !m_store.reachable) {
+        if (written || std::get<HoldingRefusal>(result) != HoldingRefusal::CommitLimited || !m_store.reachable) {
             break;
         }
         held.addWaiting(bound);
--- a/src/tests/teamholdingtest.cpp
+++ b/src/tests/teamholdingtest.cpp
@@ -448,7 +448,7 @@
     constexpr Tokens s_bound = 6000;
     process.holding.noteRequest(s_bound, process.now);
     const auto early = process.holding.reserve(s_bound, process.now);
-    BOOST_TEST((std::get<HoldingRefusal>(early) == HoldingRefusal::Paced));
+    BOOST_TEST((std::get<HoldingRefusal>(early) == HoldingRefusal::CommitLimited));
     process.holding.addWaiting(s_bound);
     single.fleet.checkpoint(0, Fleet::Fate::Answered);
     process.holding.removeWaiting(s_bound);
