--- a/src/budget/holdingpolicy.h
+++ b/src/budget/holdingpolicy.h
@@ -57,7 +57,7 @@
     Duration growthSpan = std::chrono::seconds(12);
     /// Whether a budget is held by a few assigned routers instead of by all, and whether routers lend each other tokens. Without loans each
     /// router serves only from the part that it holds.
-    bool fewKeepers = true;
+    bool limitHolders = true;
     bool loans = true;
     /// A lender keeps its own demand over `lenderKeepSpan`. A borrower asks for its own demand over `borrowAhead` beyond the requests that
     /// wait, so that it does not have to ask again for each request.
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -116,7 +116,7 @@
     const double usedShare = m_boundSum > 0 ? m_usedSum / m_boundSum : s_usedShareAtFirst;
     m_demand.addUse(fraction(usedShare, bound), now);
     m_lastRequest = now;
-    m_askedSinceRead = m_askedSinceRead || m_keeps;
+    m_askedSinceRead = m_askedSinceRead || m_assigned;
 }
 
 std::variant<Reservation, HoldingRefusal> TeamHolding::reserve(Tokens bound, Instant now)
@@ -132,12 +132,12 @@
     if (bound <= granted() - committed()) {
         return HoldingRefusal::CommitLimited;
     }
-    m_shortSinceRead = m_shortSinceRead || m_keeps;
+    m_shortSinceRead = m_shortSinceRead || m_assigned;
     // Few tokens are returned to a budget, so a count that was far too small a while ago still is; new prepaid amounts come with the plan.
     const Tokens left = remainingAnywhere();
     const bool fresh = m_lastRead && now - *m_lastRead < 2 * m_options.policy.readInterval;
-    return m_loaded && (fresh ? left < bound : m_keeps && s_farTooLittle * left < bound) ? HoldingRefusal::Exhausted
-                                                                                         : HoldingRefusal::NotHeld;
+    return m_loaded && (fresh ? left < bound : m_assigned && s_farTooLittle * left < bound) ? HoldingRefusal::Exhausted
+                                                                                            : HoldingRefusal::NotHeld;
 }
 
 void TeamHolding::settle(const Reservation &reservation, Tokens used, Instant now)
@@ -200,7 +200,7 @@
 
 Tokens TeamHolding::loanWanted(Instant now) const
 {
-    if (m_keeps) {
+    if (m_assigned) {
         return m_waiting + static_cast<Tokens>(demand(now) * seconds(m_options.policy.borrowAhead)) - m_borrowed;
     }
     // Rounded down to whole requests: a team that sends a request only now and then has no next one to borrow ahead for.
@@ -221,7 +221,7 @@
 Tokens TeamHolding::takeIdleLoan(Instant now)
 {
     const bool idle = now - m_lastRequest >= m_options.policy.loanIdleTimeout && m_waiting == 0;
-    return idle && !m_keeps && !m_closing ? std::exchange(m_borrowed, 0) : 0;
+    return idle && !m_assigned && !m_closing ? std::exchange(m_borrowed, 0) : 0;
 }
 
 bool TeamHolding::setPrepaid(const PrepaidStatement &statement)
@@ -341,7 +341,7 @@
 
 Tokens TeamHolding::desiredHolding(std::size_t routers, Instant now) const
 {
-    if (!m_keeps) {
+    if (!m_assigned) {
         return 0;
     }
     const HoldingPolicy &policy = m_options.policy;
@@ -352,7 +352,7 @@
     const Tokens left = std::max<Tokens>(0, freeInPool() + m_unusedByActive + held);
     // A share of what remains, not of what was paid for: routers that restart late in the day would otherwise take all of it before demand
     // is known.
-    const Tokens initial = warmedUp ? 0 : fraction(policy.initialShare, left) / static_cast<Tokens>(m_keepers.value_or(routers));
+    const Tokens initial = warmedUp ? 0 : fraction(policy.initialShare, left) / static_cast<Tokens>(m_assignedCount.value_or(routers));
     const Tokens wanted = std::max(initial, own > 0 ? ahead + s_usualRequests * typicalUse() : 0);
     if (!warmedUp || own <= 0) {
         return wanted;
@@ -375,7 +375,7 @@
     }
     const Tokens desired = desiredHolding(routers, now);
     const Tokens keep = std::max(desired, m_waiting);
-    const Tokens spare = m_keeps ? fraction(policy.surplusFactor, keep) + typicalUse() : keep;
+    const Tokens spare = m_assigned ? fraction(policy.surplusFactor, keep) + typicalUse() : keep;
     if (held > spare) {
         return keep - held;
     }
@@ -394,7 +394,7 @@
         return std::nullopt;
     }
     const Tokens held = m_row ? m_row->granted - committed() : 0;
-    const bool uninvolved = !m_row && !m_predecessor && !m_inFlight && m_waiting == 0 && (!m_keeps || m_closing) && m_borrowed == 0;
+    const bool uninvolved = !m_row && !m_predecessor && !m_inFlight && m_waiting == 0 && (!m_assigned || m_closing) && m_borrowed == 0;
     if (uninvolved) {
         return std::nullopt;
     }
@@ -408,13 +408,13 @@
     if (m_closing || held < m_waiting) {
         return last + policy.urgentInterval;
     }
-    if (m_inFlight || m_predecessor || (m_keeps && !m_row) || wantedChange(routers, now) != 0) {
+    if (m_inFlight || m_predecessor || (m_assigned && !m_row) || wantedChange(routers, now) != 0) {
         return last + policy.transferInterval;
     }
     if (!m_row) {
         return std::nullopt;
     }
-    const bool changed = (m_keeps && m_borrowed > 0) || m_row->committed != committed();
+    const bool changed = (m_assigned && m_borrowed > 0) || m_row->committed != committed();
     const auto wanted = static_cast<Tokens>(demand(now));
     if (!changed && held == 0 && wanted == 0 && m_row->demand == 0) {
         // Nothing has changed that another router would need.
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -112,19 +112,19 @@
     Tokens takeIdleLoan(Instant now);
 
     /// Sets whether this router is an assigned holder of the budget or borrows for each request, and how many assigned holders there are.
-    void setKeeps(bool keeps, std::size_t keepers)
+    void setAssigned(bool assigned, std::size_t assignedCount)
     {
-        m_keeps = keeps;
-        m_keepers = keepers;
+        m_assigned = assigned;
+        m_assignedCount = assignedCount;
     }
 
-    bool keeps() const
+    bool isAssigned() const
     {
-        return m_keeps;
+        return m_assigned;
     }
 
     /// Average upper bound of recent requests in tokens; 0 before the first request.
-    double usualBound() const
+    double averageRequestBound() const
     {
         return m_demand.averageBound();
     }
@@ -299,9 +299,9 @@
     bool m_loaded = false;
     bool m_fenced = false;
     bool m_closing = false;
-    bool m_keeps = true;
+    bool m_assigned = true;
     /// Number of assigned holders; none until the routers have been ranked. Until then every router is an assigned holder.
-    std::optional<std::size_t> m_keepers;
+    std::optional<std::size_t> m_assignedCount;
     /// The newest version that the store has shown.
     std::uint64_t m_seenVersion = 0;
     PoolRow m_pool;
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -1,6 +1,6 @@
 #include "budget/teamledger.h"
 
-#include "budget/keepers.h"
+#include "budget/assignedholders.h"
 
 #include "clock/steadytime.h"
 #include "operations/log.h"
@@ -72,7 +72,7 @@
         logLine(Severity::Info,
                 "budget.prepaid",
                 {{"team", team}, {"prepaid", statement.prepaid}, {"plan", static_cast<std::int64_t>(statement.planVersion)}});
-        assignKeepers(account, team);
+        updateAssignment(account, team);
     }
     account.urgent.notify();
 }
@@ -160,7 +160,7 @@
         m_checkpointUrgent.notify();
     }
     // A router that is not an assigned holder draws on the pool only while the assigned holders have nothing to lend.
-    const bool draws = account.holding.keeps() || (!account.borrowing && steadyNow() < account.borrowAgainAt);
+    const bool draws = account.holding.isAssigned() || (!account.borrowing && steadyNow() < account.borrowAgainAt);
     if (refusal == HoldingRefusal::NotHeld && account.storeAnswers && draws) {
         account.urgent.notify();
     }
@@ -180,7 +180,7 @@
 
 bool TeamLedger::uncovered(const Entry &account, Tokens bound) const
 {
-    return !account.holding.keeps() && steadyNow() < account.uncoveredUntil && bound >= account.uncovered;
+    return !account.holding.isAssigned() && steadyNow() < account.uncoveredUntil && bound >= account.uncovered;
 }
 
 bool TeamLedger::storeHelps(const Entry &account, HoldingRefusal refusal, Tokens bound) const
@@ -193,7 +193,7 @@
 
 bool TeamLedger::mayBorrow(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
-    const bool pointless = refusal == HoldingRefusal::Exhausted || (account.holding.keeps() && storeHelps(account, refusal, bound));
+    const bool pointless = refusal == HoldingRefusal::Exhausted || (account.holding.isAssigned() && storeHelps(account, refusal, bound));
     return m_options.policy.loans && m_borrow && !pointless && !account.borrowing && steadyNow() >= account.borrowAgainAt;
 }
 
@@ -289,7 +289,7 @@
         co_return Loan{};
     }
     Entry &account = *found->second;
-    if (!account.holding.keeps()) {
+    if (!account.holding.isAssigned()) {
         co_return Loan{.tokens = account.holding.lend(asked, steadyNow())};
     }
     // If the peer asks for more than this router holds, it gets all of that, as soon as a checkpoint covers it.
@@ -345,26 +345,27 @@
 {
     m_routers = routers;
     for (const auto &[team, account] : m_entries) {
-        assignKeepers(*account, team);
+        updateAssignment(*account, team);
     }
 }
 
-void TeamLedger::assignKeepers(Entry &account, const std::string &team)
+void TeamLedger::updateAssignment(Entry &account, const std::string &team)
 {
     if (m_routers.empty()) {
         return;
     }
-    std::vector<std::string> keepers =
-        m_options.policy.fewKeepers ? keepersOf(team, account.holding.prepaid(), account.holding.usualBound(), m_routers) : m_routers;
-    const std::size_t count = keepers.size();
-    const bool keeps = std::erase(keepers, m_options.link) > 0;
+    std::vector<std::string> holders = m_options.policy.limitHolders
+        ? assignedHolders(team, account.holding.prepaid(), account.holding.averageRequestBound(), m_routers)
+        : m_routers;
+    const std::size_t count = holders.size();
+    const bool assigned = std::erase(holders, m_options.link) > 0;
     // Each borrower starts with another assigned holder, so that all of them lend about the same amount.
-    if (!keepers.empty()) {
-        const auto first = static_cast<std::ptrdiff_t>(stableHash(m_options.link) % keepers.size());
-        std::rotate(keepers.begin(), keepers.begin() + first, keepers.end());
+    if (!holders.empty()) {
+        const auto first = static_cast<std::ptrdiff_t>(stableHash(m_options.link) % holders.size());
+        std::rotate(holders.begin(), holders.begin() + first, holders.end());
     }
-    account.lenders = std::move(keepers);
-    account.holding.setKeeps(keeps, count);
+    account.lenders = std::move(holders);
+    account.holding.setAssigned(assigned, count);
     account.urgent.notify();
 }
 
--- a/src/budget/teamledger.h
+++ b/src/budget/teamledger.h
@@ -174,7 +174,7 @@
     void seek(Entry &account, HoldingRefusal refusal);
     bool uncovered(const Entry &account, Tokens bound) const;
     bool hopeless(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
-    void assignKeepers(Entry &account, const std::string &team);
+    void updateAssignment(Entry &account, const std::string &team);
 
     /// How a request or a loan waits for tokens.
     struct Wish {
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -177,7 +177,7 @@
     static Options applied(Options options)
     {
         const Mechanisms &on = options.mechanisms;
-        options.holdings.fewKeepers = on.keepers;
+        options.holdings.limitHolders = on.keepers;
         options.holdings.loans = on.loans;
         options.gateway.board.favourites = on.favourites;
         options.gateway.board.ejects = on.ejection;
--- a/src/measure/bookfleet.cpp
+++ b/src/measure/bookfleet.cpp
@@ -1,6 +1,6 @@
 #include "measure/bookfleet.h"
 
-#include "budget/keepers.h"
+#include "budget/assignedholders.h"
 
 #include <algorithm>
 
@@ -31,7 +31,7 @@
         m_downUntil.push_back(m_store.now);
     }
     for (int budget = 0; budget < s_budgets; ++budget) {
-        m_keepers.push_back(keepersOf(BookRouter::teamName(budget), m_options.prepaid, s_firstBound, m_names));
+        m_keepers.push_back(assignedHolders(BookRouter::teamName(budget), m_options.prepaid, s_firstBound, m_names));
     }
     for (std::size_t router = 0; router < m_routers.size(); ++router) {
         start(router);
--- a/src/measure/bookrouter.cpp
+++ b/src/measure/bookrouter.cpp
@@ -38,7 +38,7 @@
     const TeamHolding::Options options{.team = teamName(budget), .holder = m_holder, .incarnation = m_incarnation};
     auto holding = std::make_unique<TeamHolding>(options, m_checkpoint);
     holding->setPrepaid(statement);
-    holding->setKeeps(keeps, keepers);
+    holding->setAssigned(keeps, keepers);
     holding->servingSince(m_store.now);
     return *(m_holdings[budget] = std::move(holding));
 }
--- a/src/measure/holdings.cpp
+++ b/src/measure/holdings.cpp
@@ -1,4 +1,4 @@
-#include "budget/keepers.h"
+#include "budget/assignedholders.h"
 #include "measure/bookrouter.h"
 
 #include <boost/json/object.hpp>
@@ -60,7 +60,7 @@
         m_prepaid = static_cast<Tokens>(perBudget * s_budgetSeconds * s_used) + 2 * s_bound;
         for (int budget = 0; budget < FLAGS_budgets; ++budget) {
             const std::vector<std::string> keepers =
-                FLAGS_all_keep ? names : keepersOf(BookRouter::teamName(budget), m_prepaid, s_bound, names);
+                FLAGS_all_keep ? names : assignedHolders(BookRouter::teamName(budget), m_prepaid, s_bound, names);
             m_keepers.emplace_back();
             for (const std::string &keeper : keepers) {
                 m_keepers.back().push_back(m_index[keeper]);
--- a/src/tests/keeperstest.cpp
+++ b/src/tests/keeperstest.cpp
@@ -1,4 +1,4 @@
-#include "budget/keepers.h"
+#include "budget/assignedholders.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -29,11 +29,11 @@
 BOOST_AUTO_TEST_CASE(smallBudgetsHaveFewKeepers)
 {
     const std::vector<std::string> routers = fleet(26);
-    BOOST_TEST(keepersOf("small", 250'000, s_usual, routers).size() == 3);
-    BOOST_TEST(keepersOf("tiny", 1000, s_usual, routers).size() == s_fewestKeepers);
-    BOOST_TEST(keepersOf("large", 7'000'000, s_usual, routers).size() == s_mostKeepers);
-    BOOST_TEST(keepersOf("lowered", -5, s_usual, routers).size() == s_fewestKeepers);
-    BOOST_TEST(keepersOf("alone", 450'000, s_usual, fleet(1)).size() == 1);
+    BOOST_TEST(assignedHolders("small", 250'000, s_usual, routers).size() == 3);
+    BOOST_TEST(assignedHolders("tiny", 1000, s_usual, routers).size() == s_minHolders);
+    BOOST_TEST(assignedHolders("large", 7'000'000, s_usual, routers).size() == s_maxHolders);
+    BOOST_TEST(assignedHolders("lowered", -5, s_usual, routers).size() == s_minHolders);
+    BOOST_TEST(assignedHolders("alone", 450'000, s_usual, fleet(1)).size() == 1);
 }
 
 // Guards against too many holders of a large budget. With 103 of them, each router made 45 to 67 calls a second to read and write the rows
@@ -41,27 +41,27 @@
 BOOST_AUTO_TEST_CASE(largeFleetHasNoMoreKeepers)
 {
     for (const std::size_t size : {20U, 103U, 330U}) {
-        BOOST_TEST(keepersOf("large", 70'000'000, s_usual, fleet(size)).size() == s_mostKeepers);
+        BOOST_TEST(assignedHolders("large", 70'000'000, s_usual, fleet(size)).size() == s_maxHolders);
     }
     // The budgets are distributed about evenly over the routers.
     const std::vector<std::string> routers = fleet(103);
-    std::map<std::string, int> kept;
+    std::map<std::string, int> held;
     for (int team = 0; team < 4000; ++team) {
-        for (const std::string &keeper : keepersOf("team-" + std::to_string(team), 70'000'000, s_usual, routers)) {
-            ++kept[keeper];
+        for (const std::string &holder : assignedHolders("team-" + std::to_string(team), 70'000'000, s_usual, routers)) {
+            ++held[holder];
         }
     }
-    const auto most = std::ranges::max_element(kept, {}, &std::pair<const std::string, int>::second);
-    BOOST_TEST(kept.size() == routers.size());
-    BOOST_TEST(most->second < 2 * 4000 * static_cast<int>(s_mostKeepers) / 103);
+    const auto most = std::ranges::max_element(held, {}, &std::pair<const std::string, int>::second);
+    BOOST_TEST(held.size() == routers.size());
+    BOOST_TEST(most->second < 2 * 4000 * static_cast<int>(s_maxHolders) / 103);
 }
 
 BOOST_AUTO_TEST_CASE(everyRouterComesToTheSameKeepers)
 {
     std::vector<std::string> routers = fleet(26);
-    const std::vector<std::string> keepers = keepersOf("team", 450'000, s_usual, routers);
+    const std::vector<std::string> holders = assignedHolders("team", 450'000, s_usual, routers);
     std::ranges::reverse(routers);
-    BOOST_TEST(keepersOf("team", 450'000, s_usual, routers) == keepers);
+    BOOST_TEST(assignedHolders("team", 450'000, s_usual, routers) == holders);
 }
 
 // When a router joins or leaves, budgets that it does not hold stay where they are. Otherwise all of them would be drawn and returned at
@@ -74,9 +74,9 @@
     fewer.pop_back();
     for (int team = 0; team < 200; ++team) {
         const std::string name = "team-" + std::to_string(team);
-        const std::vector<std::string> before = keepersOf(name, 450'000, s_usual, routers);
+        const std::vector<std::string> before = assignedHolders(name, 450'000, s_usual, routers);
         if (std::ranges::find(before, gone) == before.end()) {
-            BOOST_TEST(keepersOf(name, 450'000, s_usual, fewer) == before);
+            BOOST_TEST(assignedHolders(name, 450'000, s_usual, fewer) == before);
         }
     }
 }
--- a/src/tests/teamholdingtest.cpp
+++ b/src/tests/teamholdingtest.cpp
@@ -221,10 +221,10 @@
     void giveBack(std::size_t borrower, std::size_t lender, bool lost)
     {
         Process &from = process(borrower);
-        const bool keeps = from.holding.keeps();
-        from.holding.setKeeps(false, s_routers);
+        const bool assigned = from.holding.isAssigned();
+        from.holding.setAssigned(false, s_routers);
         const Tokens gift = from.holding.takeIdleLoan(from.now + ms(3'600'000));
-        from.holding.setKeeps(keeps, s_routers);
+        from.holding.setAssigned(assigned, s_routers);
         if (!lost) {
             process(lender).holding.takeBack(gift);
         }
