--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 /// A holding covers this many average requests in addition to its demand over time, because demand comes in whole requests.
-constexpr Tokens s_usualRequests = 3;
+constexpr Tokens s_extraRequests = 3;
 /// Weight of the newest request in the average share of reserved tokens that is used, and that share before the first request: output
 /// limits are far above what is generated.
-constexpr double s_useWeight = 0.03;
-constexpr double s_usedShareAtFirst = 0.6;
+constexpr double s_usedShareWeight = 0.03;
+constexpr double s_initialUsedShare = 0.6;
 
 /// A count of the remaining tokens that is not fresh refuses a request only if the request is larger than this multiple of it.
-constexpr Tokens s_farTooLittle = 2;
+constexpr Tokens s_staleCountFactor = 2;
 
 Tokens fraction(double share, Tokens of)
 {
@@ -76,7 +76,7 @@
 bool TeamHolding::ample(double ownDemand) const
 {
     const double ofAll = ownDemand + static_cast<double>(m_demandOfActive);
-    return static_cast<double>(remainingAnywhere()) > ofAll * seconds(m_options.policy.ampleSpan);
+    return static_cast<double>(remainingInBudget()) > ofAll * seconds(m_options.policy.ampleSpan);
 }
 
 std::optional<Duration> TeamHolding::timeUntilCommittable(Tokens bound, Instant now, Duration horizon) const
@@ -97,7 +97,7 @@
     return prepaid() - m_pool.allocated;
 }
 
-Tokens TeamHolding::remainingAnywhere() const
+Tokens TeamHolding::remainingInBudget() const
 {
     const Tokens ownUnused = m_row ? m_row->granted - committed() : 0;
     return freeInPool() + m_unusedByOthers + ownUnused + m_borrowed;
@@ -110,13 +110,13 @@
     }
 }
 
-void TeamHolding::noteRequest(Tokens bound, Instant now)
+void TeamHolding::recordDemand(Tokens bound, Instant now)
 {
     m_demand.addRequest(bound);
-    const double usedShare = m_boundSum > 0 ? m_usedSum / m_boundSum : s_usedShareAtFirst;
+    const double usedShare = m_boundSum > 0 ? m_usedSum / m_boundSum : s_initialUsedShare;
     m_demand.addUse(fraction(usedShare, bound), now);
     m_lastRequest = now;
-    m_askedSinceRead = m_askedSinceRead || m_assigned;
+    m_requestedSinceRead = m_requestedSinceRead || m_assigned;
 }
 
 std::variant<Reservation, HoldingRefusal> TeamHolding::reserve(Tokens bound, Instant now)
@@ -134,10 +134,10 @@
     }
     m_shortSinceRead = m_shortSinceRead || m_assigned;
     // Few tokens are returned to a budget, so a count that was far too small a while ago still is; new prepaid amounts come with the plan.
-    const Tokens left = remainingAnywhere();
+    const Tokens left = remainingInBudget();
     const bool fresh = m_lastRead && now - *m_lastRead < 2 * m_options.policy.readInterval;
-    return m_loaded && (fresh ? left < bound : m_assigned && s_farTooLittle * left < bound) ? HoldingRefusal::Exhausted
-                                                                                            : HoldingRefusal::NotHeld;
+    return m_loaded && (fresh ? left < bound : m_assigned && s_staleCountFactor * left < bound) ? HoldingRefusal::Exhausted
+                                                                                                : HoldingRefusal::NotHeld;
 }
 
 void TeamHolding::settle(const Reservation &reservation, Tokens used, Instant now)
@@ -149,8 +149,8 @@
         m_reserved -= reservation.bound;
         m_settled += counted;
     }
-    m_boundSum = (1 - s_useWeight) * m_boundSum + static_cast<double>(reservation.bound);
-    m_usedSum = (1 - s_useWeight) * m_usedSum + static_cast<double>(counted);
+    m_boundSum = (1 - s_usedShareWeight) * m_boundSum + static_cast<double>(reservation.bound);
+    m_usedSum = (1 - s_usedShareWeight) * m_usedSum + static_cast<double>(counted);
     m_demand.addUse(0, now);
 }
 
@@ -177,20 +177,20 @@
 {
     const Tokens free = available(now);
     // Near the end of a budget every router is left with less than one request needs; combined, the remainders still serve some.
-    const bool useless = static_cast<double>(free) < m_demand.averageBound();
-    const Tokens keep = useless ? 0 : static_cast<Tokens>(demand(now) * seconds(m_options.policy.lenderKeepSpan));
+    const bool tooSmall = static_cast<double>(free) < m_demand.averageBound();
+    const Tokens keep = tooSmall ? 0 : static_cast<Tokens>(demand(now) * seconds(m_options.policy.lenderKeepSpan));
     const Tokens lent = std::clamp<Tokens>(free - keep, 0, std::max<Tokens>(0, asked));
     m_settled += lent;
     m_lent += lent;
     return lent;
 }
 
-void TeamHolding::borrow(Tokens tokens)
+void TeamHolding::addBorrowed(Tokens tokens)
 {
     m_borrowed += tokens;
 }
 
-void TeamHolding::takeBack(Tokens tokens)
+void TeamHolding::acceptReturned(Tokens tokens)
 {
     const Tokens own = std::min(tokens, m_lent);
     m_lent -= own;
@@ -198,7 +198,7 @@
     m_borrowed += tokens - own;
 }
 
-Tokens TeamHolding::loanWanted(Instant now) const
+Tokens TeamHolding::tokensToBorrow(Instant now) const
 {
     if (m_assigned) {
         return m_waiting + static_cast<Tokens>(demand(now) * seconds(m_options.policy.borrowAhead)) - m_borrowed;
@@ -218,7 +218,7 @@
     }
 }
 
-Tokens TeamHolding::takeIdleLoan(Instant now)
+Tokens TeamHolding::takeIdleBorrowed(Instant now)
 {
     const bool idle = now - m_lastRequest >= m_options.policy.loanIdleTimeout && m_waiting == 0;
     return idle && !m_assigned && !m_closing ? std::exchange(m_borrowed, 0) : 0;
@@ -242,7 +242,7 @@
     const Duration age = now - *m_lastRead;
     const bool urgent = m_shortSinceRead && age >= m_options.policy.urgentInterval;
     const Duration interval = ample(now) ? m_options.policy.ampleInterval : m_options.policy.readInterval;
-    return urgent || (m_askedSinceRead && age >= interval);
+    return urgent || (m_requestedSinceRead && age >= interval);
 }
 
 void TeamHolding::setStoreTime(StoreTimeMs time, Instant now)
@@ -265,7 +265,7 @@
     setStoreTime(read.storeTime, now);
     m_lastRead = now;
     m_shortSinceRead = false;
-    m_askedSinceRead = false;
+    m_requestedSinceRead = false;
     m_unusedByOthers = 0;
     m_unusedByActive = 0;
     m_demandOfActive = 0;
@@ -286,7 +286,7 @@
     if (!m_inFlight && own != nullptr) {
         adoptOwnRow(*own);
     } else if (!m_inFlight && m_rowVersion != 0) {
-        rowGone();
+        handleRowRemoved();
     }
     m_loaded = true;
     return true;
@@ -320,7 +320,7 @@
     m_predecessor = std::move(seen);
 }
 
-void TeamHolding::rowGone()
+void TeamHolding::handleRowRemoved()
 {
     m_fenced = m_fenced || m_row.has_value();
     m_row.reset();
@@ -335,7 +335,7 @@
 
 Tokens TeamHolding::typicalUse() const
 {
-    const double usedShare = m_boundSum > 0 ? m_usedSum / m_boundSum : s_usedShareAtFirst;
+    const double usedShare = m_boundSum > 0 ? m_usedSum / m_boundSum : s_initialUsedShare;
     return static_cast<Tokens>(usedShare * m_demand.averageBound());
 }
 
@@ -353,7 +353,7 @@
     // A share of what remains, not of what was paid for: routers that restart late in the day would otherwise take all of it before demand
     // is known.
     const Tokens initial = warmedUp ? 0 : fraction(policy.initialShare, left) / static_cast<Tokens>(m_assignedCount.value_or(routers));
-    const Tokens wanted = std::max(initial, own > 0 ? ahead + s_usualRequests * typicalUse() : 0);
+    const Tokens wanted = std::max(initial, own > 0 ? ahead + s_extraRequests * typicalUse() : 0);
     if (!warmedUp || own <= 0) {
         return wanted;
     }
@@ -390,7 +390,7 @@
 std::optional<Instant> TeamHolding::nextFlush(std::size_t routers, Instant now) const
 {
     const HoldingPolicy &policy = m_options.policy;
-    if (!mayFlush()) {
+    if (!canFlush()) {
         return std::nullopt;
     }
     const Tokens held = m_row ? m_row->granted - committed() : 0;
@@ -434,7 +434,7 @@
             .writtenAt = minStoreTime(now)};
 }
 
-bool TeamHolding::mayFlush() const
+bool TeamHolding::canFlush() const
 {
     // The next flush recovers what a dead process left, for which that process's checkpoint must be final.
     return m_loaded && !m_fenced && (!m_predecessor || m_checkpoint.predecessorsFenced());
@@ -442,7 +442,7 @@
 
 std::optional<RowTransaction> TeamHolding::planFlush(std::size_t routers, Instant now)
 {
-    if (!mayFlush()) {
+    if (!canFlush()) {
         return std::nullopt;
     }
     m_lastFlush = now;
@@ -507,16 +507,16 @@
     }
     if (!ownSeen && m_rowVersion != 0) {
         const bool removedByThis = m_inFlight->removesRow;
-        rowGone();
+        handleRowRemoved();
         m_fenced = m_fenced && !removedByThis;
         m_inFlight->returned = removedByThis ? 0 : m_inFlight->returned;
     }
-    withdrawFlush();
+    abandonFlush();
     // The next attempt does not have to wait, because this one failed only on outdated rows.
     m_lastFlush = now - m_options.policy.refreshInterval;
 }
 
-void TeamHolding::withdrawFlush()
+void TeamHolding::abandonFlush()
 {
     m_borrowed += m_inFlight->returned;
     m_inFlight.reset();
@@ -525,7 +525,7 @@
 void TeamHolding::flushDeclined()
 {
     if (m_inFlight && !m_inFlight->outcomeUnknown) {
-        withdrawFlush();
+        abandonFlush();
     }
 }
 
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -75,7 +75,7 @@
     void servingSince(Instant since);
 
     /// Counts a request as demand, whether or not it can be served.
-    void noteRequest(Tokens bound, Instant now);
+    void recordDemand(Tokens bound, Instant now);
 
     /// Adds or removes a request that waits because it cannot be reserved yet.
     void addWaiting(Tokens bound)
@@ -101,15 +101,15 @@
     void lendReserved(const Reservation &reservation);
 
     /// Adds tokens that a peer lent.
-    void borrow(Tokens tokens);
+    void addBorrowed(Tokens tokens);
 
     /// Accepts unused tokens from a peer. Tokens that this router lent are its own again at once: if they went through the pool, the last
     /// tokens of a budget would be unavailable for a second or two each time. Tokens beyond that count as borrowed.
-    void takeBack(Tokens tokens);
+    void acceptReturned(Tokens tokens);
 
     /// Removes and returns the borrowed tokens that have not been needed for a while; 0 when there are none, or when this router is an
     /// assigned holder.
-    Tokens takeIdleLoan(Instant now);
+    Tokens takeIdleBorrowed(Instant now);
 
     /// Sets whether this router is an assigned holder of the budget or borrows for each request, and how many assigned holders there are.
     void setAssigned(bool assigned, std::size_t assignedCount)
@@ -130,7 +130,7 @@
     }
 
     /// Number of tokens to borrow for all requests that wait.
-    Tokens loanWanted(Instant now) const;
+    Tokens tokensToBorrow(Instant now) const;
 
     /// The commitment of the router's next checkpoint for this team; none when there is nothing to commit. `storeTakes` is the time that a
     /// checkpoint's write currently takes.
@@ -236,7 +236,7 @@
     }
 
     /// Remaining tokens of the whole budget according to the rows last read.
-    Tokens remainingAnywhere() const;
+    Tokens remainingInBudget() const;
 
     /// What the recovery of a dead process's row returns to the pool, and what it has to count as spent.
     struct Recovery {
@@ -278,9 +278,9 @@
     void setStoreTime(StoreTimeMs time, Instant now);
     void adoptOwnRow(const StoredRow &row);
     void adoptPoolRow(const StoredRow &row);
-    void rowGone();
-    bool mayFlush() const;
-    void withdrawFlush();
+    void handleRowRemoved();
+    bool canFlush() const;
+    void abandonFlush();
 
     Options m_options;
     const HolderCheckpoint &m_checkpoint;
@@ -330,7 +330,7 @@
     Tokens m_waiting = 0;
     /// Whether a request needed more tokens than are held since the last read.
     bool m_shortSinceRead = false;
-    bool m_askedSinceRead = false;
+    bool m_requestedSinceRead = false;
 };
 
 }
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -90,7 +90,7 @@
                                             " of ",
                                             unspent,
                                             " held; left in the budget ",
-                                            account.holding.remainingAnywhere(),
+                                            account.holding.remainingInBudget(),
                                             account.storeAnswers && m_checkpointAnswers ? "" : "; store out of reach"),
                      .ran = Ran::No,
                      .retryAfterMs = retryAfterMs(account, refusal, bound)});
@@ -110,7 +110,7 @@
     Entry &account = entry(team);
     const Instant begun = steadyNow();
     noteServing(begun);
-    account.holding.noteRequest(bound, begun);
+    account.holding.recordDemand(bound, begun);
     std::variant<Reservation, HoldingRefusal> result = account.holding.reserve(bound, begun);
     if (std::holds_alternative<HoldingRefusal>(result)) {
         // Enough for two calls, a draw and a checkpoint, and for some variation.
@@ -260,9 +260,9 @@
 boost::asio::awaitable<void> TeamLedger::borrow(Entry &account, std::string team)
 {
     account.borrowing = true;
-    const Tokens wanted = account.holding.loanWanted(steadyNow());
+    const Tokens wanted = account.holding.tokensToBorrow(steadyNow());
     const Loan loan = co_await m_borrow(team, wanted, account.lenders);
-    account.holding.borrow(loan.tokens);
+    account.holding.addBorrowed(loan.tokens);
     account.borrowing = false;
     if (loan.tokens < wanted) {
         account.borrowAgainAt = steadyNow() + m_options.borrowPause;
@@ -298,12 +298,12 @@
     const std::variant<Reservation, HoldingRefusal> result = co_await waitFor(account, team, wish);
     if (const auto *reservation = std::get_if<Reservation>(&result)) {
         account.holding.lendReserved(*reservation);
-        account.holding.noteRequest(wish.bound, steadyNow());
+        account.holding.recordDemand(wish.bound, steadyNow());
         co_return Loan{.tokens = wish.bound};
     }
     Loan loan{.tokens = account.holding.lend(asked, steadyNow())};
     if (loan.tokens > 0) {
-        account.holding.noteRequest(loan.tokens, steadyNow());
+        account.holding.recordDemand(loan.tokens, steadyNow());
     }
     logLine(Severity::Info,
             "budget.lent_short",
@@ -311,7 +311,7 @@
              {"asked", asked},
              {"lent", loan.tokens},
              {"held", account.holding.granted() - account.holding.committed()},
-             {"left", account.holding.remainingAnywhere()},
+             {"left", account.holding.remainingInBudget()},
              {"store", static_cast<std::int64_t>(account.storeAnswers && m_checkpointAnswers)}});
     loan.exhausted = std::get<HoldingRefusal>(result) == HoldingRefusal::Exhausted;
     co_return loan;
@@ -320,7 +320,7 @@
 void TeamLedger::takeGift(const std::string &team, Tokens tokens)
 {
     Entry &account = entry(team);
-    account.holding.takeBack(tokens);
+    account.holding.acceptReturned(tokens);
     account.answered.notify();
 }
 
@@ -329,7 +329,7 @@
     if (account.lenders.empty()) {
         return;
     }
-    const Tokens tokens = account.holding.takeIdleLoan(steadyNow());
+    const Tokens tokens = account.holding.takeIdleBorrowed(steadyNow());
     if (tokens > 0) {
         m_give(account.lenders.front(), team, tokens);
     }
--- a/src/measure/bookfleet.cpp
+++ b/src/measure/bookfleet.cpp
@@ -119,7 +119,7 @@
     }
     const RequestTerms terms{.promptTokens = std::uniform_int_distribution<Tokens>(500, 9000)(m_random),
                              .outputLimit = std::uniform_int_distribution<Tokens>(100, 800)(m_random)};
-    m_routers[router]->holding(budget).noteRequest(terms.bound(), m_store.now);
+    m_routers[router]->holding(budget).recordDemand(terms.bound(), m_store.now);
     std::optional<Reservation> reservation = m_routers[router]->reserve(budget, terms.bound());
     if (!reservation && borrow(router, budget, terms.bound())) {
         reservation = m_routers[router]->reserve(budget, terms.bound());
@@ -158,7 +158,7 @@
 {
     TeamHolding &own = m_routers[router]->holding(budget);
     own.addWaiting(bound);
-    Tokens wanted = own.loanWanted(m_store.now);
+    Tokens wanted = own.tokensToBorrow(m_store.now);
     own.removeWaiting(bound);
     for (std::size_t lender = 0; lender < m_routers.size() && wanted > 0; ++lender) {
         if (lender == router || !up(lender) || !keeps(lender, budget)) {
@@ -167,7 +167,7 @@
         const Tokens lent = m_routers[lender]->lend(budget, wanted);
         wanted -= lent;
         if (m_options.cause != Cause::LoansLost || !drawn(s_disturbedShare)) {
-            own.borrow(lent);
+            own.addBorrowed(lent);
         }
     }
     return own.borrowed() >= bound;
@@ -176,11 +176,11 @@
 void BookFleet::giveBackIdle(std::size_t router)
 {
     for (int budget = 0; budget < s_budgets; ++budget) {
-        const Tokens gift = m_routers[router]->holding(budget).takeIdleLoan(m_store.now);
+        const Tokens gift = m_routers[router]->holding(budget).takeIdleBorrowed(m_store.now);
         const auto lender = static_cast<std::size_t>(std::ranges::find(m_names, m_keepers[budget].front()) - m_names.begin());
         const bool lost = m_options.cause == Cause::GiftsLost && drawn(s_disturbedShare);
         if (gift > 0 && !lost && up(lender)) {
-            m_routers[lender]->holding(budget).takeBack(gift);
+            m_routers[lender]->holding(budget).acceptReturned(gift);
         }
     }
 }
--- a/src/measure/bookrouter.cpp
+++ b/src/measure/bookrouter.cpp
@@ -67,7 +67,7 @@
     const Tokens wanted = held.unused() > 0 ? std::min(asked, held.unused()) : asked;
     if (const std::optional<Reservation> made = reserve(budget, wanted)) {
         held.lendReserved(*made);
-        held.noteRequest(wanted, m_store.now);
+        held.recordDemand(wanted, m_store.now);
         return wanted;
     }
     return held.lend(asked, m_store.now);
--- a/src/measure/holdings.cpp
+++ b/src/measure/holdings.cpp
@@ -112,7 +112,7 @@
         }
         for (const int lender : order) {
             BookRouter &at = *m_routers[lender];
-            at.holding(budget).noteRequest(s_bound, m_store.now);
+            at.holding(budget).recordDemand(s_bound, m_store.now);
             if (const std::optional<Reservation> made = at.reserve(budget, s_bound)) {
                 m_running.push_back({.end = m_store.now + s_requestTime, .lender = lender, .budget = budget, .reservation = *made});
                 return;
--- a/src/tests/teamholdingtest.cpp
+++ b/src/tests/teamholdingtest.cpp
@@ -213,7 +213,7 @@
     {
         const Tokens lent = process(lender).holding.lend(asked, process(lender).now);
         if (!lost && lender != borrower) {
-            process(borrower).holding.borrow(lent);
+            process(borrower).holding.addBorrowed(lent);
         }
     }
 
@@ -223,10 +223,10 @@
         Process &from = process(borrower);
         const bool assigned = from.holding.isAssigned();
         from.holding.setAssigned(false, s_routers);
-        const Tokens gift = from.holding.takeIdleLoan(from.now + ms(3'600'000));
+        const Tokens gift = from.holding.takeIdleBorrowed(from.now + ms(3'600'000));
         from.holding.setAssigned(assigned, s_routers);
         if (!lost) {
-            process(lender).holding.takeBack(gift);
+            process(lender).holding.acceptReturned(gift);
         }
     }
 
@@ -369,7 +369,7 @@
         process.holding.servingSince(process.now);
         const Tokens bound = demandASecond / 2;
         for (int request = 0; request < requests; ++request) {
-            process.holding.noteRequest(bound, process.now);
+            process.holding.recordDemand(bound, process.now);
             process.holding.addWaiting(bound);
             fleet.checkpoint(0, Fleet::Fate::Answered);
             process.holding.removeWaiting(bound);
@@ -434,7 +434,7 @@
     single.fleet.settleDown(0);
     TeamHolding &successor = single.fleet.process(0).holding;
     BOOST_TEST(!successor.fenced());
-    const Tokens lost = s_prepaid - successor.remainingAnywhere();
+    const Tokens lost = s_prepaid - successor.remainingInBudget();
     BOOST_TEST(lost > 0);
     BOOST_TEST(lost < held / 4);
 }
@@ -446,7 +446,7 @@
     Single single;
     Process &process = single.fleet.process(0);
     constexpr Tokens s_bound = 6000;
-    process.holding.noteRequest(s_bound, process.now);
+    process.holding.recordDemand(s_bound, process.now);
     const auto early = process.holding.reserve(s_bound, process.now);
     BOOST_TEST((std::get<HoldingRefusal>(early) == HoldingRefusal::CommitLimited));
     process.holding.addWaiting(s_bound);
@@ -470,7 +470,7 @@
     process.now += ms(2000);
     single.fleet.replace(0);
     single.fleet.settleDown(0);
-    const Tokens lost = s_prepaid - spent - single.fleet.process(0).holding.remainingAnywhere();
+    const Tokens lost = s_prepaid - spent - single.fleet.process(0).holding.remainingInBudget();
     BOOST_TEST(lost >= 0);
     BOOST_TEST(lost <= s_demandASecond / 4);
 }
@@ -522,7 +522,7 @@
 {
     Single single;
     Process &lender = single.fleet.process(0);
-    lender.holding.noteRequest(8000, lender.now);
+    lender.holding.recordDemand(8000, lender.now);
     lender.now += ms(20'000);
     reserve(single.fleet, lender, lender.holding.available(lender.now) - 900);
     BOOST_TEST(lender.holding.lend(5000, lender.now) == 900);
@@ -542,7 +542,7 @@
     for (Single *single : {&prompt, &waiting}) {
         single->fleet.settleDown(0);
     }
-    BOOST_TEST(waiting.fleet.process(0).holding.remainingAnywhere() == prompt.fleet.process(0).holding.remainingAnywhere());
+    BOOST_TEST(waiting.fleet.process(0).holding.remainingInBudget() == prompt.fleet.process(0).holding.remainingInBudget());
 }
 
 // A process is still running although another one has taken over its address and its row. It commits nothing more once the store tells it
@@ -583,7 +583,7 @@
     fleet.flush(0, Fleet::Fate::Answered);
     BOOST_TEST(holding.granted() > 0);
     BOOST_TEST(!holding.fenced());
-    BOOST_TEST(holding.remainingAnywhere() == s_prepaid);
+    BOOST_TEST(holding.remainingInBudget() == s_prepaid);
 }
 
 // Routers restart one after the other late in the day. Before a router knows its demand, it takes no more than its part of what remains;
@@ -593,7 +593,7 @@
     Single single;
     Process &process = single.fleet.process(0);
     process.holding.servingSince(process.now);
-    process.holding.noteRequest(90'000, process.now);
+    process.holding.recordDemand(90'000, process.now);
     process.holding.addWaiting(90'000);
     single.fleet.settleDown(0);
     process.holding.removeWaiting(90'000);
@@ -617,7 +617,7 @@
     single.fleet.flush(0, Fleet::Fate::Answered);
     BOOST_TEST(single.holding.closed());
     single.fleet.read(1);
-    BOOST_TEST(single.fleet.process(1).holding.remainingAnywhere() == s_prepaid - 200);
+    BOOST_TEST(single.fleet.process(1).holding.remainingInBudget() == s_prepaid - 200);
 }
 
 // The operator lowers a team's prepaid amount below what routers hold: unused tokens are returned, and no more are drawn.
@@ -660,7 +660,7 @@
     BOOST_TEST(borrower.holding.borrowed() == 0);
     single.fleet.settleDown(0);
     single.fleet.read(2);
-    BOOST_TEST(single.fleet.process(2).holding.remainingAnywhere() == s_prepaid - 400);
+    BOOST_TEST(single.fleet.process(2).holding.remainingInBudget() == s_prepaid - 400);
 }
 
 // Routers that are not assigned holders borrow for each request and return most of it. When the tokens were returned through the pool, they
@@ -675,10 +675,10 @@
     const Tokens lent = lender.holding.lend(before, lender.now);
     BOOST_TEST(lent > 0);
     const Tokens left = lender.holding.available(lender.now);
-    lender.holding.takeBack(lent - 100);
+    lender.holding.acceptReturned(lent - 100);
     BOOST_TEST(lender.holding.available(lender.now) == left + lent - 100);
     // Tokens beyond what was lent belong to another router's loan.
-    lender.holding.takeBack(500);
+    lender.holding.acceptReturned(500);
     BOOST_TEST(lender.holding.borrowed() == 400);
 }
 
