--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -19,7 +19,7 @@
 /// Interval at which waiting requests check whether the growth of the commitment admits them; nothing notifies them of that.
 constexpr Duration s_commitLimitPoll = std::chrono::milliseconds(50);
 /// A request waits for this multiple of the store's average latency.
-constexpr int s_callsWaitedFor = 4;
+constexpr int s_waitLatencyMultiple = 4;
 /// The newest latency has a weight of one in this many in the average.
 constexpr int s_latencyWeight = 4;
 /// Added to the expected wait, which is known only in steps.
@@ -114,9 +114,9 @@
     std::variant<Reservation, HoldingRefusal> result = account.holding.reserve(bound, begun);
     if (std::holds_alternative<HoldingRefusal>(result)) {
         // Enough for two calls, a draw and a checkpoint, and for some variation.
-        const Duration patience = std::clamp(s_callsWaitedFor * m_storeTakes, m_options.longestWait, m_options.longestSlowWait);
-        const Wish wish{.bound = bound, .longest = patience};
-        result = co_await waitFor(account, team, wish);
+        const Duration patience = std::clamp(s_waitLatencyMultiple * m_storeTakes, m_options.maxWait, m_options.maxSlowWait);
+        const WaitOptions waitOptions{.bound = bound, .timeout = patience};
+        result = co_await waitForTokens(account, team, waitOptions);
     }
     if (std::holds_alternative<HoldingRefusal>(result)) {
         co_return refusalOf(account, std::get<HoldingRefusal>(result), bound);
@@ -124,37 +124,38 @@
     co_return std::get<Reservation>(result);
 }
 
-boost::asio::awaitable<std::variant<Reservation, HoldingRefusal>> TeamLedger::waitFor(Entry &account, std::string team, Wish wish)
+boost::asio::awaitable<std::variant<Reservation, HoldingRefusal>>
+TeamLedger::waitForTokens(Entry &account, std::string team, WaitOptions waitOptions)
 {
     const Instant begun = steadyNow();
-    Instant giveUp = begun + wish.longest;
-    if (const auto committableIn = account.holding.timeUntilCommittable(wish.bound, begun, m_options.maxCommitLimitWait);
-        committableIn && wish.mayBorrow) {
-        giveUp = std::max(giveUp, begun + *committableIn + s_commitLimitMargin);
+    Instant deadline = begun + waitOptions.timeout;
+    if (const auto committableIn = account.holding.timeUntilCommittable(waitOptions.bound, begun, m_options.maxCommitLimitWait);
+        committableIn && waitOptions.mayBorrow) {
+        deadline = std::max(deadline, begun + *committableIn + s_commitLimitMargin);
     }
-    account.holding.addWaiting(wish.bound);
+    account.holding.addWaiting(waitOptions.bound);
     ++m_waiters;
-    std::variant<Reservation, HoldingRefusal> result = account.holding.reserve(wish.bound, begun);
-    while (std::holds_alternative<HoldingRefusal>(result) && steadyNow() < giveUp) {
+    std::variant<Reservation, HoldingRefusal> result = account.holding.reserve(waitOptions.bound, begun);
+    while (std::holds_alternative<HoldingRefusal>(result) && steadyNow() < deadline) {
         const HoldingRefusal refusal = std::get<HoldingRefusal>(result);
-        if (wish.mayBorrow && mayBorrow(account, refusal, wish.bound)) {
+        if (waitOptions.mayBorrow && mayBorrow(account, refusal, waitOptions.bound)) {
             boost::asio::co_spawn(m_executor, borrow(account, team), boost::asio::detached);
-        } else if (!account.borrowing && uncovered(account, wish.bound)) {
+        } else if (!account.borrowing && uncovered(account, waitOptions.bound)) {
             result = HoldingRefusal::Exhausted;
             break;
-        } else if (hopeless(account, refusal, wish.bound)) {
+        } else if (cannotBeAdmitted(account, refusal, waitOptions.bound)) {
             break;
         }
-        seek(account, refusal);
-        co_await account.answered.wait(std::min<Duration>(giveUp - steadyNow(), s_commitLimitPoll));
-        result = account.holding.reserve(wish.bound, steadyNow());
+        wakeWriters(account, refusal);
+        co_await account.answered.wait(std::min<Duration>(deadline - steadyNow(), s_commitLimitPoll));
+        result = account.holding.reserve(waitOptions.bound, steadyNow());
     }
     --m_waiters;
-    account.holding.removeWaiting(wish.bound);
+    account.holding.removeWaiting(waitOptions.bound);
     co_return result;
 }
 
-void TeamLedger::seek(Entry &account, HoldingRefusal refusal)
+void TeamLedger::wakeWriters(Entry &account, HoldingRefusal refusal)
 {
     if (refusal == HoldingRefusal::CommitLimited) {
         m_checkpointUrgent.notify();
@@ -166,7 +167,7 @@
     }
 }
 
-bool TeamLedger::hopeless(const Entry &account, HoldingRefusal refusal, Tokens bound) const
+bool TeamLedger::cannotBeAdmitted(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
     if (refusal == HoldingRefusal::Exhausted) {
         return true;
@@ -203,7 +204,7 @@
         return now;
     }
     if (m_waiters > 0) {
-        return *m_lastCheckpoint + m_options.groupInterval;
+        return *m_lastCheckpoint + m_options.batchInterval;
     }
     return *m_lastCheckpoint + checkpointInterval(now);
 }
@@ -294,12 +295,12 @@
     }
     // If the peer asks for more than this router holds, it gets all of that, as soon as a checkpoint covers it.
     const Tokens held = account.holding.unused();
-    const Wish wish{.bound = held > 0 ? std::min(asked, held) : asked, .longest = m_options.longestLoanWait, .mayBorrow = false};
-    const std::variant<Reservation, HoldingRefusal> result = co_await waitFor(account, team, wish);
+    const WaitOptions waitOptions{.bound = held > 0 ? std::min(asked, held) : asked, .timeout = m_options.maxLoanWait, .mayBorrow = false};
+    const std::variant<Reservation, HoldingRefusal> result = co_await waitForTokens(account, team, waitOptions);
     if (const auto *reservation = std::get_if<Reservation>(&result)) {
         account.holding.lendReserved(*reservation);
-        account.holding.recordDemand(wish.bound, steadyNow());
-        co_return Loan{.tokens = wish.bound};
+        account.holding.recordDemand(waitOptions.bound, steadyNow());
+        co_return Loan{.tokens = waitOptions.bound};
     }
     Loan loan{.tokens = account.holding.lend(asked, steadyNow())};
     if (loan.tokens > 0) {
--- a/src/budget/teamledger.h
+++ b/src/budget/teamledger.h
@@ -33,18 +33,18 @@
         /// covered.
         Duration borrowPause = std::chrono::milliseconds(60);
         /// Maximum time a lender waits for tokens that it does not have at hand: a draw and a checkpoint, and less than borrowers wait.
-        Duration longestLoanWait = std::chrono::milliseconds(70);
+        Duration maxLoanWait = std::chrono::milliseconds(70);
         /// Maximum time a request waits for tokens or a checkpoint. Both take about ten milliseconds in normal operation, and an early
         /// refusal lets the caller go elsewhere in time.
-        Duration longestWait = std::chrono::milliseconds(150);
+        Duration maxWait = std::chrono::milliseconds(150);
         /// Maximum time a request waits while the store answers slowly, a hundred milliseconds or more a call: the other routers have the
         /// same problem. Still shorter than most latency objectives.
-        Duration longestSlowWait = std::chrono::milliseconds(500);
+        Duration maxSlowWait = std::chrono::milliseconds(500);
         /// A request waits longer than that if the growth of the commitment will admit it within this time, which is sooner than the caller
         /// would retry.
         Duration maxCommitLimitWait = std::chrono::milliseconds(400);
         /// Minimum interval between checkpoints that requests wait for, so that one write serves several requests.
-        Duration groupInterval = std::chrono::milliseconds(12);
+        Duration batchInterval = std::chrono::milliseconds(12);
         /// Interval between checkpoints that no request waits for, while tokens are held. What a router could have committed since its last
         /// checkpoint is lost when it dies.
         Duration checkpointInterval = std::chrono::milliseconds(250);
@@ -171,19 +171,20 @@
     std::int64_t retryAfterMs(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     bool mayBorrow(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     bool storeHelps(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
-    void seek(Entry &account, HoldingRefusal refusal);
+    void wakeWriters(Entry &account, HoldingRefusal refusal);
     bool uncovered(const Entry &account, Tokens bound) const;
-    bool hopeless(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
+    bool cannotBeAdmitted(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     void updateAssignment(Entry &account, const std::string &team);
 
     /// How a request or a loan waits for tokens.
-    struct Wish {
+    struct WaitOptions {
         Tokens bound = 0;
-        Duration longest{};
+        Duration timeout{};
         bool mayBorrow = true;
     };
 
-    boost::asio::awaitable<std::variant<Reservation, HoldingRefusal>> waitFor(Entry &account, std::string team, Wish wish);
+    boost::asio::awaitable<std::variant<Reservation, HoldingRefusal>>
+    waitForTokens(Entry &account, std::string team, WaitOptions waitOptions);
     boost::asio::awaitable<void> borrow(Entry &account, std::string team);
     void noteServing(Instant now);
     Duration checkpointInterval(Instant now) const;
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -52,8 +52,8 @@
                  {.holder = "10.0.0.1:80",
                   .incarnation = "a",
                   .link = "10.0.0.1:7340",
-                  .longestLoanWait = std::chrono::seconds(30),
-                  .longestWait = std::chrono::seconds(30)})
+                  .maxLoanWait = std::chrono::seconds(30),
+                  .maxWait = std::chrono::seconds(30)})
         , checkpoints(store, ledger)
         , keeper(loop.get_executor(), store, ledger, {.routers = [] {
                      return std::size_t{1};
