--- a/src/budget/checkpointkeeper.h
+++ b/src/budget/checkpointkeeper.h
@@ -48,7 +48,7 @@
                 co_await waitUntilDue();
                 answered = co_await write();
             }
-            noteStore(answered);
+            setReachable(answered);
             if (!answered) {
                 co_await pause(m_options.retryPause);
             }
@@ -95,12 +95,12 @@
         co_return false;
     }
 
-    void noteStore(bool answers)
+    void setReachable(bool reachable)
     {
-        if (m_ledger.checkpointAnswers() != answers) {
-            logLine(answers ? Severity::Info : Severity::Warning, answers ? "checkpoint.store_regained" : "checkpoint.store_lost", {});
+        if (m_ledger.checkpointStoreReachable() != reachable) {
+            logLine(reachable ? Severity::Info : Severity::Warning, reachable ? "checkpoint.store_regained" : "checkpoint.store_lost", {});
         }
-        m_ledger.setCheckpointAnswers(answers);
+        m_ledger.setCheckpointStoreReachable(reachable);
     }
 
     Store &m_store;
--- a/src/budget/ledgerkeeper.h
+++ b/src/budget/ledgerkeeper.h
@@ -56,7 +56,7 @@
                 answered = co_await flush(entry, team);
             }
             if (answered) {
-                noteStore(entry, team, *answered);
+                setReachable(entry, team, *answered);
             }
             if (answered.value_or(true)) {
                 co_await waitUntilDue(entry);
@@ -73,7 +73,7 @@
         const std::optional<Instant> due = entry.holding.nextFlush(m_options.routers(), now);
         const Duration wait = due ? *due - now : s_idlePause;
         if (wait > Duration::zero()) {
-            co_await entry.urgent.wait(std::min(wait, s_idlePause));
+            co_await entry.flushSignal.wait(std::min(wait, s_idlePause));
         }
     }
 
@@ -85,7 +85,7 @@
             co_return false;
         }
         const bool taken = entry.holding.handleRead(*rows, steadyNow());
-        entry.answered.notify();
+        entry.answerSignal.notify();
         co_return taken;
     }
 
@@ -102,7 +102,7 @@
             if (recovery && entry.holding.recovered()) {
                 logRecovery(*recovery, team);
             }
-            entry.answered.notify();
+            entry.answerSignal.notify();
             co_return true;
         }
         if (toFailure(verdict.status()).ran == Ran::No) {
@@ -125,16 +125,16 @@
                  {"checkpoint_known", static_cast<std::int64_t>(recovery.checkpointKnown)}});
     }
 
-    void noteStore(TeamLedger::Entry &entry, const std::string &team, bool answers)
+    void setReachable(TeamLedger::Entry &entry, const std::string &team, bool reachable)
     {
-        if (entry.storeAnswers != answers) {
-            logLine(answers ? Severity::Info : Severity::Warning,
-                    answers ? "budget.store_regained" : "budget.store_lost",
+        if (entry.storeReachable != reachable) {
+            logLine(reachable ? Severity::Info : Severity::Warning,
+                    reachable ? "budget.store_regained" : "budget.store_lost",
                     {{"team", team}, {"granted", entry.holding.granted()}, {"committed", entry.holding.committed()}});
         }
-        entry.storeAnswers = answers;
-        if (!answers) {
-            entry.answered.notify();
+        entry.storeReachable = reachable;
+        if (!reachable) {
+            entry.answerSignal.notify();
         }
     }
 
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -57,7 +57,7 @@
     return std::max<Tokens>(0, most - committed());
 }
 
-std::optional<Commitment> TeamHolding::commitment(Instant now, Duration storeTakes) const
+std::optional<Commitment> TeamHolding::commitment(Instant now, Duration storeLatency) const
 {
     const HoldingPolicy &policy = m_options.policy;
     const Tokens unused = std::max<Tokens>(0, granted() - committed());
@@ -66,7 +66,7 @@
     }
     const double wanted = demand(now);
     const double growth = std::max(policy.growthDemandFactor * wanted, static_cast<double>(unused) / seconds(policy.growthSpan));
-    const Duration soon = policy.burstSpan + 2 * storeTakes;
+    const Duration soon = policy.burstSpan + 2 * storeLatency;
     const Duration span = ample(wanted) ? std::max(soon, s_growthDelay) : soon;
     const auto ahead = static_cast<Tokens>(wanted * seconds(span));
     return Commitment{
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -132,9 +132,9 @@
     /// Number of tokens to borrow for all requests that wait.
     Tokens tokensToBorrow(Instant now) const;
 
-    /// The commitment of the router's next checkpoint for this team; none when there is nothing to commit. `storeTakes` is the time that a
-    /// checkpoint's write currently takes.
-    std::optional<Commitment> commitment(Instant now, Duration storeTakes = {}) const;
+    /// The commitment of the router's next checkpoint for this team; none when there is nothing to commit. `storeLatency` is the time that
+    /// a checkpoint's write currently takes.
+    std::optional<Commitment> commitment(Instant now, Duration storeLatency = {}) const;
 
     /// Time until `bound` tokens can be reserved from this holding, in addition to the requests that already wait and without any answer of
     /// the store; none when that takes longer than `horizon`.
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -29,8 +29,8 @@
 
 TeamLedger::Entry::Entry(const boost::asio::any_io_executor &executor, TeamHolding::Options options, const HolderCheckpoint &checkpoint)
     : holding(std::move(options), checkpoint)
-    , answered(executor)
-    , urgent(executor)
+    , answerSignal(executor)
+    , flushSignal(executor)
 {
 }
 
@@ -74,7 +74,7 @@
                 {{"team", team}, {"prepaid", statement.prepaid}, {"plan", static_cast<std::int64_t>(statement.planVersion)}});
         updateAssignment(account, team);
     }
-    account.urgent.notify();
+    account.flushSignal.notify();
 }
 
 absl::Status TeamLedger::refusalOf(const Entry &account, HoldingRefusal refusal, Tokens bound) const
@@ -91,7 +91,7 @@
                                             unspent,
                                             " held; left in the budget ",
                                             account.holding.remainingInBudget(),
-                                            account.storeAnswers && m_checkpointAnswers ? "" : "; store out of reach"),
+                                            account.storeReachable && m_checkpointStoreReachable ? "" : "; store out of reach"),
                      .ran = Ran::No,
                      .retryAfterMs = retryAfterMs(account, refusal, bound)});
 }
@@ -114,7 +114,7 @@
     std::variant<Reservation, HoldingRefusal> result = account.holding.reserve(bound, begun);
     if (std::holds_alternative<HoldingRefusal>(result)) {
         // Enough for two calls, a draw and a checkpoint, and for some variation.
-        const Duration patience = std::clamp(s_waitLatencyMultiple * m_storeTakes, m_options.maxWait, m_options.maxSlowWait);
+        const Duration patience = std::clamp(s_waitLatencyMultiple * m_storeLatency, m_options.maxWait, m_options.maxSlowWait);
         const WaitOptions waitOptions{.bound = bound, .timeout = patience};
         result = co_await waitForTokens(account, team, waitOptions);
     }
@@ -147,7 +147,7 @@
             break;
         }
         wakeWriters(account, refusal);
-        co_await account.answered.wait(std::min<Duration>(deadline - steadyNow(), s_commitLimitPoll));
+        co_await account.answerSignal.wait(std::min<Duration>(deadline - steadyNow(), s_commitLimitPoll));
         result = account.holding.reserve(waitOptions.bound, steadyNow());
     }
     --m_waiters;
@@ -162,8 +162,8 @@
     }
     // A router that is not an assigned holder draws on the pool only while the assigned holders have nothing to lend.
     const bool draws = account.holding.isAssigned() || (!account.borrowing && steadyNow() < account.borrowAgainAt);
-    if (refusal == HoldingRefusal::NotHeld && account.storeAnswers && draws) {
-        account.urgent.notify();
+    if (refusal == HoldingRefusal::NotHeld && account.storeReachable && draws) {
+        account.flushSignal.notify();
     }
 }
 
@@ -176,7 +176,7 @@
         return false;
     }
     const bool committableSoon = account.holding.timeUntilCommittable(0, steadyNow(), m_options.maxCommitLimitWait).has_value();
-    return !storeHelps(account, refusal, bound) && !committableSoon;
+    return !storeCanServe(account, refusal, bound) && !committableSoon;
 }
 
 bool TeamLedger::uncovered(const Entry &account, Tokens bound) const
@@ -184,17 +184,17 @@
     return !account.holding.isAssigned() && steadyNow() < account.uncoveredUntil && bound >= account.uncovered;
 }
 
-bool TeamLedger::storeHelps(const Entry &account, HoldingRefusal refusal, Tokens bound) const
+bool TeamLedger::storeCanServe(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
     if (refusal == HoldingRefusal::CommitLimited) {
-        return m_checkpointAnswers;
+        return m_checkpointStoreReachable;
     }
-    return account.storeAnswers && account.holding.freeInPool() >= bound;
+    return account.storeReachable && account.holding.freeInPool() >= bound;
 }
 
 bool TeamLedger::mayBorrow(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
-    const bool pointless = refusal == HoldingRefusal::Exhausted || (account.holding.isAssigned() && storeHelps(account, refusal, bound));
+    const bool pointless = refusal == HoldingRefusal::Exhausted || (account.holding.isAssigned() && storeCanServe(account, refusal, bound));
     return m_options.policy.loans && m_borrow && !pointless && !account.borrowing && steadyNow() >= account.borrowAgainAt;
 }
 
@@ -228,13 +228,13 @@
 {
     m_lastCheckpoint = now;
     if (!m_checkpoint->writePending()) {
-        m_checkpointBegun = now;
+        m_checkpointFirstSent = now;
     }
     HolderCheckpoint::Commitments commitments;
     bool recovered = true;
     for (const auto &[team, account] : m_entries) {
         recovered = recovered && account->holding.recovered();
-        if (const std::optional<Commitment> commitment = account->holding.commitment(now, m_storeTakes)) {
+        if (const std::optional<Commitment> commitment = account->holding.commitment(now, m_storeLatency)) {
             commitments.emplace(team, *commitment);
         }
     }
@@ -247,13 +247,13 @@
 void TeamLedger::checkpointAnswered(const RowVerdict &verdict, Instant now)
 {
     const bool fencedBefore = m_checkpoint->predecessorsFenced();
-    m_storeTakes += (now - m_checkpointBegun - m_storeTakes) / s_latencyWeight;
+    m_storeLatency += (now - m_checkpointFirstSent - m_storeLatency) / s_latencyWeight;
     m_checkpoint->writeAnswered(verdict, now);
     for (const auto &[team, account] : m_entries) {
-        account->answered.notify();
+        account->answerSignal.notify();
         if (!fencedBefore) {
             // Recoveries waited for this checkpoint.
-            account->urgent.notify();
+            account->flushSignal.notify();
         }
     }
 }
@@ -280,7 +280,7 @@
                 "budget.loan_short",
                 {{"team", team}, {"wanted", wanted}, {"lent", loan.tokens}, {"exhausted", static_cast<std::int64_t>(loan.exhausted)}});
     }
-    account.answered.notify();
+    account.answerSignal.notify();
 }
 
 boost::asio::awaitable<TeamLedger::Loan> TeamLedger::lend(std::string team, Tokens asked)
@@ -313,7 +313,7 @@
              {"lent", loan.tokens},
              {"held", account.holding.granted() - account.holding.committed()},
              {"left", account.holding.remainingInBudget()},
-             {"store", static_cast<std::int64_t>(account.storeAnswers && m_checkpointAnswers)}});
+             {"store", static_cast<std::int64_t>(account.storeReachable && m_checkpointStoreReachable)}});
     loan.exhausted = std::get<HoldingRefusal>(result) == HoldingRefusal::Exhausted;
     co_return loan;
 }
@@ -322,7 +322,7 @@
 {
     Entry &account = entry(team);
     account.holding.acceptReturned(tokens);
-    account.answered.notify();
+    account.answerSignal.notify();
 }
 
 void TeamLedger::returnIdleLoan(Entry &account, const std::string &team)
@@ -367,7 +367,7 @@
     }
     account.lenders = std::move(holders);
     account.holding.setAssigned(assigned, count);
-    account.urgent.notify();
+    account.flushSignal.notify();
 }
 
 void TeamLedger::noteServing(Instant now)
@@ -396,7 +396,7 @@
 {
     for (const auto &[team, account] : m_entries) {
         account->holding.beginClose();
-        account->urgent.notify();
+        account->flushSignal.notify();
     }
 }
 
--- a/src/budget/teamledger.h
+++ b/src/budget/teamledger.h
@@ -67,9 +67,9 @@
 
         TeamHolding holding;
         /// Notified when the store or a peer has answered, which may admit requests that wait.
-        Signal answered;
+        Signal answerSignal;
         /// Notified when a flush has become more urgent.
-        Signal urgent;
+        Signal flushSignal;
         /// Whether a loan request is in progress, and the time before which no other may be made.
         bool borrowing = false;
         Instant borrowAgainAt{};
@@ -79,7 +79,7 @@
         /// Link addresses of the assigned holders except this router, in the order in which it asks them.
         std::vector<std::string> lenders;
         /// Whether the store answered the last call for this team.
-        bool storeAnswers = true;
+        bool storeReachable = true;
     };
 
     TeamLedger(boost::asio::any_io_executor executor, Options options);
@@ -149,14 +149,14 @@
     void checkpointAnswered(const RowVerdict &verdict, Instant now);
 
     /// Whether the store answered the last write of a checkpoint.
-    bool checkpointAnswers() const
+    bool checkpointStoreReachable() const
     {
-        return m_checkpointAnswers;
+        return m_checkpointStoreReachable;
     }
 
-    void setCheckpointAnswers(bool answers)
+    void setCheckpointStoreReachable(bool reachable)
     {
-        m_checkpointAnswers = answers;
+        m_checkpointStoreReachable = reachable;
     }
 
     /// Starts to return all unused tokens.
@@ -170,7 +170,7 @@
     absl::Status refusalOf(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     std::int64_t retryAfterMs(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     bool mayBorrow(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
-    bool storeHelps(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
+    bool storeCanServe(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     void wakeWriters(Entry &account, HoldingRefusal refusal);
     bool uncovered(const Entry &account, Tokens bound) const;
     bool cannotBeAdmitted(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
@@ -194,12 +194,12 @@
     /// Created by start(); holdings refer to it.
     std::unique_ptr<HolderCheckpoint> m_checkpoint;
     Signal m_checkpointUrgent;
-    bool m_checkpointAnswers = true;
+    bool m_checkpointStoreReachable = true;
     /// Average time the store takes for a checkpoint.
-    Duration m_storeTakes{};
+    Duration m_storeLatency{};
     std::optional<Instant> m_lastCheckpoint;
     /// When the checkpoint in flight was first sent: while answers are lost, the next one takes effect only after all repeats.
-    Instant m_checkpointBegun{};
+    Instant m_checkpointFirstSent{};
     /// Number of requests and loans that wait for tokens or a checkpoint.
     std::size_t m_waiters = 0;
     std::map<std::string, std::unique_ptr<Entry>, std::less<>> m_entries;
