--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -77,7 +77,7 @@
     account.flushSignal.notify();
 }
 
-absl::Status TeamLedger::refusalOf(const Entry &account, HoldingRefusal refusal, Tokens bound) const
+absl::Status TeamLedger::refusalStatus(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
     const bool exhausted = refusal == HoldingRefusal::Exhausted;
     const Tokens available = account.holding.available(steadyNow());
@@ -119,7 +119,7 @@
         result = co_await waitForTokens(account, team, waitOptions);
     }
     if (std::holds_alternative<HoldingRefusal>(result)) {
-        co_return refusalOf(account, std::get<HoldingRefusal>(result), bound);
+        co_return refusalStatus(account, std::get<HoldingRefusal>(result), bound);
     }
     co_return std::get<Reservation>(result);
 }
@@ -140,7 +140,7 @@
         const HoldingRefusal refusal = std::get<HoldingRefusal>(result);
         if (waitOptions.mayBorrow && mayBorrow(account, refusal, waitOptions.bound)) {
             boost::asio::co_spawn(m_executor, borrow(account, team), boost::asio::detached);
-        } else if (!account.borrowing && uncovered(account, waitOptions.bound)) {
+        } else if (!account.borrowing && knownUncovered(account, waitOptions.bound)) {
             result = HoldingRefusal::Exhausted;
             break;
         } else if (cannotBeAdmitted(account, refusal, waitOptions.bound)) {
@@ -161,7 +161,7 @@
         m_checkpointUrgent.notify();
     }
     // A router that is not an assigned holder draws on the pool only while the assigned holders have nothing to lend.
-    const bool draws = account.holding.isAssigned() || (!account.borrowing && steadyNow() < account.borrowAgainAt);
+    const bool draws = account.holding.isAssigned() || (!account.borrowing && steadyNow() < account.nextBorrowAt);
     if (refusal == HoldingRefusal::NotHeld && account.storeReachable && draws) {
         account.flushSignal.notify();
     }
@@ -179,9 +179,9 @@
     return !storeCanServe(account, refusal, bound) && !committableSoon;
 }
 
-bool TeamLedger::uncovered(const Entry &account, Tokens bound) const
+bool TeamLedger::knownUncovered(const Entry &account, Tokens bound) const
 {
-    return !account.holding.isAssigned() && steadyNow() < account.uncoveredUntil && bound >= account.uncovered;
+    return !account.holding.isAssigned() && steadyNow() < account.uncoveredUntil && bound >= account.uncoveredAmount;
 }
 
 bool TeamLedger::storeCanServe(const Entry &account, HoldingRefusal refusal, Tokens bound) const
@@ -195,7 +195,7 @@
 bool TeamLedger::mayBorrow(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
     const bool pointless = refusal == HoldingRefusal::Exhausted || (account.holding.isAssigned() && storeCanServe(account, refusal, bound));
-    return m_options.policy.loans && m_borrow && !pointless && !account.borrowing && steadyNow() >= account.borrowAgainAt;
+    return m_options.policy.loans && m_borrow && !pointless && !account.borrowing && steadyNow() >= account.nextBorrowAt;
 }
 
 Instant TeamLedger::checkpointDue(Instant now) const
@@ -266,13 +266,13 @@
     account.holding.addBorrowed(loan.tokens);
     account.borrowing = false;
     if (loan.tokens < wanted) {
-        account.borrowAgainAt = steadyNow() + m_options.borrowPause;
+        account.nextBorrowAt = steadyNow() + m_options.borrowPause;
     }
     if (loan.exhausted) {
         // The amount asked for is the sum of all waiting requests. Lenders lend what they have of it, so when they lend nothing at all,
         // there is nothing for a smaller request either. With the sum as the limit, callers of an exhausted budget would be told that it is
         // unreachable, and would retry in vain.
-        account.uncovered = loan.tokens == 0 ? 1 : wanted - loan.tokens;
+        account.uncoveredAmount = loan.tokens == 0 ? 1 : wanted - loan.tokens;
         account.uncoveredUntil = steadyNow() + m_options.borrowPause;
     }
     if (loan.tokens < wanted) {
@@ -318,7 +318,7 @@
     co_return loan;
 }
 
-void TeamLedger::takeGift(const std::string &team, Tokens tokens)
+void TeamLedger::acceptReturnedTokens(const std::string &team, Tokens tokens)
 {
     Entry &account = entry(team);
     account.holding.acceptReturned(tokens);
@@ -332,14 +332,14 @@
     }
     const Tokens tokens = account.holding.takeIdleBorrowed(steadyNow());
     if (tokens > 0) {
-        m_give(account.lenders.front(), team, tokens);
+        m_return(account.lenders.front(), team, tokens);
     }
 }
 
-void TeamLedger::onShortage(Borrow borrow, Give give)
+void TeamLedger::setPeerFunctions(BorrowFunction borrow, ReturnFunction giveBack)
 {
     m_borrow = std::move(borrow);
-    m_give = std::move(give);
+    m_return = std::move(giveBack);
 }
 
 void TeamLedger::setRouters(const std::vector<std::string> &routers)
@@ -359,10 +359,10 @@
         ? assignedHolders(team, account.holding.prepaid(), account.holding.averageRequestBound(), m_routers)
         : m_routers;
     const std::size_t count = holders.size();
-    const bool assigned = std::erase(holders, m_options.link) > 0;
+    const bool assigned = std::erase(holders, m_options.linkAddress) > 0;
     // Each borrower starts with another assigned holder, so that all of them lend about the same amount.
     if (!holders.empty()) {
-        const auto first = static_cast<std::ptrdiff_t>(stableHash(m_options.link) % holders.size());
+        const auto first = static_cast<std::ptrdiff_t>(stableHash(m_options.linkAddress) % holders.size());
         std::rotate(holders.begin(), holders.begin() + first, holders.end());
     }
     account.lenders = std::move(holders);
--- a/src/budget/teamledger.h
+++ b/src/budget/teamledger.h
@@ -27,7 +27,7 @@
         std::string incarnation;
         HoldingPolicy policy;
         /// This router's link address, by which peers identify it.
-        std::string link;
+        std::string linkAddress;
         /// After peers lent less than was asked for, they are not asked again for this long: about the time of a checkpoint or a draw at
         /// the lender. Until then every request of the team that needs a loan is refused here, even a small one that a peer could have
         /// covered.
@@ -72,9 +72,9 @@
         Signal flushSignal;
         /// Whether a loan request is in progress, and the time before which no other may be made.
         bool borrowing = false;
-        Instant borrowAgainAt{};
+        Instant nextBorrowAt{};
         /// Assigned holders reported that the budget does not cover this many tokens. Valid until `uncoveredUntil`.
-        Tokens uncovered = 0;
+        Tokens uncoveredAmount = 0;
         Instant uncoveredUntil{};
         /// Link addresses of the assigned holders except this router, in the order in which it asks them.
         std::vector<std::string> lenders;
@@ -109,14 +109,14 @@
     boost::asio::awaitable<Loan> lend(std::string team, Tokens asked);
 
     /// Accepts tokens that a peer returns, or a loan that arrived too late.
-    void takeGift(const std::string &team, Tokens tokens);
+    void acceptReturnedTokens(const std::string &team, Tokens tokens);
 
     /// Asks the given peers, one after the other, for tokens of a team.
-    using Borrow = std::function<boost::asio::awaitable<Loan>(std::string team, Tokens asked, std::vector<std::string> lenders)>;
+    using BorrowFunction = std::function<boost::asio::awaitable<Loan>(std::string team, Tokens asked, std::vector<std::string> lenders)>;
     /// Returns tokens to a peer.
-    using Give = std::function<void(const std::string &peer, const std::string &team, Tokens tokens)>;
+    using ReturnFunction = std::function<void(const std::string &peer, const std::string &team, Tokens tokens)>;
     /// Sets the functions that exchange tokens with peers.
-    void onShortage(Borrow borrow, Give give);
+    void setPeerFunctions(BorrowFunction borrow, ReturnFunction giveBack);
 
     /// Sets the routers that are alive, by link address. Determines which of them are assigned to hold which budget.
     void setRouters(const std::vector<std::string> &routers);
@@ -167,12 +167,12 @@
 
 private:
     Entry &entry(const std::string &team);
-    absl::Status refusalOf(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
+    absl::Status refusalStatus(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     std::int64_t retryAfterMs(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     bool mayBorrow(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     bool storeCanServe(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     void wakeWriters(Entry &account, HoldingRefusal refusal);
-    bool uncovered(const Entry &account, Tokens bound) const;
+    bool knownUncovered(const Entry &account, Tokens bound) const;
     bool cannotBeAdmitted(const Entry &account, HoldingRefusal refusal, Tokens bound) const;
     void updateAssignment(Entry &account, const std::string &team);
 
@@ -204,8 +204,8 @@
     std::size_t m_waiters = 0;
     std::map<std::string, std::unique_ptr<Entry>, std::less<>> m_entries;
     std::function<void(Entry &, const std::string &)> m_onOpened;
-    Borrow m_borrow;
-    Give m_give;
+    BorrowFunction m_borrow;
+    ReturnFunction m_return;
     std::vector<std::string> m_routers;
     std::optional<Instant> m_servingSince;
 };
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -73,8 +73,9 @@
         , m_detours({.self = text(m_options.link), .failureDomain = m_options.gateway.board.failureDomain})
         , m_store(store, m_link, relayedOptions())
         , m_registry(m_store, registryOptions())
-        , m_ledger(m_executor,
-                   {.holder = holder(), .incarnation = m_options.incarnation, .policy = m_options.holdings, .link = text(m_options.link)})
+        , m_ledger(
+              m_executor,
+              {.holder = holder(), .incarnation = m_options.incarnation, .policy = m_options.holdings, .linkAddress = text(m_options.link)})
         , m_checkpoints(m_store, m_ledger)
         , m_keeper(m_executor, m_store, m_ledger, {.routers = countedRouters()})
         , m_gateway(m_executor, gatewayOptions(), m_ledger, m_metrics)
--- a/src/gateway/peerhelp.h
+++ b/src/gateway/peerhelp.h
@@ -83,7 +83,7 @@
         m_link.onEvacuations([this](const wire::EvacuationNotice &notice) {
             m_evacuations.heard(fromWire(notice), steadyNow());
         });
-        m_ledger.onShortage(
+        m_ledger.setPeerFunctions(
             [this](std::string team, Tokens asked, std::vector<std::string> lenders) {
                 return borrow(std::move(team), asked, std::move(lenders));
             },
@@ -193,7 +193,7 @@
             co_return answer;
         }
         if (call.has_gift()) {
-            m_ledger.takeGift(call.gift().team(), call.gift().tokens());
+            m_ledger.acceptReturnedTokens(call.gift().team(), call.gift().tokens());
             answer.set_done(true);
             co_return answer;
         }
@@ -270,7 +270,7 @@
             co_return;
         }
         if (!loan->waitedFor) {
-            m_ledger.takeGift(loan->team, answer->lent().tokens());
+            m_ledger.acceptReturnedTokens(loan->team, answer->lent().tokens());
             co_return;
         }
         loan->answer = TeamLedger::Loan{.tokens = answer->lent().tokens(), .exhausted = answer->lent().exhausted()};
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -51,7 +51,7 @@
         : ledger(loop.get_executor(),
                  {.holder = "10.0.0.1:80",
                   .incarnation = "a",
-                  .link = "10.0.0.1:7340",
+                  .linkAddress = "10.0.0.1:7340",
                   .maxLoanWait = std::chrono::seconds(30),
                   .maxWait = std::chrono::seconds(30)})
         , checkpoints(store, ledger)
@@ -59,7 +59,7 @@
                      return std::size_t{1};
                  }})
     {
-        ledger.onShortage(
+        ledger.setPeerFunctions(
             [this](std::string, Tokens asked, std::vector<std::string> lenders) -> asio::awaitable<TeamLedger::Loan> {
                 askedOf = std::move(lenders);
                 const Tokens lent = std::min(asked, lendable);
