--- a/src/budget/checkpointkeeper.h
+++ b/src/budget/checkpointwriter.h
@@ -16,7 +16,7 @@
 /// Writes a router's checkpoints to the store: at once when a request waits for one, otherwise at the interval that the ledger requires.
 /// Only one write is in flight at a time; the next one includes everything that came up meanwhile.
 template<RowStore Store>
-class CheckpointKeeper
+class CheckpointWriter
 {
 public:
     struct Options {
@@ -24,15 +24,15 @@
         Duration retryPause = std::chrono::milliseconds(100);
     };
 
-    CheckpointKeeper(Store &store, TeamLedger &ledger, Options options)
+    CheckpointWriter(Store &store, TeamLedger &ledger, Options options)
         : m_store(store)
         , m_ledger(ledger)
         , m_options(options)
     {
     }
 
-    CheckpointKeeper(Store &store, TeamLedger &ledger)
-        : CheckpointKeeper(store, ledger, Options{})
+    CheckpointWriter(Store &store, TeamLedger &ledger)
+        : CheckpointWriter(store, ledger, Options{})
     {
     }
 
--- a/src/budget/teamledger.h
+++ b/src/budget/teamledger.h
@@ -18,7 +18,7 @@
 namespace bamboohold {
 
 /// What a router holds of every team's budget, for requests to reserve from. Used on one event loop only. LedgerKeeper moves tokens between
-/// the ledger and the store, and CheckpointKeeper writes the router's checkpoints.
+/// the ledger and the store, and CheckpointWriter writes the router's checkpoints.
 class TeamLedger
 {
 public:
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "budget/checkpointkeeper.h"
+#include "budget/checkpointwriter.h"
 #include "budget/ledgerkeeper.h"
 #include "gateway/gateway.h"
 #include "gateway/mechanisms.h"
@@ -466,7 +466,7 @@
     Relayed m_store;
     RouterRegistry<Relayed> m_registry;
     TeamLedger m_ledger;
-    CheckpointKeeper<Relayed> m_checkpoints;
+    CheckpointWriter<Relayed> m_checkpoints;
     LedgerKeeper<Relayed> m_keeper;
     Gateway m_gateway;
     LoadServer m_loadServer;
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -1,6 +1,6 @@
 #include "budget/teamledger.h"
 
-#include "budget/checkpointkeeper.h"
+#include "budget/checkpointwriter.h"
 #include "budget/ledgerkeeper.h"
 #include "store/memoryrows.h"
 
@@ -116,7 +116,7 @@
     asio::io_context loop;
     Store store;
     TeamLedger ledger;
-    CheckpointKeeper<Store> checkpoints;
+    CheckpointWriter<Store> checkpoints;
     LedgerKeeper<Store> keeper;
     Tokens lendable = 0;
     std::vector<std::string> askedOf;
