--- a/src/budget/ledgerkeeper.h
+++ b/src/budget/ledgersynchronizer.h
@@ -17,7 +17,7 @@
 /// Synchronizes each account of a TeamLedger with the store: reads its rows, sends its flushes, and passes the results back. Only one flush
 /// per team is in flight at a time.
 template<RowStore Store>
-class LedgerKeeper
+class LedgerSynchronizer
 {
 public:
     struct Options {
@@ -27,22 +27,22 @@
         Duration retryPause = std::chrono::milliseconds(250);
     };
 
-    LedgerKeeper(boost::asio::any_io_executor executor, Store &store, TeamLedger &ledger, Options options)
+    LedgerSynchronizer(boost::asio::any_io_executor executor, Store &store, TeamLedger &ledger, Options options)
         : m_store(store)
         , m_ledger(ledger)
         , m_options(std::move(options))
     {
         ledger.onOpened([this, executor](TeamLedger::Entry &entry, const std::string &team) {
-            boost::asio::co_spawn(executor, keep(entry, team), boost::asio::detached);
+            boost::asio::co_spawn(executor, synchronize(entry, team), boost::asio::detached);
         });
     }
 
 private:
-    boost::asio::awaitable<void> keep(TeamLedger::Entry &entry, std::string team)
+    boost::asio::awaitable<void> synchronize(TeamLedger::Entry &entry, std::string team)
     {
         while (m_options.routers() == 0) {
             // A router that assumed to be the only one would draw the tokens meant for all of them.
-            co_await pause(s_countPause);
+            co_await pause(s_routerCountPoll);
         }
         while (!entry.holding.fenced()) {
             m_ledger.returnIdleLoan(entry, team);
@@ -71,9 +71,9 @@
     {
         const Instant now = steadyNow();
         const std::optional<Instant> due = entry.holding.nextFlush(m_options.routers(), now);
-        const Duration wait = due ? *due - now : s_idlePause;
+        const Duration wait = due ? *due - now : s_maxIdleWait;
         if (wait > Duration::zero()) {
-            co_await entry.flushSignal.wait(std::min(wait, s_idlePause));
+            co_await entry.flushSignal.wait(std::min(wait, s_maxIdleWait));
         }
     }
 
@@ -138,9 +138,9 @@
         }
     }
 
-    static constexpr Duration s_countPause = std::chrono::milliseconds(20);
+    static constexpr Duration s_routerCountPoll = std::chrono::milliseconds(20);
     /// Maximum sleep of an account that has nothing to do.
-    static constexpr Duration s_idlePause = std::chrono::seconds(1);
+    static constexpr Duration s_maxIdleWait = std::chrono::seconds(1);
 
     Store &m_store;
     TeamLedger &m_ledger;
--- a/src/budget/teamledger.h
+++ b/src/budget/teamledger.h
@@ -17,8 +17,8 @@
 
 namespace bamboohold {
 
-/// What a router holds of every team's budget, for requests to reserve from. Used on one event loop only. LedgerKeeper moves tokens between
-/// the ledger and the store, and CheckpointWriter writes the router's checkpoints.
+/// What a router holds of every team's budget, for requests to reserve from. Used on one event loop only. LedgerSynchronizer moves tokens
+/// between the ledger and the store, and CheckpointWriter writes the router's checkpoints.
 class TeamLedger
 {
 public:
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "budget/checkpointwriter.h"
-#include "budget/ledgerkeeper.h"
+#include "budget/ledgersynchronizer.h"
 #include "gateway/gateway.h"
 #include "gateway/mechanisms.h"
 #include "gateway/peerhelp.h"
@@ -467,7 +467,7 @@
     RouterRegistry<Relayed> m_registry;
     TeamLedger m_ledger;
     CheckpointWriter<Relayed> m_checkpoints;
-    LedgerKeeper<Relayed> m_keeper;
+    LedgerSynchronizer<Relayed> m_keeper;
     Gateway m_gateway;
     LoadServer m_loadServer;
     LoadLink m_loads;
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -1,7 +1,7 @@
 #include "budget/teamledger.h"
 
 #include "budget/checkpointwriter.h"
-#include "budget/ledgerkeeper.h"
+#include "budget/ledgersynchronizer.h"
 #include "store/memoryrows.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -55,9 +55,9 @@
                   .maxLoanWait = std::chrono::seconds(30),
                   .maxWait = std::chrono::seconds(30)})
         , checkpoints(store, ledger)
-        , keeper(loop.get_executor(), store, ledger, {.routers = [] {
-                     return std::size_t{1};
-                 }})
+        , synchronizer(loop.get_executor(), store, ledger, {.routers = [] {
+                           return std::size_t{1};
+                       }})
     {
         ledger.setPeerFunctions(
             [this](std::string, Tokens asked, std::vector<std::string> lenders) -> asio::awaitable<TeamLedger::Loan> {
@@ -117,7 +117,7 @@
     Store store;
     TeamLedger ledger;
     CheckpointWriter<Store> checkpoints;
-    LedgerKeeper<Store> keeper;
+    LedgerSynchronizer<Store> synchronizer;
     Tokens lendable = 0;
     std::vector<std::string> askedOf;
     std::string givenTo;
