--- a/src/tests/holdercheckpointtest.cpp
+++ b/src/tests/holdercheckpointtest.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr StoreTimeMs s_storeStart = 50'000;
-const Commitment s_promise{.committed = 1000, .burst = 200, .rate = 400};
+const Commitment s_commitment{.committed = 1000, .burst = 200, .rate = 400};
 
 Duration ms(std::int64_t value)
 {
@@ -64,15 +64,15 @@
 
 BOOST_AUTO_TEST_SUITE(HolderCheckpointTest)
 
-BOOST_AUTO_TEST_CASE(nothingMayBeCommittedBeforeThePromiseStands)
+BOOST_AUTO_TEST_CASE(nothingMayBeCommittedBeforeTheCheckpointIsAcknowledged)
 {
     MemoryRows store;
     Router router(store, "a", Instant(ms(1000)));
     BOOST_TEST(router.checkpoint.limit("team", router.now) == 0);
     router.read();
-    BOOST_TEST(router.write({{"team", s_promise}}));
+    BOOST_TEST(router.write({{"team", s_commitment}}));
     BOOST_TEST(router.checkpoint.limit("team", router.now) == 0);
-    BOOST_TEST(router.write({{"team", s_promise}}));
+    BOOST_TEST(router.write({{"team", s_commitment}}));
     BOOST_TEST(router.checkpoint.limit("team", router.now) == 1200);
     BOOST_TEST(router.checkpoint.limit("team", router.now + ms(2500)) == 1200);
     BOOST_TEST(router.checkpoint.limit("team", router.now + ms(3000)) == 1400);
@@ -82,11 +82,11 @@
 
 // Guards against an overspent budget: the answer to a checkpoint with a lower limit is lost, the router commits by the previous, higher one
 // and dies, and its successor relies on the lower one in the store.
-BOOST_AUTO_TEST_CASE(theTighterOfTwoPossibleCheckpointsBinds)
+BOOST_AUTO_TEST_CASE(theLowerOfTwoPossibleLimitsApplies)
 {
     MemoryRows store;
     Router router(store, "a", Instant(ms(1000)));
-    router.start({{"team", s_promise}});
+    router.start({{"team", s_commitment}});
     const RowTransaction lost = router.plan({{"team", {.committed = 1000}}});
     BOOST_TEST(store.transact(lost, router.storeTime())->applied);
     router.checkpoint.writeLost();
@@ -99,7 +99,7 @@
 {
     MemoryRows store;
     Router dead(store, "a", Instant(ms(1000)));
-    dead.start({{"team", s_promise}});
+    dead.start({{"team", s_commitment}});
     Router successor(store, "b", Instant(ms(4250)));
     successor.read();
     const RowTransaction unanswered = successor.plan({});
@@ -113,11 +113,11 @@
 
 // Guards against an overspent budget: the last write of a dead router is still in flight when its successor reads the row. If the write
 // takes effect before the successor's first one, the successor takes it into account; otherwise the store rejects it.
-BOOST_AUTO_TEST_CASE(lateWritesOfTheDeadAreSeenOrShutOut)
+BOOST_AUTO_TEST_CASE(lateWritesOfADeadProcessAreSeenOrRejected)
 {
     MemoryRows store;
     Router dead(store, "a", Instant(ms(1000)));
-    dead.start({{"team", s_promise}});
+    dead.start({{"team", s_commitment}});
     const RowTransaction late = dead.plan({{"team", {.committed = 5000}}});
     Router successor(store, "b", Instant(ms(1100)));
     successor.read();
@@ -135,11 +135,11 @@
 
 // A router dies, and so does its successor before it has recovered anything. The third process still knows what the first one can have
 // committed, limited by the start of the second.
-BOOST_AUTO_TEST_CASE(checkpointsOfTheDeadAreHandedOn)
+BOOST_AUTO_TEST_CASE(checkpointsOfDeadProcessesAreKeptForSuccessors)
 {
     MemoryRows store;
     Router first(store, "a", Instant(ms(1000)));
-    first.start({{"team", s_promise}});
+    first.start({{"team", s_commitment}});
     Router second(store, "b", Instant(ms(4000)));
     second.start({});
     Router third(store, "c", Instant(ms(9000)));
@@ -154,30 +154,30 @@
 }
 
 // The row is damaged. Nothing is known about the dead process, so all that it held counts as spent, and the router continues to serve.
-BOOST_AUTO_TEST_CASE(anUnreadableRowTellsNothing)
+BOOST_AUTO_TEST_CASE(anUnreadableRowHasNoCheckpoints)
 {
     MemoryRows store;
     const RowAddress address{.table = std::string(s_checkpointTable), .part = "10.0.0.1:80", .key = std::string(s_checkpointKey)};
     BOOST_TEST(
         store.transact({.changes = {{.address = address, .value = R"({"own":{"incarnation":"a","teams":[1]}})"}}}, s_storeStart)->applied);
     Router router(store, "b", Instant(ms(1000)));
-    router.start({{"team", s_promise}});
+    router.start({{"team", s_commitment}});
     BOOST_TEST(!router.checkpoint.maxSpentBy("a", "team").has_value());
     BOOST_TEST(router.checkpoint.limit("team", router.now) == 1200);
 }
 
-BOOST_AUTO_TEST_CASE(rowsSurviveTheirText)
+BOOST_AUTO_TEST_CASE(rowsAreReadBackFromTheirText)
 {
     const CheckpointRow row{
-        .own = {.incarnation = "b", .sequence = 7, .baseline = 90, .teams = {{"team", s_promise}}},
-        .predecessors = {{.incarnation = "a", .sequence = 2, .baseline = 10, .diedBefore = 80, .teams = {{"t", s_promise}}}}};
+        .own = {.incarnation = "b", .sequence = 7, .baseline = 90, .teams = {{"team", s_commitment}}},
+        .predecessors = {{.incarnation = "a", .sequence = 2, .baseline = 10, .diedBefore = 80, .teams = {{"t", s_commitment}}}}};
     const CheckpointRow back = checkpointRowFrom({.value = toText(row), .version = 1});
     BOOST_TEST(back.own.incarnation == "b");
     BOOST_TEST(back.own.sequence == 7);
-    BOOST_TEST((back.own.teams.at("team") == s_promise));
+    BOOST_TEST((back.own.teams.at("team") == s_commitment));
     BOOST_REQUIRE(back.predecessors.size() == 1);
     BOOST_TEST(back.predecessors.front().diedBefore.value() == 80);
-    BOOST_TEST((back.predecessors.front().teams.at("t") == s_promise));
+    BOOST_TEST((back.predecessors.front().teams.at("t") == s_commitment));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/keeperstest.cpp
+++ b/src/tests/keeperstest.cpp
@@ -26,7 +26,7 @@
 
 // Guards against a small budget that is spread over all 26 routers: each part covered only one or two requests, and a fifth of the budget
 // was lost or unavailable at the end.
-BOOST_AUTO_TEST_CASE(smallBudgetsHaveFewKeepers)
+BOOST_AUTO_TEST_CASE(smallBudgetsHaveFewHolders)
 {
     const std::vector<std::string> routers = fleet(26);
     BOOST_TEST(assignedHolders("small", 250'000, s_usual, routers).size() == 3);
@@ -38,7 +38,7 @@
 
 // Guards against too many holders of a large budget. With 103 of them, each router made 45 to 67 calls a second to read and write the rows
 // of every team, and the last tokens of the budget lay in 103 parts, each too small for a request.
-BOOST_AUTO_TEST_CASE(largeFleetHasNoMoreKeepers)
+BOOST_AUTO_TEST_CASE(largeFleetHasNoMoreHolders)
 {
     for (const std::size_t size : {20U, 103U, 330U}) {
         BOOST_TEST(assignedHolders("large", 70'000'000, s_usual, fleet(size)).size() == s_maxHolders);
@@ -56,7 +56,7 @@
     BOOST_TEST(most->second < 2 * 4000 * static_cast<int>(s_maxHolders) / 103);
 }
 
-BOOST_AUTO_TEST_CASE(everyRouterComesToTheSameKeepers)
+BOOST_AUTO_TEST_CASE(everyRouterComputesTheSameHolders)
 {
     std::vector<std::string> routers = fleet(26);
     const std::vector<std::string> holders = assignedHolders("team", 450'000, s_usual, routers);
--- a/src/tests/patiencetest.cpp
+++ b/src/tests/patiencetest.cpp
@@ -22,7 +22,7 @@
 
 // The store takes a write and the answer is lost while requests wait for it. With a fast peer the call is repeated after 200 ms, not after
 // 1.5 s.
-BOOST_AUTO_TEST_CASE(aQuickPeerIsAskedAgainSoon)
+BOOST_AUTO_TEST_CASE(aFastPeerIsAskedAgainSoon)
 {
     Patience meter = patience();
     meter.answered(ms(5));
@@ -41,7 +41,7 @@
     BOOST_TEST((meter.current() == ms(1500)));
 }
 
-BOOST_AUTO_TEST_CASE(eachMissDoublesTheWait)
+BOOST_AUTO_TEST_CASE(eachTimeoutDoublesTheWait)
 {
     Patience meter = patience();
     meter.missed();
--- a/src/tests/storedrowstest.cpp
+++ b/src/tests/storedrowstest.cpp
@@ -31,7 +31,7 @@
 }
 
 /// Returns the text with up to three bytes changed.
-std::string spoilt(std::string text, std::mt19937 &random)
+std::string corrupted(std::string text, std::mt19937 &random)
 {
     for (unsigned change = random() % 3 + 1; change > 0; --change) {
         text[random() % text.size()] = static_cast<char>(random());
@@ -43,7 +43,7 @@
 
 BOOST_AUTO_TEST_SUITE(StoredRowsTest)
 
-BOOST_AUTO_TEST_CASE(soundRowsAreReadBack)
+BOOST_AUTO_TEST_CASE(validRowsAreReadBack)
 {
     const PoolRow pool = poolRowFrom(row(toText(s_pool)));
     BOOST_TEST(pool.prepaid == s_pool.prepaid);
@@ -55,7 +55,7 @@
 }
 
 // A router may have started before the origin of the store's clock, so negative times are valid.
-BOOST_AUTO_TEST_CASE(timesBeforeTheStoresOriginAreSound)
+BOOST_AUTO_TEST_CASE(timesBeforeTheStoresOriginAreValid)
 {
     HolderRow holder = s_holder;
     holder.writtenAt = -1500;
@@ -69,7 +69,7 @@
 
 // Guards against a team that gets its budget twice: a pool row whose allocated tokens are missing or invalid must not be read as a pool of
 // which nothing is allocated.
-BOOST_AUTO_TEST_CASE(aSpoiltPoolHasNothingFree)
+BOOST_AUTO_TEST_CASE(anInvalidPoolHasNothingFree)
 {
     for (const char *text : {"",
                              "[]",
@@ -86,7 +86,7 @@
 }
 
 // A dead router's row has missing or invalid counts: nothing of it is returned to the pool.
-BOOST_AUTO_TEST_CASE(aSpoiltHolderHasNothingToReturn)
+BOOST_AUTO_TEST_CASE(anInvalidHolderHasNothingToReturn)
 {
     for (const char *text :
          {"",
@@ -102,29 +102,29 @@
 
 // Guards against checkpoints with negative or huge limits, by which a dead router would have spent a negative number of tokens, or sums
 // would overflow.
-BOOST_AUTO_TEST_CASE(aSpoiltCheckpointTellsNothing)
+BOOST_AUTO_TEST_CASE(anInvalidCheckpointIsIgnored)
 {
-    const std::string sound =
+    const std::string valid =
         toText(CheckpointRow{.own = {.incarnation = "router~1", .sequence = 4, .baseline = 1000, .teams = {{"team", {10, 20, 30}}}}});
-    BOOST_TEST(checkpointRowFrom(row(sound)).own.teams.at("team").committed == 10);
-    for (const char *promise : {"[-10,20,30]", "[10,20]", "[10,20,9223372036854775807]", "[10,20,3e4]", "[10,null,30]", "{}"}) {
-        std::string text = sound;
-        text.replace(text.find("[10,20,30]"), std::string("[10,20,30]").size(), promise);
+    BOOST_TEST(checkpointRowFrom(row(valid)).own.teams.at("team").committed == 10);
+    for (const char *numbers : {"[-10,20,30]", "[10,20]", "[10,20,9223372036854775807]", "[10,20,3e4]", "[10,null,30]", "{}"}) {
+        std::string text = valid;
+        text.replace(text.find("[10,20,30]"), std::string("[10,20,30]").size(), numbers);
         BOOST_TEST(checkpointRowFrom(row(text)).own.incarnation.empty(), text);
     }
 }
 
 // Whatever bytes a row contains, no process crashes, and no budget has more free tokens than were paid for.
-BOOST_AUTO_TEST_CASE(anyBytesAreBorne)
+BOOST_AUTO_TEST_CASE(arbitraryBytesDoNotCrash)
 {
     std::mt19937 random(20261203);
     const std::string checkpoint = toText(CheckpointRow{.own = {.incarnation = "router~1", .teams = {{"team", {10, 20, 30}}}}});
     for (int round = 0; round < 4000; ++round) {
-        const PoolRow pool = poolRowFrom(row(spoilt(toText(s_pool), random)));
+        const PoolRow pool = poolRowFrom(row(corrupted(toText(s_pool), random)));
         BOOST_TEST((pool.allocated >= 0 && pool.prepaid >= 0));
-        const HolderRow holder = holderRowFrom(row(spoilt(toText(s_holder), random)));
+        const HolderRow holder = holderRowFrom(row(corrupted(toText(s_holder), random)));
         BOOST_TEST((holder.granted >= 0 && holder.settled >= 0));
-        for (const auto &[team, commitment] : checkpointRowFrom(row(spoilt(checkpoint, random))).own.teams) {
+        for (const auto &[team, commitment] : checkpointRowFrom(row(corrupted(checkpoint, random))).own.teams) {
             BOOST_TEST(commitment.limitAfter(1e6) >= 0);
         }
     }
--- a/src/tests/teamholdingtest.cpp
+++ b/src/tests/teamholdingtest.cpp
@@ -179,7 +179,7 @@
 
     /// What a router that reaches the store does at its start and then repeatedly: it reads its rows, fences off predecessors, recovers,
     /// draws tokens, and writes its checkpoint.
-    void settleDown(std::size_t router)
+    void stabilize(std::size_t router)
     {
         constexpr int s_rounds = 3;
         for (int round = 0; round < s_rounds; ++round) {
@@ -336,12 +336,12 @@
 
 /// Every process commits all it may, dies, and leaves its successor to recover what it can, until no tokens are left: a token that was
 /// returned twice would be spent here.
-void spendEverything(Fleet &fleet)
+void spendAllTokens(Fleet &fleet)
 {
     constexpr int s_rounds = 12;
     for (int round = 0; round < s_rounds; ++round) {
         for (std::size_t router = 0; router < s_routers; ++router) {
-            fleet.settleDown(router);
+            fleet.stabilize(router);
             fleet.pass(ms(6000), std::nullopt);
             fleet.checkpoint(router, static_cast<Fleet::Fate>(*rc::gen::inRange(0, 5)));
             fleet.flush(router, static_cast<Fleet::Fate>(*rc::gen::inRange(0, 5)));
@@ -349,7 +349,7 @@
             reserveAll(fleet, fleet.process(router));
             fleet.deliverLate();
             fleet.replace(router);
-            fleet.settleDown(router);
+            fleet.stabilize(router);
         }
     }
 }
@@ -358,7 +358,7 @@
 struct Single {
     Single()
     {
-        fleet.settleDown(0);
+        fleet.stabilize(0);
     }
 
     /// Serves two requests a second that use all the tokens that they reserve, each covered by a checkpoint in advance, while the store is
@@ -376,7 +376,7 @@
             reserve(fleet, process, bound);
             settle(fleet, process, bound);
             fleet.pass(ms(500), std::nullopt);
-            fleet.settleDown(0);
+            fleet.stabilize(0);
         }
         BOOST_TEST(holding.committed() == requests * bound);
         return holding.committed();
@@ -402,7 +402,7 @@
             step(fleet);
             RC_ASSERT(fleet.spent() <= s_prepaid);
         }
-        spendEverything(fleet);
+        spendAllTokens(fleet);
         RC_ASSERT(fleet.spent() <= s_prepaid);
     }));
 }
@@ -431,7 +431,7 @@
     const Tokens held = single.holding.granted();
     single.fleet.pass(ms(3000), std::nullopt);
     single.fleet.replace(0);
-    single.fleet.settleDown(0);
+    single.fleet.stabilize(0);
     TeamHolding &successor = single.fleet.process(0).holding;
     BOOST_TEST(!successor.fenced());
     const Tokens lost = s_prepaid - successor.remainingInBudget();
@@ -459,7 +459,7 @@
 // All routers lose power a quarter of a second after their last checkpoint and are back two seconds later. The team loses at most the
 // demand of a quarter of a second. It used to lose up to two and a half seconds of demand, and requests were refused at the end of the day
 // for tokens that nobody had used.
-BOOST_AUTO_TEST_CASE(deathInTouchLosesLittleMoreThanADemand)
+BOOST_AUTO_TEST_CASE(deathAfterACheckpointLosesLittle)
 {
     Single single;
     Process &process = single.fleet.process(0);
@@ -469,7 +469,7 @@
     single.fleet.pass(ms(2000), 0);
     process.now += ms(2000);
     single.fleet.replace(0);
-    single.fleet.settleDown(0);
+    single.fleet.stabilize(0);
     const Tokens lost = s_prepaid - spent - single.fleet.process(0).holding.remainingInBudget();
     BOOST_TEST(lost >= 0);
     BOOST_TEST(lost <= s_demandASecond / 4);
@@ -477,7 +477,7 @@
 
 // The store is unreachable for nine seconds. The router continues to serve its callers from what it holds: after the first seconds, in
 // which it might have died and been replaced, without a limit that they would notice.
-BOOST_AUTO_TEST_CASE(aLongOutageIsServedOutOfTheHolding)
+BOOST_AUTO_TEST_CASE(aLongOutageIsServedFromTheHolding)
 {
     Single single;
     Process &process = single.fleet.process(0);
@@ -493,7 +493,7 @@
 
 // Guards against refusals in the first seconds of a store outage for a team that has paid for hours of demand and whose router holds
 // plenty. Such a team does not notice the tokens that a death strands, so its router may commit the demand of those seconds at once.
-BOOST_AUTO_TEST_CASE(anAmpleBudgetIsNotHeldBackInAnOutage)
+BOOST_AUTO_TEST_CASE(anAmpleBudgetIsNotLimitedInAnOutage)
 {
     Single single;
     Process &process = single.fleet.process(0);
@@ -504,7 +504,7 @@
 
 // Each answer of the store takes 300 ms. Callers wait for at most one checkpoint, because a commitment covers the demand until the next one
 // is in effect.
-BOOST_AUTO_TEST_CASE(aSlowStoreIsPromisedFurtherAhead)
+BOOST_AUTO_TEST_CASE(aSlowStoreGetsLargerCommitments)
 {
     Single single;
     Process &process = single.fleet.process(0);
@@ -530,7 +530,7 @@
 
 // A router dies while the store is unreachable, and its successor waits ten seconds for it. What the successor counts as spent does not
 // grow meanwhile, because it knows how long it has been running itself.
-BOOST_AUTO_TEST_CASE(waitingForTheStoreLosesNothing)
+BOOST_AUTO_TEST_CASE(waitingForTheStoreCostsNoTokens)
 {
     Single prompt;
     Single waiting;
@@ -540,7 +540,7 @@
     }
     waiting.fleet.pass(ms(10'000), std::nullopt);
     for (Single *single : {&prompt, &waiting}) {
-        single->fleet.settleDown(0);
+        single->fleet.stabilize(0);
     }
     BOOST_TEST(waiting.fleet.process(0).holding.remainingInBudget() == prompt.fleet.process(0).holding.remainingInBudget());
 }
@@ -595,12 +595,12 @@
     process.holding.servingSince(process.now);
     process.holding.recordDemand(90'000, process.now);
     process.holding.addWaiting(90'000);
-    single.fleet.settleDown(0);
+    single.fleet.stabilize(0);
     process.holding.removeWaiting(90'000);
     reserve(single.fleet, process, 90'000);
     BOOST_REQUIRE(process.reserved.size() == 1);
-    single.fleet.settleDown(0);
-    single.fleet.settleDown(1);
+    single.fleet.stabilize(0);
+    single.fleet.stabilize(1);
     BOOST_TEST(single.fleet.process(1).holding.granted() <= 10'000 / 2);
 }
 
@@ -632,7 +632,7 @@
 }
 
 // When the budget does not cover a request, the refusal says so, and does not ask the caller to retry soon.
-BOOST_AUTO_TEST_CASE(exhaustedIsToldApartFromNotHeld)
+BOOST_AUTO_TEST_CASE(exhaustedAndNotHeldAreDistinct)
 {
     Single single;
     Process &process = single.fleet.process(0);
@@ -658,14 +658,14 @@
     single.fleet.read(1);
     single.fleet.flush(1, Fleet::Fate::Answered);
     BOOST_TEST(borrower.holding.borrowed() == 0);
-    single.fleet.settleDown(0);
+    single.fleet.stabilize(0);
     single.fleet.read(2);
     BOOST_TEST(single.fleet.process(2).holding.remainingInBudget() == s_prepaid - 400);
 }
 
 // Routers that are not assigned holders borrow for each request and return most of it. When the tokens were returned through the pool, they
 // were unavailable for a second or two, and near the end of a budget its holder refused requests for lack of them.
-BOOST_AUTO_TEST_CASE(givenBackTokensAreAtHandAtOnce)
+BOOST_AUTO_TEST_CASE(returnedTokensAreAvailableAtOnce)
 {
     Single single;
     Process &lender = single.fleet.process(0);
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -125,7 +125,7 @@
 };
 
 /// Routers that rank before this one for the team, so that it is not an assigned holder.
-std::vector<std::string> routersWithoutThis()
+std::vector<std::string> otherRoutersOnly()
 {
     return {"10.0.0.7:7340", "10.0.0.8:7340", "10.0.0.9:7340"};
 }
@@ -134,7 +134,7 @@
 
 BOOST_AUTO_TEST_SUITE(TeamLedgerTest)
 
-BOOST_AUTO_TEST_CASE(aKeeperServesOutOfItsPart)
+BOOST_AUTO_TEST_CASE(anAssignedHolderServesFromItsPart)
 {
     Scene scene;
     BOOST_TEST(scene.reserve(5000).ok());
@@ -146,7 +146,7 @@
 // the pool, and returns what the request did not use.
 BOOST_AUTO_TEST_CASE(othersBorrowForEachRequest)
 {
-    Scene scene(routersWithoutThis());
+    Scene scene(otherRoutersOnly());
     scene.lendable = 50'000;
     const auto made = scene.reserve(5000);
     BOOST_REQUIRE(made.ok());
@@ -165,7 +165,7 @@
 // The budget is exhausted. The caller is told so at once, and so is the next one, without another loan request.
 BOOST_AUTO_TEST_CASE(anExhaustedBudgetIsRefusedAtOnce)
 {
-    Scene scene(routersWithoutThis());
+    Scene scene(otherRoutersOnly());
     scene.store.answers = false;
     const auto refused = scene.reserve(5000);
     BOOST_REQUIRE(!refused.ok());
@@ -179,7 +179,7 @@
 // of their sum. Each caller is told that the budget is exhausted, not that it is unreachable.
 BOOST_AUTO_TEST_CASE(allWhoWaitForAUsedUpBudgetAreToldSo)
 {
-    Scene scene(routersWithoutThis());
+    Scene scene(otherRoutersOnly());
     scene.store.answers = false;
     std::vector<absl::StatusOr<Reservation>> results;
     for (const Tokens bound : {5000, 800, 2000}) {
@@ -221,7 +221,7 @@
 
 // Guards against loan requests that a lender cannot serve and counts as demand. Borrowers repeat them at every assigned holder; each would
 // write a commitment for all of them, and that much counts as spent when it dies.
-BOOST_AUTO_TEST_CASE(whatIsNotLentIsNoDemand)
+BOOST_AUTO_TEST_CASE(tokensNotLentAreNoDemand)
 {
     Scene scene;
     BOOST_TEST(scene.reserve(1).ok());
