--- a/src/budget/holdercheckpoint.cpp
+++ b/src/budget/holdercheckpoint.cpp
@@ -71,7 +71,7 @@
     }
     CheckpointRow row{.own = {.incarnation = m_options.incarnation, .sequence = ++m_sequence, .baseline = minStoreTime(now)}};
     if (predecessorsFenced()) {
-        // The first write promises nothing, because the store's time, and so the baseline, is not known yet.
+        // The first write contains no commitments, because the store's time, and so their baseline, is not known yet.
         row.own.teams = teams;
     }
     row.predecessors = m_predecessors;
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -187,7 +187,7 @@
         m_closing = true;
     }
 
-    /// Whether the store has no row of this holder.
+    /// Whether the store has no row of this holder, or another process has taken it over.
     bool closed() const;
 
     /// Tokens granted to this router by the store, as far as certain.
--- a/src/budget/teamledger.h
+++ b/src/budget/teamledger.h
@@ -40,8 +40,8 @@
         /// Maximum time a request waits while the store answers slowly, a hundred milliseconds or more a call: the other routers have the
         /// same problem. Still shorter than most latency objectives.
         Duration maxSlowWait = std::chrono::milliseconds(500);
-        /// A request waits longer than that if the growth of the commitment will admit it within this time, which is sooner than the caller
-        /// would retry.
+        /// A request waits longer than `maxWait` if the growth of the commitment will admit it within this time, which is sooner than the
+        /// caller would retry.
         Duration maxCommitLimitWait = std::chrono::milliseconds(400);
         /// Minimum interval between checkpoints that requests wait for, so that one write serves several requests.
         Duration batchInterval = std::chrono::milliseconds(12);
@@ -162,7 +162,7 @@
     /// Starts to return all unused tokens.
     void beginClose();
 
-    /// Whether the store has no budget rows of this process any more.
+    /// Whether the store has no budget rows of this process any more, or another process has taken them over.
     bool closed() const;
 
 private:
