--- a/src/budget/checkpointrow.cpp
+++ b/src/budget/checkpointrow.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr double s_msPerSecond = 1000;
-/// Numbers in a commitment's text.
-constexpr std::size_t s_numbers = 3;
+/// Numbers in a serialized commitment.
+constexpr std::size_t s_commitmentNumbers = 3;
 
 boost::json::object toJson(const Checkpoint &checkpoint)
 {
@@ -36,18 +36,18 @@
 std::int64_t countFrom(const boost::json::value &value)
 {
     const std::int64_t count = value.as_int64();
-    if (count < 0 || count > s_mostStored) {
-        throw std::invalid_argument("a count out of range");
+    if (count < 0 || count > s_maxStoredValue) {
+        throw std::invalid_argument("count out of range");
     }
     return count;
 }
 
-/// The store's clock has an origin of its own, so that a process may have started before it.
+/// The store's clock has its own origin, so the time at which a process started may be negative.
 StoreTimeMs timeFrom(const boost::json::value &value)
 {
     const StoreTimeMs time = value.as_int64();
-    if (time < -s_mostStored || time > s_mostStored) {
-        throw std::invalid_argument("a time out of range");
+    if (time < -s_maxStoredValue || time > s_maxStoredValue) {
+        throw std::invalid_argument("time out of range");
     }
     return time;
 }
@@ -55,8 +55,8 @@
 Commitment commitmentFrom(const boost::json::value &value)
 {
     const boost::json::array &numbers = value.as_array();
-    if (numbers.size() != s_numbers) {
-        throw std::invalid_argument("a commitment has three numbers");
+    if (numbers.size() != s_commitmentNumbers) {
+        throw std::invalid_argument("a commitment must be an array of three numbers");
     }
     return {.committed = countFrom(numbers[0]), .burst = countFrom(numbers[1]), .rate = countFrom(numbers[2])};
 }
@@ -78,29 +78,29 @@
 
 }
 
-Tokens Commitment::most(double elapsedSeconds) const
+Tokens Commitment::limitAfter(double elapsedSeconds) const
 {
-    const double growing = std::max(0.0, elapsedSeconds - seconds(s_stillTime));
+    const double growing = std::max(0.0, elapsedSeconds - seconds(s_growthDelay));
     return committed + burst + static_cast<Tokens>(static_cast<double>(rate) * growing);
 }
 
-Tokens Checkpoint::mostCommitted(std::string_view team, StoreTimeMs deadBy) const
+Tokens Checkpoint::maxCommitted(std::string_view team, StoreTimeMs deadBy) const
 {
     const auto found = teams.find(team);
     if (found == teams.end()) {
         return 0;
     }
     const StoreTimeMs end = std::min(deadBy, diedBefore.value_or(deadBy));
-    return found->second.most(static_cast<double>(end - baseline) / s_msPerSecond);
+    return found->second.limitAfter(static_cast<double>(end - baseline) / s_msPerSecond);
 }
 
 std::string toText(const CheckpointRow &row)
 {
-    boost::json::array earlier;
-    for (const Checkpoint &checkpoint : row.earlier) {
-        earlier.push_back(toJson(checkpoint));
+    boost::json::array predecessors;
+    for (const Checkpoint &checkpoint : row.predecessors) {
+        predecessors.push_back(toJson(checkpoint));
     }
-    return boost::json::serialize(boost::json::object{{"own", toJson(row.own)}, {"earlier", std::move(earlier)}});
+    return boost::json::serialize(boost::json::object{{"own", toJson(row.own)}, {"earlier", std::move(predecessors)}});
 }
 
 CheckpointRow checkpointRowFrom(const StoredRow &stored)
@@ -110,8 +110,8 @@
         const boost::json::value value = boost::json::parse(stored.value);
         const boost::json::object &object = value.as_object();
         row.own = checkpointFrom(object.at("own"));
-        for (const boost::json::value &earlier : object.at("earlier").as_array()) {
-            row.earlier.push_back(checkpointFrom(earlier));
+        for (const boost::json::value &predecessor : object.at("earlier").as_array()) {
+            row.predecessors.push_back(checkpointFrom(predecessor));
         }
     } catch (const std::exception &problem) {
         logLine(Severity::Error, "checkpoint.row_unreadable", {{"router", stored.address.part}, {"detail", problem.what()}});
--- a/src/budget/checkpointkeeper.h
+++ b/src/budget/checkpointwriter.h
@@ -13,42 +13,42 @@
 
 namespace bamboohold {
 
-/// Writes a router's checkpoints to the store: at once when a request waits for one, and every few hundred milliseconds otherwise. One
-/// write at a time, which takes along all that came up meanwhile.
+/// Writes a router's checkpoints to the store: at once when a request waits for one, otherwise at the interval that the ledger requires.
+/// Only one write is in flight at a time; the next one includes everything that came up meanwhile.
 template<RowStore Store>
-class CheckpointKeeper
+class CheckpointWriter
 {
 public:
     struct Options {
-        /// After a write that was declined or lost, the next one waits this long.
+        /// Delay before the next write after one that was declined or lost.
         Duration retryPause = std::chrono::milliseconds(100);
     };
 
-    CheckpointKeeper(Store &store, TeamLedger &ledger, Options options)
+    CheckpointWriter(Store &store, TeamLedger &ledger, Options options)
         : m_store(store)
         , m_ledger(ledger)
         , m_options(options)
     {
     }
 
-    CheckpointKeeper(Store &store, TeamLedger &ledger)
-        : CheckpointKeeper(store, ledger, Options{})
+    CheckpointWriter(Store &store, TeamLedger &ledger)
+        : CheckpointWriter(store, ledger, Options{})
     {
     }
 
-    /// Runs for as long as the process, or until another one has taken over its address.
+    /// Runs until the process ends or another one has taken over its address.
     boost::asio::awaitable<void> run()
     {
         while (!m_ledger.checkpoint().fenced()) {
             bool answered = true;
-            if (m_ledger.checkpoint().wantsRead()) {
+            if (m_ledger.checkpoint().needsRead()) {
                 answered = co_await read();
             }
             if (answered) {
                 co_await waitUntilDue();
                 answered = co_await write();
             }
-            noteStore(answered);
+            setReachable(answered);
             if (!answered) {
                 co_await pause(m_options.retryPause);
             }
@@ -71,7 +71,7 @@
         const RowAddress address = m_ledger.checkpoint().address();
         const absl::StatusOr<RowsRead> rows = co_await m_store.read(address.table, address.part);
         if (rows.ok()) {
-            m_ledger.checkpoint().loaded(*rows);
+            m_ledger.checkpoint().handleRead(*rows);
         }
         co_return rows.ok();
     }
@@ -88,19 +88,19 @@
             co_return true;
         }
         if (toFailure(verdict.status()).executed == Executed::No) {
-            m_ledger.checkpoint().declined();
+            m_ledger.checkpoint().writeDeclined();
         } else {
-            m_ledger.checkpoint().lost();
+            m_ledger.checkpoint().writeLost();
         }
         co_return false;
     }
 
-    void noteStore(bool answers)
+    void setReachable(bool reachable)
     {
-        if (m_ledger.checkpointAnswers() != answers) {
-            logLine(answers ? Severity::Info : Severity::Warning, answers ? "checkpoint.store_regained" : "checkpoint.store_lost", {});
+        if (m_ledger.checkpointStoreReachable() != reachable) {
+            logLine(reachable ? Severity::Info : Severity::Warning, reachable ? "checkpoint.store_regained" : "checkpoint.store_lost", {});
         }
-        m_ledger.setCheckpointAnswers(answers);
+        m_ledger.setCheckpointStoreReachable(reachable);
     }
 
     Store &m_store;
--- a/src/budget/holdercheckpoint.cpp
+++ b/src/budget/holdercheckpoint.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Dead processes whose checkpoints are kept at most. More of them mean a router that dies again and again before it recovers anything;
-/// what the oldest held then counts as spent.
-constexpr std::size_t s_mostEarlier = 8;
-/// Steps in which the time of a limit is looked for.
+/// Maximum number of dead processes whose checkpoints are kept. More of them mean a router that dies repeatedly before it recovers
+/// anything; all that the oldest ones held then counts as spent.
+constexpr std::size_t s_maxPredecessors = 8;
+/// Step of the search for the time at which a limit is reached.
 constexpr Duration s_limitStep = std::chrono::milliseconds(50);
 
 std::int64_t inMs(Duration duration)
@@ -30,7 +30,7 @@
     return {.table = std::string(s_checkpointTable), .part = m_options.holder, .key = std::string(s_checkpointKey)};
 }
 
-void HolderCheckpoint::loaded(const RowsRead &read)
+void HolderCheckpoint::handleRead(const RowsRead &read)
 {
     if (m_read) {
         return;
@@ -43,24 +43,24 @@
 void HolderCheckpoint::adopt(const StoredRow *row)
 {
     m_version = row == nullptr ? 0 : row->version;
-    m_earlier.clear();
+    m_predecessors.clear();
     if (row == nullptr) {
         return;
     }
     CheckpointRow seen = checkpointRowFrom(*row);
-    m_earlier = std::move(seen.earlier);
+    m_predecessors = std::move(seen.predecessors);
     if (!seen.own.incarnation.empty()) {
-        m_earlier.insert(m_earlier.begin(), std::move(seen.own));
+        m_predecessors.insert(m_predecessors.begin(), std::move(seen.own));
     }
-    m_earlier.resize(std::min(m_earlier.size(), s_mostEarlier));
+    m_predecessors.resize(std::min(m_predecessors.size(), s_maxPredecessors));
 }
 
-StoreTimeMs HolderCheckpoint::storeTimeAtLeast(Instant now) const
+StoreTimeMs HolderCheckpoint::minStoreTime(Instant now) const
 {
     return m_storeTime + inMs(now - m_storeTimeAt);
 }
 
-std::optional<RowTransaction> HolderCheckpoint::plan(const Commitments &teams, Instant now)
+std::optional<RowTransaction> HolderCheckpoint::planWrite(const Commitments &teams, Instant now)
 {
     if (!m_read || m_fenced) {
         return std::nullopt;
@@ -69,39 +69,39 @@
         m_inFlight->sentAt = now;
         return m_inFlight->transaction;
     }
-    CheckpointRow row{.own = {.incarnation = m_options.incarnation, .sequence = ++m_sequence, .baseline = storeTimeAtLeast(now)}};
-    if (sealed()) {
-        // Before the store's time is known there is no baseline to count from, so the first write promises nothing.
+    CheckpointRow row{.own = {.incarnation = m_options.incarnation, .sequence = ++m_sequence, .baseline = minStoreTime(now)}};
+    if (predecessorsFenced()) {
+        // The first write contains no commitments, because the store's time, and so their baseline, is not known yet.
         row.own.teams = teams;
     }
-    row.earlier = m_earlier;
-    Write write{.counted = {.checkpoint = row.own, .start = now}, .sentAt = now};
+    row.predecessors = m_predecessors;
+    Write write{.timed = {.checkpoint = row.own, .start = now}, .sentAt = now};
     write.transaction.conditions.push_back({.address = address(), .version = m_version});
     write.transaction.changes.push_back({.address = address(), .value = toText(row)});
     m_inFlight = std::move(write);
     return m_inFlight->transaction;
 }
 
-bool HolderCheckpoint::answered(const RowVerdict &verdict, Instant now)
+bool HolderCheckpoint::writeAnswered(const RowVerdict &verdict, Instant now)
 {
     if (!m_inFlight) {
         return false;
     }
     if (verdict.applied) {
-        stand(verdict, verdict.version, now);
+        acknowledge(verdict, verdict.version, now);
         return true;
     }
     const auto current = std::ranges::find(verdict.current, address(), &StoredRow::address);
     const StoredRow *row = current == verdict.current.end() ? nullptr : &*current;
     const Checkpoint seen = row == nullptr ? Checkpoint{} : checkpointRowFrom(*row).own;
-    if (row != nullptr && seen.incarnation == m_options.incarnation && seen.sequence == m_inFlight->counted.checkpoint.sequence) {
-        // The store took this write before and its answer was lost.
-        stand(verdict, row->version, now);
+    if (row != nullptr && seen.incarnation == m_options.incarnation && seen.sequence == m_inFlight->timed.checkpoint.sequence) {
+        // The store applied this write earlier, and its answer was lost.
+        acknowledge(verdict, row->version, now);
         return true;
     }
     m_inFlight.reset();
-    if (sealed()) {
-        // Only a process that was able to bind this address writes this row.
+    if (predecessorsFenced()) {
+        // Only a process that could bind this address writes this row.
         m_fenced = true;
     } else {
         adopt(row);
@@ -109,49 +109,49 @@
     return false;
 }
 
-void HolderCheckpoint::stand(const RowVerdict &verdict, std::uint64_t version, Instant now)
+void HolderCheckpoint::acknowledge(const RowVerdict &verdict, std::uint64_t version, Instant now)
 {
     m_storeTime = verdict.storeTime;
     m_storeTimeAt = now;
     if (!m_startedBefore) {
-        // The store answered after the write was sent, so its clock showed at most this at the start. A suspension in between only makes
-        // the time since the start too short and the bound too late, which is the safe side.
+        // The store answered after the write was sent, so this is an upper limit of its clock at the start. A suspension in between only
+        // makes the measured time since the start too short and the limit too late, which is safe.
         m_startedBefore = m_storeTime - inMs(m_inFlight->sentAt - m_options.startedAt);
-        for (Checkpoint &checkpoint : m_earlier) {
+        for (Checkpoint &checkpoint : m_predecessors) {
             checkpoint.diedBefore = std::min(*m_startedBefore, checkpoint.diedBefore.value_or(*m_startedBefore));
         }
     }
     m_version = version;
-    m_acked = std::move(m_inFlight->counted);
+    m_acknowledged = std::move(m_inFlight->timed);
     m_inFlight.reset();
 }
 
-void HolderCheckpoint::declined()
+void HolderCheckpoint::writeDeclined()
 {
-    if (m_inFlight && !m_inFlight->lost) {
+    if (m_inFlight && !m_inFlight->outcomeUnknown) {
         m_inFlight.reset();
     }
 }
 
-void HolderCheckpoint::lost()
+void HolderCheckpoint::writeLost()
 {
     if (m_inFlight) {
-        m_inFlight->lost = true;
+        m_inFlight->outcomeUnknown = true;
     }
 }
 
 Tokens HolderCheckpoint::limit(std::string_view team, Instant now) const
 {
-    if (!m_acked || m_fenced) {
+    if (!m_acknowledged || m_fenced) {
         return 0;
     }
-    const auto allowed = [&](const Counted &counted) {
-        const auto found = counted.checkpoint.teams.find(team);
-        return found == counted.checkpoint.teams.end() ? 0 : found->second.most(seconds(now - counted.start));
+    const auto allowed = [&](const TimedCheckpoint &timed) {
+        const auto found = timed.checkpoint.teams.find(team);
+        return found == timed.checkpoint.teams.end() ? 0 : found->second.limitAfter(seconds(now - timed.start));
     };
-    // The store has the last answered checkpoint, or already the one on its way; a successor may go by either.
-    const Tokens sure = allowed(*m_acked);
-    return m_inFlight ? std::min(sure, allowed(m_inFlight->counted)) : sure;
+    // The store contains the last acknowledged checkpoint or already the one in flight; a successor may rely on either.
+    const Tokens acknowledged = allowed(*m_acknowledged);
+    return m_inFlight ? std::min(acknowledged, allowed(m_inFlight->timed)) : acknowledged;
 }
 
 std::optional<Duration> HolderCheckpoint::timeUntil(std::string_view team, Tokens committed, Instant now, Duration horizon) const
@@ -164,23 +164,23 @@
     return std::nullopt;
 }
 
-Tokens HolderCheckpoint::committedBy(std::string_view incarnation, std::string_view team) const
+Tokens HolderCheckpoint::committedAtCheckpoint(std::string_view incarnation, std::string_view team) const
 {
-    const auto found = std::ranges::find(m_earlier, incarnation, &Checkpoint::incarnation);
-    if (found == m_earlier.end()) {
+    const auto found = std::ranges::find(m_predecessors, incarnation, &Checkpoint::incarnation);
+    if (found == m_predecessors.end()) {
         return 0;
     }
     const auto commitment = found->teams.find(team);
     return commitment == found->teams.end() ? 0 : commitment->second.committed;
 }
 
-std::optional<Tokens> HolderCheckpoint::spentBy(std::string_view incarnation, std::string_view team) const
+std::optional<Tokens> HolderCheckpoint::maxSpentBy(std::string_view incarnation, std::string_view team) const
 {
-    const auto found = std::ranges::find(m_earlier, incarnation, &Checkpoint::incarnation);
-    if (found == m_earlier.end() || !m_startedBefore) {
+    const auto found = std::ranges::find(m_predecessors, incarnation, &Checkpoint::incarnation);
+    if (found == m_predecessors.end() || !m_startedBefore) {
         return std::nullopt;
     }
-    return found->mostCommitted(team, *m_startedBefore);
+    return found->maxCommitted(team, *m_startedBefore);
 }
 
 }
--- a/src/budget/ledgerkeeper.h
+++ b/src/budget/ledgersynchronizer.h
@@ -14,40 +14,40 @@
 
 namespace bamboohold {
 
-/// Keeps each account of a TeamLedger in step with the store: reads its rows, sends its flushes, and tells it what came back. One flush at
-/// a time for each team.
+/// Synchronizes each account of a TeamLedger with the store: reads its rows, sends its flushes, and passes the results back. Only one flush
+/// per team is in flight at a time.
 template<RowStore Store>
-class LedgerKeeper
+class LedgerSynchronizer
 {
 public:
     struct Options {
-        /// Routers that draw on the budgets, this one included; 0 while they have not been counted.
+        /// Number of routers that draw on the budgets, including this one; 0 until they have been counted.
         std::function<std::size_t()> routers;
-        /// After a call that was declined or lost, the next one waits this long.
+        /// Delay before the next call after one that was declined or lost.
         Duration retryPause = std::chrono::milliseconds(250);
     };
 
-    LedgerKeeper(boost::asio::any_io_executor executor, Store &store, TeamLedger &ledger, Options options)
+    LedgerSynchronizer(boost::asio::any_io_executor executor, Store &store, TeamLedger &ledger, Options options)
         : m_store(store)
         , m_ledger(ledger)
         , m_options(std::move(options))
     {
         ledger.onOpened([this, executor](TeamLedger::Entry &entry, const std::string &team) {
-            boost::asio::co_spawn(executor, keep(entry, team), boost::asio::detached);
+            boost::asio::co_spawn(executor, synchronize(entry, team), boost::asio::detached);
         });
     }
 
 private:
-    boost::asio::awaitable<void> keep(TeamLedger::Entry &entry, std::string team)
+    boost::asio::awaitable<void> synchronize(TeamLedger::Entry &entry, std::string team)
     {
         while (m_options.routers() == 0) {
-            // A router that took itself for the only one would draw what is meant for all.
-            co_await pause(s_countPause);
+            // A router that assumed to be the only one would draw the tokens meant for all of them.
+            co_await pause(s_routerCountPoll);
         }
         while (!entry.holding.fenced()) {
             m_ledger.returnIdleLoan(entry, team);
             std::optional<bool> answered;
-            if (entry.holding.wantsRead(steadyNow())) {
+            if (entry.holding.needsRead(steadyNow())) {
                 answered = co_await readRows(entry, team);
             }
             const Instant now = steadyNow();
@@ -56,7 +56,7 @@
                 answered = co_await flush(entry, team);
             }
             if (answered) {
-                noteStore(entry, team, *answered);
+                setReachable(entry, team, *answered);
             }
             if (answered.value_or(true)) {
                 co_await waitUntilDue(entry);
@@ -71,9 +71,9 @@
     {
         const Instant now = steadyNow();
         const std::optional<Instant> due = entry.holding.nextFlush(m_options.routers(), now);
-        const Duration wait = due ? *due - now : s_idlePause;
+        const Duration wait = due ? *due - now : s_maxIdleWait;
         if (wait > Duration::zero()) {
-            co_await entry.urgent.wait(std::min(wait, s_idlePause));
+            co_await entry.flushSignal.wait(std::min(wait, s_maxIdleWait));
         }
     }
 
@@ -84,8 +84,8 @@
         if (!rows.ok()) {
             co_return false;
         }
-        const bool taken = entry.holding.loaded(*rows, steadyNow());
-        entry.answered.notify();
+        const bool taken = entry.holding.handleRead(*rows, steadyNow());
+        entry.answerSignal.notify();
         co_return taken;
     }
 
@@ -102,7 +102,7 @@
             if (recovery && entry.holding.recovered()) {
                 logRecovery(*recovery, team);
             }
-            entry.answered.notify();
+            entry.answerSignal.notify();
             co_return true;
         }
         if (toFailure(verdict.status()).executed == Executed::No) {
@@ -125,22 +125,22 @@
                  {"checkpoint_known", static_cast<std::int64_t>(recovery.checkpointKnown)}});
     }
 
-    void noteStore(TeamLedger::Entry &entry, const std::string &team, bool answers)
+    void setReachable(TeamLedger::Entry &entry, const std::string &team, bool reachable)
     {
-        if (entry.storeAnswers != answers) {
-            logLine(answers ? Severity::Info : Severity::Warning,
-                    answers ? "budget.store_regained" : "budget.store_lost",
+        if (entry.storeReachable != reachable) {
+            logLine(reachable ? Severity::Info : Severity::Warning,
+                    reachable ? "budget.store_regained" : "budget.store_lost",
                     {{"team", team}, {"granted", entry.holding.granted()}, {"committed", entry.holding.committed()}});
         }
-        entry.storeAnswers = answers;
-        if (!answers) {
-            entry.answered.notify();
+        entry.storeReachable = reachable;
+        if (!reachable) {
+            entry.answerSignal.notify();
         }
     }
 
-    static constexpr Duration s_countPause = std::chrono::milliseconds(20);
-    /// How long an account with nothing to do sleeps at most.
-    static constexpr Duration s_idlePause = std::chrono::seconds(1);
+    static constexpr Duration s_routerCountPoll = std::chrono::milliseconds(20);
+    /// Maximum sleep of an account that has nothing to do.
+    static constexpr Duration s_maxIdleWait = std::chrono::seconds(1);
 
     Store &m_store;
     TeamLedger &m_ledger;
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/// A holding covers this many usual requests besides its demand over time: demand comes in whole requests.
-constexpr Tokens s_usualRequests = 3;
-/// Weight of the newest request in the mean use of what is reserved, and the mean that is assumed before the first: output limits are far
-/// above what is generated.
-constexpr double s_useWeight = 0.03;
-constexpr double s_usedShareAtFirst = 0.6;
+/// A holding covers this many average requests in addition to its demand over time, because demand comes in whole requests.
+constexpr Tokens s_extraRequests = 3;
+/// Weight of the newest request in the average share of reserved tokens that is used, and that share before the first request: output
+/// limits are far above what is generated.
+constexpr double s_usedShareWeight = 0.03;
+constexpr double s_initialUsedShare = 0.6;
 
-/// An old count of what is left decides when it is this many times too small.
-constexpr Tokens s_farTooLittle = 2;
+/// A count of the remaining tokens that is not fresh refuses a request only if the request is larger than this multiple of it.
+constexpr Tokens s_staleCountFactor = 2;
 
 Tokens fraction(double share, Tokens of)
 {
@@ -27,7 +27,7 @@
 TeamHolding::TeamHolding(Options options, const HolderCheckpoint &checkpoint)
     : m_options(std::move(options))
     , m_checkpoint(checkpoint)
-    , m_demand(m_options.policy.demandMemory)
+    , m_demand(m_options.policy.demandTimeConstant)
 {
 }
 
@@ -43,9 +43,9 @@
 
 Tokens TeamHolding::granted() const
 {
-    const Tokens sure = m_row ? m_row->granted : 0;
-    // The store has the row of the last answered flush, or already that of the one on its way.
-    return m_inFlight ? std::min(sure, m_inFlight->row.granted) : sure;
+    const Tokens acknowledged = m_row ? m_row->granted : 0;
+    // The store contains the row of the last acknowledged flush or already that of the one in flight.
+    return m_inFlight ? std::min(acknowledged, m_inFlight->row.granted) : acknowledged;
 }
 
 Tokens TeamHolding::available(Instant now) const
@@ -57,7 +57,7 @@
     return std::max<Tokens>(0, most - committed());
 }
 
-std::optional<Commitment> TeamHolding::commitment(Instant now, Duration storeTakes) const
+std::optional<Commitment> TeamHolding::commitment(Instant now, Duration storeLatency) const
 {
     const HoldingPolicy &policy = m_options.policy;
     const Tokens unused = std::max<Tokens>(0, granted() - committed());
@@ -65,21 +65,21 @@
         return std::nullopt;
     }
     const double wanted = demand(now);
-    const double pace = std::max(policy.paceOfDemand * wanted, static_cast<double>(unused) / seconds(policy.paceSpan));
-    const Duration soon = policy.burstSpan + 2 * storeTakes;
-    const Duration span = ample(wanted) ? std::max(soon, s_stillTime) : soon;
+    const double growth = std::max(policy.growthDemandFactor * wanted, static_cast<double>(unused) / seconds(policy.growthSpan));
+    const Duration soon = policy.burstSpan + 2 * storeLatency;
+    const Duration span = ample(wanted) ? std::max(soon, s_growthDelay) : soon;
     const auto ahead = static_cast<Tokens>(wanted * seconds(span));
     return Commitment{
-        .committed = committed(), .burst = std::min(unused, ahead + m_waiting), .rate = std::min(unused, static_cast<Tokens>(pace))};
+        .committed = committed(), .burst = std::min(unused, ahead + m_waiting), .rate = std::min(unused, static_cast<Tokens>(growth))};
 }
 
 bool TeamHolding::ample(double ownDemand) const
 {
     const double ofAll = ownDemand + static_cast<double>(m_demandOfActive);
-    return static_cast<double>(remainingAnywhere()) > ofAll * seconds(m_options.policy.ampleSpan);
+    return static_cast<double>(remainingInBudget()) > ofAll * seconds(m_options.policy.ampleSpan);
 }
 
-std::optional<Duration> TeamHolding::timeUntilPaced(Tokens bound, Instant now, Duration horizon) const
+std::optional<Duration> TeamHolding::timeUntilCommittable(Tokens bound, Instant now, Duration horizon) const
 {
     if (m_fenced || granted() - committed() < m_waiting + bound) {
         return std::nullopt;
@@ -97,7 +97,7 @@
     return prepaid() - m_pool.allocated;
 }
 
-Tokens TeamHolding::remainingAnywhere() const
+Tokens TeamHolding::remainingInBudget() const
 {
     const Tokens ownUnused = m_row ? m_row->granted - committed() : 0;
     return freeInPool() + m_unusedByOthers + ownUnused + m_borrowed;
@@ -110,13 +110,13 @@
     }
 }
 
-void TeamHolding::noteRequest(Tokens bound, Instant now)
+void TeamHolding::recordDemand(Tokens bound, Instant now)
 {
     m_demand.addRequest(bound);
-    const double usedShare = m_boundSum > 0 ? m_usedSum / m_boundSum : s_usedShareAtFirst;
+    const double usedShare = m_boundSum > 0 ? m_usedSum / m_boundSum : s_initialUsedShare;
     m_demand.addUse(fraction(usedShare, bound), now);
     m_lastRequest = now;
-    m_askedSinceRead = m_askedSinceRead || m_keeps;
+    m_requestedSinceRead = m_requestedSinceRead || m_assigned;
 }
 
 std::variant<Reservation, HoldingRefusal> TeamHolding::reserve(Tokens bound, Instant now)
@@ -130,14 +130,14 @@
         return Reservation{.bound = bound, .borrowed = true};
     }
     if (bound <= granted() - committed()) {
-        return HoldingRefusal::Paced;
+        return HoldingRefusal::CommitLimited;
     }
-    m_shortSinceRead = m_shortSinceRead || m_keeps;
-    // Little is given back, so that what was far too little a while ago still is; the plan tells of new amounts.
-    const Tokens left = remainingAnywhere();
+    m_shortSinceRead = m_shortSinceRead || m_assigned;
+    // Few tokens are returned to a budget, so a count that was far too small a while ago still is; new prepaid amounts come with the plan.
+    const Tokens left = remainingInBudget();
     const bool fresh = m_lastRead && now - *m_lastRead < 2 * m_options.policy.readInterval;
-    return m_loaded && (fresh ? left < bound : m_keeps && s_farTooLittle * left < bound) ? HoldingRefusal::Exhausted
-                                                                                         : HoldingRefusal::NotHeld;
+    return m_loaded && (fresh ? left < bound : m_assigned && s_staleCountFactor * left < bound) ? HoldingRefusal::Exhausted
+                                                                                                : HoldingRefusal::NotHeld;
 }
 
 void TeamHolding::settle(const Reservation &reservation, Tokens used, Instant now)
@@ -149,48 +149,48 @@
         m_reserved -= reservation.bound;
         m_settled += counted;
     }
-    m_boundSum = (1 - s_useWeight) * m_boundSum + static_cast<double>(reservation.bound);
-    m_usedSum = (1 - s_useWeight) * m_usedSum + static_cast<double>(counted);
+    m_boundSum = (1 - s_usedShareWeight) * m_boundSum + static_cast<double>(reservation.bound);
+    m_usedSum = (1 - s_usedShareWeight) * m_usedSum + static_cast<double>(counted);
     m_demand.addUse(0, now);
 }
 
 Tokens TeamHolding::spentByPredecessor() const
 {
-    // Of a process that left no checkpoint nothing is known, so that all it held counts as spent.
+    // Nothing is known about a process that left no checkpoint, so all that it held counts as spent.
     const Tokens granted = m_predecessor->granted;
-    return std::min(granted, m_checkpoint.spentBy(m_predecessor->incarnation, m_options.team).value_or(granted));
+    return std::min(granted, m_checkpoint.maxSpentBy(m_predecessor->incarnation, m_options.team).value_or(granted));
 }
 
 std::optional<TeamHolding::Recovery> TeamHolding::recovery() const
 {
-    if (!m_predecessor || !m_checkpoint.sealed()) {
+    if (!m_predecessor || !m_checkpoint.predecessorsFenced()) {
         return std::nullopt;
     }
     return Recovery{.incarnation = m_predecessor->incarnation,
                     .granted = m_predecessor->granted,
-                    .committed = m_checkpoint.committedBy(m_predecessor->incarnation, m_options.team),
+                    .committed = m_checkpoint.committedAtCheckpoint(m_predecessor->incarnation, m_options.team),
                     .countedAsSpent = spentByPredecessor(),
-                    .checkpointKnown = m_checkpoint.spentBy(m_predecessor->incarnation, m_options.team).has_value()};
+                    .checkpointKnown = m_checkpoint.maxSpentBy(m_predecessor->incarnation, m_options.team).has_value()};
 }
 
 Tokens TeamHolding::lend(Tokens asked, Instant now)
 {
     const Tokens free = available(now);
-    // Near the end of a budget every router is left with less than a request's worth, and together they could serve some more.
-    const bool useless = static_cast<double>(free) < m_demand.averageBound();
-    const Tokens keep = useless ? 0 : static_cast<Tokens>(demand(now) * seconds(m_options.policy.lendKeep));
+    // Near the end of a budget every router is left with less than one request needs; combined, the remainders still serve some.
+    const bool tooSmall = static_cast<double>(free) < m_demand.averageBound();
+    const Tokens keep = tooSmall ? 0 : static_cast<Tokens>(demand(now) * seconds(m_options.policy.lenderKeepSpan));
     const Tokens lent = std::clamp<Tokens>(free - keep, 0, std::max<Tokens>(0, asked));
     m_settled += lent;
     m_lent += lent;
     return lent;
 }
 
-void TeamHolding::borrow(Tokens tokens)
+void TeamHolding::addBorrowed(Tokens tokens)
 {
     m_borrowed += tokens;
 }
 
-void TeamHolding::takeBack(Tokens tokens)
+void TeamHolding::acceptReturned(Tokens tokens)
 {
     const Tokens own = std::min(tokens, m_lent);
     m_lent -= own;
@@ -198,14 +198,14 @@
     m_borrowed += tokens - own;
 }
 
-Tokens TeamHolding::loanWanted(Instant now) const
+Tokens TeamHolding::tokensToBorrow(Instant now) const
 {
-    if (m_keeps) {
+    if (m_assigned) {
         return m_waiting + static_cast<Tokens>(demand(now) * seconds(m_options.policy.borrowAhead)) - m_borrowed;
     }
-    // Whole requests only: a team that sends one now and then has no next one to take tokens ahead for.
+    // Rounded down to whole requests: a team that sends a request only now and then has no next one to borrow ahead for.
     const Tokens use = std::max<Tokens>(1, typicalUse());
-    const Tokens requests = static_cast<Tokens>(demand(now) * seconds(m_options.policy.guestAhead)) / use;
+    const Tokens requests = static_cast<Tokens>(demand(now) * seconds(m_options.policy.unassignedBorrowAhead)) / use;
     return m_waiting + requests * use - m_borrowed;
 }
 
@@ -218,10 +218,10 @@
     }
 }
 
-Tokens TeamHolding::takeIdleLoan(Instant now)
+Tokens TeamHolding::takeIdleBorrowed(Instant now)
 {
-    const bool idle = now - m_lastRequest >= m_options.policy.loanIdle && m_waiting == 0;
-    return idle && !m_keeps && !m_closing ? std::exchange(m_borrowed, 0) : 0;
+    const bool idle = now - m_lastRequest >= m_options.policy.loanIdleTimeout && m_waiting == 0;
+    return idle && !m_assigned && !m_closing ? std::exchange(m_borrowed, 0) : 0;
 }
 
 bool TeamHolding::setPrepaid(const PrepaidStatement &statement)
@@ -234,7 +234,7 @@
     return changes;
 }
 
-bool TeamHolding::wantsRead(Instant now) const
+bool TeamHolding::needsRead(Instant now) const
 {
     if (!m_loaded || !m_lastRead) {
         return true;
@@ -242,30 +242,30 @@
     const Duration age = now - *m_lastRead;
     const bool urgent = m_shortSinceRead && age >= m_options.policy.urgentInterval;
     const Duration interval = ample(now) ? m_options.policy.ampleInterval : m_options.policy.readInterval;
-    return urgent || (m_askedSinceRead && age >= interval);
+    return urgent || (m_requestedSinceRead && age >= interval);
 }
 
-void TeamHolding::noteStoreTime(StoreTimeMs time, Instant now)
+void TeamHolding::setStoreTime(StoreTimeMs time, Instant now)
 {
     m_storeTime = time;
     m_storeTimeAt = now;
 }
 
-StoreTimeMs TeamHolding::storeTimeAtLeast(Instant now) const
+StoreTimeMs TeamHolding::minStoreTime(Instant now) const
 {
     return m_storeTime + std::chrono::duration_cast<std::chrono::milliseconds>(now - m_storeTimeAt).count();
 }
 
-bool TeamHolding::loaded(const RowsRead &read, Instant now)
+bool TeamHolding::handleRead(const RowsRead &read, Instant now)
 {
     if (read.version < m_seenVersion) {
         return false;
     }
     m_seenVersion = read.version;
-    noteStoreTime(read.storeTime, now);
+    setStoreTime(read.storeTime, now);
     m_lastRead = now;
     m_shortSinceRead = false;
-    m_askedSinceRead = false;
+    m_requestedSinceRead = false;
     m_unusedByOthers = 0;
     m_unusedByActive = 0;
     m_demandOfActive = 0;
@@ -286,7 +286,7 @@
     if (!m_inFlight && own != nullptr) {
         adoptOwnRow(*own);
     } else if (!m_inFlight && m_rowVersion != 0) {
-        rowGone();
+        handleRowRemoved();
     }
     m_loaded = true;
     return true;
@@ -312,15 +312,15 @@
         return;
     }
     if (m_row) {
-        // Only a process that was able to bind this address takes over its row, so this one is not reachable there any more and must
-        // commit nothing further: its successor has returned the rest to the pool.
+        // Only a process that could bind this address takes over its row. This process is therefore no longer reachable there and must not
+        // commit anything more: its successor has returned the rest to the pool.
         m_fenced = true;
         return;
     }
     m_predecessor = std::move(seen);
 }
 
-void TeamHolding::rowGone()
+void TeamHolding::handleRowRemoved()
 {
     m_fenced = m_fenced || m_row.has_value();
     m_row.reset();
@@ -335,25 +335,26 @@
 
 Tokens TeamHolding::typicalUse() const
 {
-    const double usedShare = m_boundSum > 0 ? m_usedSum / m_boundSum : s_usedShareAtFirst;
+    const double usedShare = m_boundSum > 0 ? m_usedSum / m_boundSum : s_initialUsedShare;
     return static_cast<Tokens>(usedShare * m_demand.averageBound());
 }
 
-Tokens TeamHolding::aim(std::size_t routers, Instant now) const
+Tokens TeamHolding::desiredHolding(std::size_t routers, Instant now) const
 {
-    if (!m_keeps) {
+    if (!m_assigned) {
         return 0;
     }
     const HoldingPolicy &policy = m_options.policy;
     const double own = demand(now);
-    const auto ahead = static_cast<Tokens>(own * seconds(policy.horizon));
-    const bool learned = m_servingSince && now - *m_servingSince >= policy.learnFor;
+    const auto ahead = static_cast<Tokens>(own * seconds(policy.holdingSpan));
+    const bool warmedUp = m_servingSince && now - *m_servingSince >= policy.warmUpTime;
     const Tokens held = m_row ? m_row->granted - committed() : 0;
     const Tokens left = std::max<Tokens>(0, freeInPool() + m_unusedByActive + held);
-    // A part of what is left, not of what was paid for: routers that restart late in the day would take all of it before demand is known.
-    const Tokens initial = learned ? 0 : fraction(policy.initialShare, left) / static_cast<Tokens>(m_keepers.value_or(routers));
-    const Tokens wanted = std::max(initial, own > 0 ? ahead + s_usualRequests * typicalUse() : 0);
-    if (!learned || own <= 0) {
+    // A share of what remains, not of what was paid for: routers that restart late in the day would otherwise take all of it before demand
+    // is known.
+    const Tokens initial = warmedUp ? 0 : fraction(policy.initialShare, left) / static_cast<Tokens>(m_assignedCount.value_or(routers));
+    const Tokens wanted = std::max(initial, own > 0 ? ahead + s_extraRequests * typicalUse() : 0);
+    if (!warmedUp || own <= 0) {
         return wanted;
     }
     const double ownPart = own / (own + static_cast<double>(m_demandOfActive));
@@ -369,31 +370,31 @@
         return -held;
     }
     if (free < 0) {
-        // The team's prepaid amount was lowered below what is handed out.
+        // The team's prepaid amount was lowered below what is allocated.
         return -std::min(held, -free);
     }
-    const Tokens goal = aim(routers, now);
-    const Tokens keep = std::max(goal, m_waiting);
-    const Tokens spare = m_keeps ? fraction(policy.surplusFactor, keep) + typicalUse() : keep;
+    const Tokens desired = desiredHolding(routers, now);
+    const Tokens keep = std::max(desired, m_waiting);
+    const Tokens spare = m_assigned ? fraction(policy.surplusFactor, keep) + typicalUse() : keep;
     if (held > spare) {
         return keep - held;
     }
-    if (held >= fraction(policy.refillBelow, goal) && held >= m_waiting) {
+    if (held >= fraction(policy.refillBelow, desired) && held >= m_waiting) {
         return 0;
     }
     const Tokens change = std::min(keep - held, free);
-    const bool worthwhile = change >= fraction(policy.smallestChange, goal) || held < m_waiting;
+    const bool worthwhile = change >= fraction(policy.minChangeShare, desired) || held < m_waiting;
     return worthwhile ? std::max<Tokens>(0, change) : 0;
 }
 
 std::optional<Instant> TeamHolding::nextFlush(std::size_t routers, Instant now) const
 {
     const HoldingPolicy &policy = m_options.policy;
-    if (!mayFlush()) {
+    if (!canFlush()) {
         return std::nullopt;
     }
     const Tokens held = m_row ? m_row->granted - committed() : 0;
-    const bool uninvolved = !m_row && !m_predecessor && !m_inFlight && m_waiting == 0 && (!m_keeps || m_closing) && m_borrowed == 0;
+    const bool uninvolved = !m_row && !m_predecessor && !m_inFlight && m_waiting == 0 && (!m_assigned || m_closing) && m_borrowed == 0;
     if (uninvolved) {
         return std::nullopt;
     }
@@ -407,16 +408,16 @@
     if (m_closing || held < m_waiting) {
         return last + policy.urgentInterval;
     }
-    if (m_inFlight || m_predecessor || (m_keeps && !m_row) || wantedChange(routers, now) != 0) {
-        return last + policy.changeInterval;
+    if (m_inFlight || m_predecessor || (m_assigned && !m_row) || wantedChange(routers, now) != 0) {
+        return last + policy.transferInterval;
     }
     if (!m_row) {
         return std::nullopt;
     }
-    const bool changed = (m_keeps && m_borrowed > 0) || m_row->committed != committed();
+    const bool changed = (m_assigned && m_borrowed > 0) || m_row->committed != committed();
     const auto wanted = static_cast<Tokens>(demand(now));
     if (!changed && held == 0 && wanted == 0 && m_row->demand == 0) {
-        // Nothing that anyone would want to know.
+        // Nothing has changed that another router would need.
         return std::nullopt;
     }
     return last + (changed && !ample(now) ? policy.flushInterval : policy.refreshInterval);
@@ -425,23 +426,23 @@
 HolderRow TeamHolding::rowAfter(Tokens change, Instant now) const
 {
     return {.incarnation = m_options.incarnation,
-            .flush = m_flush,
+            .flushSequence = m_flushSequence,
             .granted = (m_row ? m_row->granted : 0) + change,
             .settled = m_settled,
             .committed = committed(),
             .demand = static_cast<Tokens>(demand(now)),
-            .writtenAt = storeTimeAtLeast(now)};
+            .writtenAt = minStoreTime(now)};
 }
 
-bool TeamHolding::mayFlush() const
+bool TeamHolding::canFlush() const
 {
-    // What a dead process left is recovered with the next flush, for which its checkpoint must be final.
-    return m_loaded && !m_fenced && (!m_predecessor || m_checkpoint.sealed());
+    // The next flush recovers what a dead process left, for which that process's checkpoint must be final.
+    return m_loaded && !m_fenced && (!m_predecessor || m_checkpoint.predecessorsFenced());
 }
 
 std::optional<RowTransaction> TeamHolding::planFlush(std::size_t routers, Instant now)
 {
-    if (!mayFlush()) {
+    if (!canFlush()) {
         return std::nullopt;
     }
     m_lastFlush = now;
@@ -449,7 +450,7 @@
         return m_inFlight->transaction;
     }
     const Tokens change = wantedChange(routers, now);
-    ++m_flush;
+    ++m_flushSequence;
     Flush flush{.row = rowAfter(change, now)};
     flush.removesRow = m_closing && m_reserved == 0;
     flush.transaction.conditions.push_back({.address = ownAddress(), .version = m_rowVersion});
@@ -465,7 +466,7 @@
         flush.transaction.changes.push_back({.address = poolAddress(), .value = toText(pool)});
         flush.pool = pool;
     }
-    // What a closing holder has spent stays allocated in the pool, so the row itself can go.
+    // Tokens that a closing holder has spent stay allocated in the pool, so its row can be removed.
     const std::optional<std::string> value = flush.removesRow ? std::nullopt : std::optional(toText(flush.row));
     flush.transaction.changes.push_back({.address = ownAddress(), .value = value});
     m_inFlight = std::move(flush);
@@ -474,7 +475,7 @@
 
 void TeamHolding::flushAnswered(const RowVerdict &verdict, Instant now)
 {
-    noteStoreTime(verdict.storeTime, now);
+    setStoreTime(verdict.storeTime, now);
     m_seenVersion = std::max(m_seenVersion, verdict.version);
     if (!m_inFlight) {
         return;
@@ -499,23 +500,23 @@
             adoptPoolRow(row);
         }
     }
-    const bool tookEffectBefore = m_row && m_row->flush == m_inFlight->row.flush;
+    const bool tookEffectBefore = m_row && m_row->flushSequence == m_inFlight->row.flushSequence;
     if (tookEffectBefore) {
         m_predecessor.reset();
         m_inFlight->returned = 0;
     }
     if (!ownSeen && m_rowVersion != 0) {
         const bool removedByThis = m_inFlight->removesRow;
-        rowGone();
+        handleRowRemoved();
         m_fenced = m_fenced && !removedByThis;
         m_inFlight->returned = removedByThis ? 0 : m_inFlight->returned;
     }
-    withdrawFlush();
-    // The next attempt need not wait: the rows it was planned on were only out of date.
+    abandonFlush();
+    // The next attempt does not have to wait, because this one failed only on outdated rows.
     m_lastFlush = now - m_options.policy.refreshInterval;
 }
 
-void TeamHolding::withdrawFlush()
+void TeamHolding::abandonFlush()
 {
     m_borrowed += m_inFlight->returned;
     m_inFlight.reset();
@@ -523,15 +524,15 @@
 
 void TeamHolding::flushDeclined()
 {
-    if (m_inFlight && !m_inFlight->lost) {
-        withdrawFlush();
+    if (m_inFlight && !m_inFlight->outcomeUnknown) {
+        abandonFlush();
     }
 }
 
 void TeamHolding::flushLost()
 {
     if (m_inFlight) {
-        m_inFlight->lost = true;
+        m_inFlight->outcomeUnknown = true;
     }
 }
 
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -1,6 +1,6 @@
 #include "budget/teamledger.h"
 
-#include "budget/keepers.h"
+#include "budget/assignedholders.h"
 
 #include "clock/steadytime.h"
 #include "operations/log.h"
@@ -16,21 +16,21 @@
 
 namespace {
 
-/// Time alone admits those who wait for the pace; this often is looked whether it has.
-constexpr Duration s_paceStep = std::chrono::milliseconds(50);
-/// How many of the store's usual answers a request waits for.
-constexpr int s_callsWaitedFor = 4;
-/// The newest answer's share in the mean time that the store takes is one in this many.
+/// Interval at which waiting requests check whether the growth of the commitment admits them; nothing notifies them of that.
+constexpr Duration s_commitLimitPoll = std::chrono::milliseconds(50);
+/// A request waits for this multiple of the store's average latency.
+constexpr int s_waitLatencyMultiple = 4;
+/// The newest latency has a weight of one in this many in the average.
 constexpr int s_latencyWeight = 4;
-/// The pace is known in steps.
-constexpr Duration s_pacedMargin = std::chrono::milliseconds(60);
+/// Added to the expected wait, which is known only in steps.
+constexpr Duration s_commitLimitMargin = std::chrono::milliseconds(60);
 
 }
 
 TeamLedger::Entry::Entry(const boost::asio::any_io_executor &executor, TeamHolding::Options options, const HolderCheckpoint &checkpoint)
     : holding(std::move(options), checkpoint)
-    , answered(executor)
-    , urgent(executor)
+    , answerSignal(executor)
+    , flushSignal(executor)
 {
 }
 
@@ -72,12 +72,12 @@
         logLine(Severity::Info,
                 "budget.prepaid",
                 {{"team", team}, {"prepaid", statement.prepaid}, {"plan", static_cast<std::int64_t>(statement.planVersion)}});
-        assignKeepers(account, team);
+        updateAssignment(account, team);
     }
-    account.urgent.notify();
+    account.flushSignal.notify();
 }
 
-absl::Status TeamLedger::refusalOf(const Entry &account, HoldingRefusal refusal, Tokens bound) const
+absl::Status TeamLedger::refusalStatus(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
     const bool exhausted = refusal == HoldingRefusal::Exhausted;
     const Tokens available = account.holding.available(steadyNow());
@@ -90,8 +90,8 @@
                                             " of ",
                                             unspent,
                                             " held; left in the budget ",
-                                            account.holding.remainingAnywhere(),
-                                            account.storeAnswers && m_checkpointAnswers ? "" : "; store out of reach"),
+                                            account.holding.remainingInBudget(),
+                                            account.storeReachable && m_checkpointStoreReachable ? "" : "; store out of reach"),
                      .executed = Executed::No,
                      .retryAfterMs = retryAfterMs(account, refusal, bound)});
 }
@@ -101,8 +101,8 @@
     if (refusal == HoldingRefusal::Exhausted) {
         return m_options.retryAfterExhaustionMs;
     }
-    const std::optional<Duration> paced = account.holding.timeUntilPaced(bound, steadyNow(), m_options.paceHorizon);
-    return paced ? std::chrono::duration_cast<std::chrono::milliseconds>(*paced).count() : m_options.retryAfterFlushMs;
+    const std::optional<Duration> committableIn = account.holding.timeUntilCommittable(bound, steadyNow(), m_options.commitHorizon);
+    return committableIn ? std::chrono::duration_cast<std::chrono::milliseconds>(*committableIn).count() : m_options.retryAfterFlushMs;
 }
 
 boost::asio::awaitable<absl::StatusOr<Reservation>> TeamLedger::reserve(std::string team, Tokens bound)
@@ -110,62 +110,64 @@
     Entry &account = entry(team);
     const Instant begun = steadyNow();
     noteServing(begun);
-    account.holding.noteRequest(bound, begun);
+    account.holding.recordDemand(bound, begun);
     std::variant<Reservation, HoldingRefusal> result = account.holding.reserve(bound, begun);
     if (std::holds_alternative<HoldingRefusal>(result)) {
-        // Two calls, a draw and a checkpoint, and what they may take longer than usual.
-        const Duration patience = std::clamp(s_callsWaitedFor * m_storeTakes, m_options.longestWait, m_options.longestSlowWait);
-        const Wish wish{.bound = bound, .longest = patience};
-        result = co_await waitFor(account, team, wish);
+        // Enough for two calls, a draw and a checkpoint, and for some variation.
+        const Duration patience = std::clamp(s_waitLatencyMultiple * m_storeLatency, m_options.maxWait, m_options.maxSlowWait);
+        const WaitOptions waitOptions{.bound = bound, .timeout = patience};
+        result = co_await waitForTokens(account, team, waitOptions);
     }
     if (std::holds_alternative<HoldingRefusal>(result)) {
-        co_return refusalOf(account, std::get<HoldingRefusal>(result), bound);
+        co_return refusalStatus(account, std::get<HoldingRefusal>(result), bound);
     }
     co_return std::get<Reservation>(result);
 }
 
-boost::asio::awaitable<std::variant<Reservation, HoldingRefusal>> TeamLedger::waitFor(Entry &account, std::string team, Wish wish)
+boost::asio::awaitable<std::variant<Reservation, HoldingRefusal>>
+TeamLedger::waitForTokens(Entry &account, std::string team, WaitOptions waitOptions)
 {
     const Instant begun = steadyNow();
-    Instant giveUp = begun + wish.longest;
-    if (const auto paced = account.holding.timeUntilPaced(wish.bound, begun, m_options.longestPacedWait); paced && wish.mayBorrow) {
-        giveUp = std::max(giveUp, begun + *paced + s_pacedMargin);
+    Instant deadline = begun + waitOptions.timeout;
+    if (const auto committableIn = account.holding.timeUntilCommittable(waitOptions.bound, begun, m_options.maxCommitLimitWait);
+        committableIn && waitOptions.mayBorrow) {
+        deadline = std::max(deadline, begun + *committableIn + s_commitLimitMargin);
     }
-    account.holding.addWaiting(wish.bound);
+    account.holding.addWaiting(waitOptions.bound);
     ++m_waiters;
-    std::variant<Reservation, HoldingRefusal> result = account.holding.reserve(wish.bound, begun);
-    while (std::holds_alternative<HoldingRefusal>(result) && steadyNow() < giveUp) {
+    std::variant<Reservation, HoldingRefusal> result = account.holding.reserve(waitOptions.bound, begun);
+    while (std::holds_alternative<HoldingRefusal>(result) && steadyNow() < deadline) {
         const HoldingRefusal refusal = std::get<HoldingRefusal>(result);
-        if (wish.mayBorrow && mayBorrow(account, refusal, wish.bound)) {
+        if (waitOptions.mayBorrow && mayBorrow(account, refusal, waitOptions.bound)) {
             boost::asio::co_spawn(m_executor, borrow(account, team), boost::asio::detached);
-        } else if (!account.borrowing && uncovered(account, wish.bound)) {
+        } else if (!account.borrowing && knownUncovered(account, waitOptions.bound)) {
             result = HoldingRefusal::Exhausted;
             break;
-        } else if (hopeless(account, refusal, wish.bound)) {
+        } else if (cannotBeAdmitted(account, refusal, waitOptions.bound)) {
             break;
         }
-        seek(account, refusal);
-        co_await account.answered.wait(std::min<Duration>(giveUp - steadyNow(), s_paceStep));
-        result = account.holding.reserve(wish.bound, steadyNow());
+        wakeWriters(account, refusal);
+        co_await account.answerSignal.wait(std::min<Duration>(deadline - steadyNow(), s_commitLimitPoll));
+        result = account.holding.reserve(waitOptions.bound, steadyNow());
     }
     --m_waiters;
-    account.holding.removeWaiting(wish.bound);
+    account.holding.removeWaiting(waitOptions.bound);
     co_return result;
 }
 
-void TeamLedger::seek(Entry &account, HoldingRefusal refusal)
+void TeamLedger::wakeWriters(Entry &account, HoldingRefusal refusal)
 {
-    if (refusal == HoldingRefusal::Paced) {
+    if (refusal == HoldingRefusal::CommitLimited) {
         m_checkpointUrgent.notify();
     }
-    // A router that keeps no part of the budget draws on it only where those that do had nothing.
-    const bool draws = account.holding.keeps() || (!account.borrowing && steadyNow() < account.borrowAgainAt);
-    if (refusal == HoldingRefusal::NotHeld && account.storeAnswers && draws) {
-        account.urgent.notify();
+    // A router that is not an assigned holder draws on the pool only while the assigned holders have nothing to lend.
+    const bool draws = account.holding.isAssigned() || (!account.borrowing && steadyNow() < account.nextBorrowAt);
+    if (refusal == HoldingRefusal::NotHeld && account.storeReachable && draws) {
+        account.flushSignal.notify();
     }
 }
 
-bool TeamLedger::hopeless(const Entry &account, HoldingRefusal refusal, Tokens bound) const
+bool TeamLedger::cannotBeAdmitted(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
     if (refusal == HoldingRefusal::Exhausted) {
         return true;
@@ -173,36 +175,36 @@
     if (account.borrowing) {
         return false;
     }
-    const bool paced = account.holding.timeUntilPaced(0, steadyNow(), m_options.longestPacedWait).has_value();
-    return !storeHelps(account, refusal, bound) && !paced;
+    const bool committableSoon = account.holding.timeUntilCommittable(0, steadyNow(), m_options.maxCommitLimitWait).has_value();
+    return !storeCanServe(account, refusal, bound) && !committableSoon;
 }
 
-bool TeamLedger::uncovered(const Entry &account, Tokens bound) const
+bool TeamLedger::knownUncovered(const Entry &account, Tokens bound) const
 {
-    return !account.holding.keeps() && steadyNow() < account.uncoveredUntil && bound >= account.uncovered;
+    return !account.holding.isAssigned() && steadyNow() < account.uncoveredUntil && bound >= account.uncoveredAmount;
 }
 
-bool TeamLedger::storeHelps(const Entry &account, HoldingRefusal refusal, Tokens bound) const
+bool TeamLedger::storeCanServe(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
-    if (refusal == HoldingRefusal::Paced) {
-        return m_checkpointAnswers;
+    if (refusal == HoldingRefusal::CommitLimited) {
+        return m_checkpointStoreReachable;
     }
-    return account.storeAnswers && account.holding.freeInPool() >= bound;
+    return account.storeReachable && account.holding.freeInPool() >= bound;
 }
 
 bool TeamLedger::mayBorrow(const Entry &account, HoldingRefusal refusal, Tokens bound) const
 {
-    const bool pointless = refusal == HoldingRefusal::Exhausted || (account.holding.keeps() && storeHelps(account, refusal, bound));
-    return m_options.policy.loans && m_borrow && !pointless && !account.borrowing && steadyNow() >= account.borrowAgainAt;
+    const bool pointless = refusal == HoldingRefusal::Exhausted || (account.holding.isAssigned() && storeCanServe(account, refusal, bound));
+    return m_options.policy.loans && m_borrow && !pointless && !account.borrowing && steadyNow() >= account.nextBorrowAt;
 }
 
 Instant TeamLedger::checkpointDue(Instant now) const
 {
-    if (!m_lastCheckpoint || !m_checkpoint->sealed() || m_checkpoint->undecided()) {
+    if (!m_lastCheckpoint || !m_checkpoint->predecessorsFenced() || m_checkpoint->writePending()) {
         return now;
     }
     if (m_waiters > 0) {
-        return *m_lastCheckpoint + m_options.groupInterval;
+        return *m_lastCheckpoint + m_options.batchInterval;
     }
     return *m_lastCheckpoint + checkpointInterval(now);
 }
@@ -225,33 +227,33 @@
 std::optional<RowTransaction> TeamLedger::planCheckpoint(Instant now)
 {
     m_lastCheckpoint = now;
-    if (!m_checkpoint->undecided()) {
-        m_checkpointBegun = now;
+    if (!m_checkpoint->writePending()) {
+        m_checkpointFirstSent = now;
     }
     HolderCheckpoint::Commitments commitments;
     bool recovered = true;
     for (const auto &[team, account] : m_entries) {
         recovered = recovered && account->holding.recovered();
-        if (const std::optional<Commitment> commitment = account->holding.commitment(now, m_storeTakes)) {
+        if (const std::optional<Commitment> commitment = account->holding.commitment(now, m_storeLatency)) {
             commitments.emplace(team, *commitment);
         }
     }
     if (recovered && !m_entries.empty()) {
-        m_checkpoint->forgetEarlier();
+        m_checkpoint->discardPredecessors();
     }
-    return m_checkpoint->plan(commitments, now);
+    return m_checkpoint->planWrite(commitments, now);
 }
 
 void TeamLedger::checkpointAnswered(const RowVerdict &verdict, Instant now)
 {
-    const bool wasSealed = m_checkpoint->sealed();
-    m_storeTakes += (now - m_checkpointBegun - m_storeTakes) / s_latencyWeight;
-    m_checkpoint->answered(verdict, now);
+    const bool fencedBefore = m_checkpoint->predecessorsFenced();
+    m_storeLatency += (now - m_checkpointFirstSent - m_storeLatency) / s_latencyWeight;
+    m_checkpoint->writeAnswered(verdict, now);
     for (const auto &[team, account] : m_entries) {
-        account->answered.notify();
-        if (!wasSealed) {
-            // Recoveries waited for this.
-            account->urgent.notify();
+        account->answerSignal.notify();
+        if (!fencedBefore) {
+            // Recoveries waited for this checkpoint.
+            account->flushSignal.notify();
         }
     }
 }
@@ -259,18 +261,18 @@
 boost::asio::awaitable<void> TeamLedger::borrow(Entry &account, std::string team)
 {
     account.borrowing = true;
-    const Tokens wanted = account.holding.loanWanted(steadyNow());
+    const Tokens wanted = account.holding.tokensToBorrow(steadyNow());
     const Loan loan = co_await m_borrow(team, wanted, account.lenders);
-    account.holding.borrow(loan.tokens);
+    account.holding.addBorrowed(loan.tokens);
     account.borrowing = false;
     if (loan.tokens < wanted) {
-        account.borrowAgainAt = steadyNow() + m_options.borrowPause;
+        account.nextBorrowAt = steadyNow() + m_options.borrowPause;
     }
     if (loan.exhausted) {
-        // What was wanted is the sum of all that waits. Lenders give what they have of it: after nothing at all there is nothing for a
-        // smaller request either. Told apart by the sum, callers of a used-up budget would be told that it is out of reach, and come back
-        // in vain.
-        account.uncovered = loan.tokens == 0 ? 1 : wanted - loan.tokens;
+        // The amount asked for is the sum of all waiting requests. Lenders lend what they have of it, so when they lend nothing at all,
+        // there is nothing for a smaller request either. With the sum as the limit, callers of an exhausted budget would be told that it is
+        // unreachable, and would retry in vain.
+        account.uncoveredAmount = loan.tokens == 0 ? 1 : wanted - loan.tokens;
         account.uncoveredUntil = steadyNow() + m_options.borrowPause;
     }
     if (loan.tokens < wanted) {
@@ -278,7 +280,7 @@
                 "budget.loan_short",
                 {{"team", team}, {"wanted", wanted}, {"lent", loan.tokens}, {"exhausted", static_cast<std::int64_t>(loan.exhausted)}});
     }
-    account.answered.notify();
+    account.answerSignal.notify();
 }
 
 boost::asio::awaitable<TeamLedger::Loan> TeamLedger::lend(std::string team, Tokens asked)
@@ -288,21 +290,21 @@
         co_return Loan{};
     }
     Entry &account = *found->second;
-    if (!account.holding.keeps()) {
+    if (!account.holding.isAssigned()) {
         co_return Loan{.tokens = account.holding.lend(asked, steadyNow())};
     }
-    // When that is more than this router holds, the peer gets all of it, as soon as a checkpoint covers it.
+    // If the peer asks for more than this router holds, it gets all of that, as soon as a checkpoint covers it.
     const Tokens held = account.holding.unused();
-    const Wish wish{.bound = held > 0 ? std::min(asked, held) : asked, .longest = m_options.longestLoanWait, .mayBorrow = false};
-    const std::variant<Reservation, HoldingRefusal> result = co_await waitFor(account, team, wish);
+    const WaitOptions waitOptions{.bound = held > 0 ? std::min(asked, held) : asked, .timeout = m_options.maxLoanWait, .mayBorrow = false};
+    const std::variant<Reservation, HoldingRefusal> result = co_await waitForTokens(account, team, waitOptions);
     if (const auto *reservation = std::get_if<Reservation>(&result)) {
         account.holding.lendReserved(*reservation);
-        account.holding.noteRequest(wish.bound, steadyNow());
-        co_return Loan{.tokens = wish.bound};
+        account.holding.recordDemand(waitOptions.bound, steadyNow());
+        co_return Loan{.tokens = waitOptions.bound};
     }
     Loan loan{.tokens = account.holding.lend(asked, steadyNow())};
     if (loan.tokens > 0) {
-        account.holding.noteRequest(loan.tokens, steadyNow());
+        account.holding.recordDemand(loan.tokens, steadyNow());
     }
     logLine(Severity::Info,
             "budget.lent_short",
@@ -310,17 +312,17 @@
              {"asked", asked},
              {"lent", loan.tokens},
              {"held", account.holding.granted() - account.holding.committed()},
-             {"left", account.holding.remainingAnywhere()},
-             {"store", static_cast<std::int64_t>(account.storeAnswers && m_checkpointAnswers)}});
+             {"left", account.holding.remainingInBudget()},
+             {"store", static_cast<std::int64_t>(account.storeReachable && m_checkpointStoreReachable)}});
     loan.exhausted = std::get<HoldingRefusal>(result) == HoldingRefusal::Exhausted;
     co_return loan;
 }
 
-void TeamLedger::takeGift(const std::string &team, Tokens tokens)
+void TeamLedger::acceptReturnedTokens(const std::string &team, Tokens tokens)
 {
     Entry &account = entry(team);
-    account.holding.takeBack(tokens);
-    account.answered.notify();
+    account.holding.acceptReturned(tokens);
+    account.answerSignal.notify();
 }
 
 void TeamLedger::returnIdleLoan(Entry &account, const std::string &team)
@@ -328,43 +330,44 @@
     if (account.lenders.empty()) {
         return;
     }
-    const Tokens tokens = account.holding.takeIdleLoan(steadyNow());
+    const Tokens tokens = account.holding.takeIdleBorrowed(steadyNow());
     if (tokens > 0) {
-        m_give(account.lenders.front(), team, tokens);
+        m_return(account.lenders.front(), team, tokens);
     }
 }
 
-void TeamLedger::onShortage(Borrow borrow, Give give)
+void TeamLedger::setPeerFunctions(BorrowFunction borrow, ReturnFunction giveBack)
 {
     m_borrow = std::move(borrow);
-    m_give = std::move(give);
+    m_return = std::move(giveBack);
 }
 
 void TeamLedger::setRouters(const std::vector<std::string> &routers)
 {
     m_routers = routers;
     for (const auto &[team, account] : m_entries) {
-        assignKeepers(*account, team);
+        updateAssignment(*account, team);
     }
 }
 
-void TeamLedger::assignKeepers(Entry &account, const std::string &team)
+void TeamLedger::updateAssignment(Entry &account, const std::string &team)
 {
     if (m_routers.empty()) {
         return;
     }
-    std::vector<std::string> keepers =
-        m_options.policy.fewKeepers ? keepersOf(team, account.holding.prepaid(), account.holding.usualBound(), m_routers) : m_routers;
-    const std::size_t count = keepers.size();
-    const bool keeps = std::erase(keepers, m_options.link) > 0;
-    // Each borrower begins with another keeper, so that all of them lend about as much.
-    if (!keepers.empty()) {
-        const auto first = static_cast<std::ptrdiff_t>(stableHash(m_options.link) % keepers.size());
-        std::rotate(keepers.begin(), keepers.begin() + first, keepers.end());
+    std::vector<std::string> holders = m_options.policy.limitHolders
+        ? assignedHolders(team, account.holding.prepaid(), account.holding.averageRequestBound(), m_routers)
+        : m_routers;
+    const std::size_t count = holders.size();
+    const bool assigned = std::erase(holders, m_options.linkAddress) > 0;
+    // Each borrower starts with another assigned holder, so that all of them lend about the same amount.
+    if (!holders.empty()) {
+        const auto first = static_cast<std::ptrdiff_t>(stableHash(m_options.linkAddress) % holders.size());
+        std::rotate(holders.begin(), holders.begin() + first, holders.end());
     }
-    account.lenders = std::move(keepers);
-    account.holding.setKeeps(keeps, count);
-    account.urgent.notify();
+    account.lenders = std::move(holders);
+    account.holding.setAssigned(assigned, count);
+    account.flushSignal.notify();
 }
 
 void TeamLedger::noteServing(Instant now)
@@ -372,7 +375,7 @@
     if (m_servingSince) {
         return;
     }
-    // For every team: one that has sent nothing here since then has no demand here, and what was drawn for it is missing elsewhere.
+    // Set for all teams: one that has sent nothing here since then has no demand here, and tokens drawn for it are missing elsewhere.
     m_servingSince = now;
     for (const auto &[team, account] : m_entries) {
         account->holding.servingSince(now);
@@ -393,7 +396,7 @@
 {
     for (const auto &[team, account] : m_entries) {
         account->holding.beginClose();
-        account->urgent.notify();
+        account->flushSignal.notify();
     }
 }
 
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "budget/checkpointkeeper.h"
-#include "budget/ledgerkeeper.h"
+#include "budget/checkpointwriter.h"
+#include "budget/ledgersynchronizer.h"
 #include "gateway/gateway.h"
 #include "gateway/mechanisms.h"
 #include "gateway/peerexchange.h"
@@ -73,8 +73,9 @@
         , m_detours({.self = text(m_options.link), .failureDomain = m_options.gateway.board.failureDomain})
         , m_store(store, m_link, relayedOptions())
         , m_registry(m_store, registryOptions())
-        , m_ledger(m_executor,
-                   {.holder = holder(), .incarnation = m_options.incarnation, .policy = m_options.holdings, .link = text(m_options.link)})
+        , m_ledger(
+              m_executor,
+              {.holder = holder(), .incarnation = m_options.incarnation, .policy = m_options.holdings, .linkAddress = text(m_options.link)})
         , m_checkpoints(m_store, m_ledger)
         , m_keeper(m_executor, m_store, m_ledger, {.routers = countedRouters()})
         , m_gateway(m_executor, gatewayOptions(), m_ledger, m_metrics)
@@ -177,7 +178,7 @@
     static Options applied(Options options)
     {
         const Mechanisms &on = options.mechanisms;
-        options.holdings.fewKeepers = on.keepers;
+        options.holdings.limitHolders = on.keepers;
         options.holdings.loans = on.loans;
         options.gateway.board.prefixAffinity = on.favourites;
         options.gateway.board.outlierEjection = on.ejection;
@@ -465,8 +466,8 @@
     Relayed m_store;
     RouterRegistry<Relayed> m_registry;
     TeamLedger m_ledger;
-    CheckpointKeeper<Relayed> m_checkpoints;
-    LedgerKeeper<Relayed> m_keeper;
+    CheckpointWriter<Relayed> m_checkpoints;
+    LedgerSynchronizer<Relayed> m_keeper;
     Gateway m_gateway;
     LoadServer m_loadServer;
     LoadLink m_loads;
--- a/src/measure/bookrouter.cpp
+++ b/src/measure/bookrouter.cpp
@@ -38,7 +38,7 @@
     const TeamHolding::Options options{.team = teamName(budget), .holder = m_holder, .incarnation = m_incarnation};
     auto holding = std::make_unique<TeamHolding>(options, m_checkpoint);
     holding->setPrepaid(statement);
-    holding->setKeeps(keeps, keepers);
+    holding->setAssigned(keeps, keepers);
     holding->servingSince(m_store.now);
     return *(m_holdings[budget] = std::move(holding));
 }
@@ -51,7 +51,7 @@
         if (const auto *made = std::get_if<Reservation>(&result)) {
             return *made;
         }
-        if (written || std::get<HoldingRefusal>(result) != HoldingRefusal::Paced || !m_store.reachable) {
+        if (written || std::get<HoldingRefusal>(result) != HoldingRefusal::CommitLimited || !m_store.reachable) {
             break;
         }
         held.addWaiting(bound);
@@ -67,7 +67,7 @@
     const Tokens wanted = held.unused() > 0 ? std::min(asked, held.unused()) : asked;
     if (const std::optional<Reservation> made = reserve(budget, wanted)) {
         held.lendReserved(*made);
-        held.noteRequest(wanted, m_store.now);
+        held.recordDemand(wanted, m_store.now);
         return wanted;
     }
     return held.lend(asked, m_store.now);
@@ -79,13 +79,13 @@
         return;
     }
     for (const auto &[budget, holding] : m_holdings) {
-        if (holding->wantsRead(m_store.now)) {
+        if (holding->needsRead(m_store.now)) {
             const RowsRead rows = m_store.rows.read(s_budgetTable, teamName(budget), m_store.time);
             ++m_store.use.reads;
             for (const StoredRow &row : rows.rows) {
                 m_store.use.bytes += s_rowOverhead + encodedSize(row.value.size());
             }
-            holding->loaded(rows, m_store.now);
+            holding->handleRead(rows, m_store.now);
         }
         const std::optional<Instant> due = holding->nextFlush(routers, m_store.now);
         if (due && *due <= m_store.now) {
@@ -128,8 +128,8 @@
 
 void BookRouter::writeCheckpoint()
 {
-    if (m_checkpoint.wantsRead()) {
-        m_checkpoint.loaded(m_store.rows.read(s_checkpointTable, m_holder, m_store.time));
+    if (m_checkpoint.needsRead()) {
+        m_checkpoint.handleRead(m_store.rows.read(s_checkpointTable, m_holder, m_store.time));
     }
     m_lastCheckpoint = m_store.now;
     HolderCheckpoint::Commitments commitments;
@@ -141,12 +141,12 @@
         recovered = recovered && holding->recovered();
     }
     if (recovered) {
-        m_checkpoint.forgetEarlier();
+        m_checkpoint.discardPredecessors();
     }
-    if (const std::optional<RowTransaction> transaction = m_checkpoint.plan(commitments, m_store.now)) {
+    if (const std::optional<RowTransaction> transaction = m_checkpoint.planWrite(commitments, m_store.now)) {
         ++m_store.use.checkpoints;
         addBytes(*transaction);
-        m_checkpoint.answered(*m_store.rows.transact(*transaction, m_store.time), m_store.now);
+        m_checkpoint.writeAnswered(*m_store.rows.transact(*transaction, m_store.time), m_store.now);
     }
 }
 
--- a/src/tests/patiencetest.cpp
+++ b/src/tests/patiencetest.cpp
@@ -20,16 +20,16 @@
 
 BOOST_AUTO_TEST_SUITE(PatienceTest)
 
-// The store takes a write and its answer gets lost. Requests wait for it: it is asked for again after a fifth of a second, not after one
-// and a half.
-BOOST_AUTO_TEST_CASE(aQuickPeerIsAskedAgainSoon)
+// The store takes a write and the answer is lost while requests wait for it. With a fast peer the call is repeated after 200 ms, not after
+// 1.5 s.
+BOOST_AUTO_TEST_CASE(aFastPeerIsAskedAgainSoon)
 {
     Patience meter = patience();
     meter.answered(ms(5));
     BOOST_TEST((meter.current() == ms(200)));
 }
 
-// The store is slow. Its answers are waited for, or every call would be sent again and slow it further.
+// The store is slow. The timeout adapts to it; otherwise every call would be repeated and slow it further.
 BOOST_AUTO_TEST_CASE(aSlowPeerIsWaitedFor)
 {
     Patience meter = patience();
@@ -41,7 +41,7 @@
     BOOST_TEST((meter.current() == ms(1500)));
 }
 
-BOOST_AUTO_TEST_CASE(eachMissDoublesTheWait)
+BOOST_AUTO_TEST_CASE(eachTimeoutDoublesTheWait)
 {
     Patience meter = patience();
     meter.missed();
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -1,7 +1,7 @@
 #include "budget/teamledger.h"
 
-#include "budget/checkpointkeeper.h"
-#include "budget/ledgerkeeper.h"
+#include "budget/checkpointwriter.h"
+#include "budget/ledgersynchronizer.h"
 #include "store/memoryrows.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -16,7 +16,7 @@
 
 constexpr Tokens s_prepaid = 100'000;
 
-/// A store in memory that answers at once, or not at all.
+/// An in-memory store that answers at once, or not at all.
 struct Store {
     asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
     {
@@ -44,22 +44,22 @@
     bool answers = true;
 };
 
-/// One router's ledger over the store, and peers whose loans the test decides.
+/// One router's ledger with a store, and peers whose loans the test determines.
 struct Scene {
     explicit Scene(std::vector<std::string> routers = {})
-        // Nothing here waits for real time to run out.
+        // The waits are long, so that no test depends on real time.
         : ledger(loop.get_executor(),
                  {.holder = "10.0.0.1:80",
                   .incarnation = "a",
-                  .link = "10.0.0.1:7340",
-                  .longestLoanWait = std::chrono::seconds(30),
-                  .longestWait = std::chrono::seconds(30)})
+                  .linkAddress = "10.0.0.1:7340",
+                  .maxLoanWait = std::chrono::seconds(30),
+                  .maxWait = std::chrono::seconds(30)})
         , checkpoints(store, ledger)
-        , keeper(loop.get_executor(), store, ledger, {.routers = [] {
-                     return std::size_t{1};
-                 }})
+        , synchronizer(loop.get_executor(), store, ledger, {.routers = [] {
+                           return std::size_t{1};
+                       }})
     {
-        ledger.onShortage(
+        ledger.setPeerFunctions(
             [this](std::string, Tokens asked, std::vector<std::string> lenders) -> asio::awaitable<TeamLedger::Loan> {
                 askedOf = std::move(lenders);
                 const Tokens lent = std::min(asked, lendable);
@@ -75,11 +75,11 @@
         ledger.setPrepaid("team", {.prepaid = s_prepaid, .planVersion = 1});
         asio::co_spawn(loop, checkpoints.run(), asio::detached);
         runUntil([this] {
-            return ledger.checkpoint().sealed();
+            return ledger.checkpoint().predecessorsFenced();
         });
     }
 
-    /// Lets the loop run until something is so.
+    /// Runs the loop until the condition holds.
     template<typename Condition>
     void runUntil(Condition condition)
     {
@@ -116,16 +116,16 @@
     asio::io_context loop;
     Store store;
     TeamLedger ledger;
-    CheckpointKeeper<Store> checkpoints;
-    LedgerKeeper<Store> keeper;
+    CheckpointWriter<Store> checkpoints;
+    LedgerSynchronizer<Store> synchronizer;
     Tokens lendable = 0;
     std::vector<std::string> askedOf;
     std::string givenTo;
     Tokens given = 0;
 };
 
-/// Routers that rank before this one for the team, so that it keeps nothing.
-std::vector<std::string> routersWithoutThis()
+/// Routers that rank before this one for the team, so that it is not an assigned holder.
+std::vector<std::string> otherRoutersOnly()
 {
     return {"10.0.0.7:7340", "10.0.0.8:7340", "10.0.0.9:7340"};
 }
@@ -134,7 +134,7 @@
 
 BOOST_AUTO_TEST_SUITE(TeamLedgerTest)
 
-BOOST_AUTO_TEST_CASE(aKeeperServesOutOfItsPart)
+BOOST_AUTO_TEST_CASE(anAssignedHolderServesFromItsPart)
 {
     Scene scene;
     BOOST_TEST(scene.reserve(5000).ok());
@@ -142,11 +142,11 @@
     BOOST_TEST(scene.askedOf.empty());
 }
 
-// A router that keeps no part of a small budget serves its team all the same: it borrows what the request needs from those that do, draws
-// nothing from the store, and gives back what the request did not use.
+// A router that is not an assigned holder of a small budget still serves its team: it borrows what the request needs, draws nothing from
+// the pool, and returns what the request did not use.
 BOOST_AUTO_TEST_CASE(othersBorrowForEachRequest)
 {
-    Scene scene(routersWithoutThis());
+    Scene scene(otherRoutersOnly());
     scene.lendable = 50'000;
     const auto made = scene.reserve(5000);
     BOOST_REQUIRE(made.ok());
@@ -162,10 +162,10 @@
     BOOST_TEST(rows.rows.empty());
 }
 
-// The budget is used up. The caller is told so at once, and the next one without asking anybody again.
+// The budget is exhausted. The caller is told so at once, and so is the next one, without another loan request.
 BOOST_AUTO_TEST_CASE(anExhaustedBudgetIsRefusedAtOnce)
 {
-    Scene scene(routersWithoutThis());
+    Scene scene(otherRoutersOnly());
     scene.store.answers = false;
     const auto refused = scene.reserve(5000);
     BOOST_REQUIRE(!refused.ok());
@@ -175,11 +175,11 @@
     BOOST_TEST(scene.askedOf.empty());
 }
 
-// A budget is used up, and several requests of its team wait at a router that keeps no part of it. The lenders have nothing of what all of
-// them need together. Each caller is told that the budget is used up; told that it is out of reach for the moment, they came back in vain.
+// Guards against callers that retry in vain. Several requests wait at a router that is not an assigned holder, and the lenders have nothing
+// of their sum. Each caller is told that the budget is exhausted, not that it is unreachable.
 BOOST_AUTO_TEST_CASE(allWhoWaitForAUsedUpBudgetAreToldSo)
 {
-    Scene scene(routersWithoutThis());
+    Scene scene(otherRoutersOnly());
     scene.store.answers = false;
     std::vector<absl::StatusOr<Reservation>> results;
     for (const Tokens bound : {5000, 800, 2000}) {
@@ -196,7 +196,8 @@
     }
 }
 
-// A keeper lends to a peer as it serves its own callers: the loan waits for the checkpoint that covers it, and counts as spent.
+// An assigned holder lends tokens the same way as it serves its own callers: the loan waits for the checkpoint that covers it, and counts
+// as spent.
 BOOST_AUTO_TEST_CASE(aLoanIsCoveredByACheckpoint)
 {
     Scene scene;
@@ -204,12 +205,12 @@
     BOOST_TEST(loan.tokens == 6000);
     const RowsRead rows = scene.store.rows.read(s_checkpointTable, "10.0.0.1:80", 0);
     BOOST_REQUIRE(rows.rows.size() == 1);
-    BOOST_TEST(checkpointRowFrom(rows.rows.front()).own.teams.at("team").most(0) >= 6000);
+    BOOST_TEST(checkpointRowFrom(rows.rows.front()).own.teams.at("team").limitAfter(0) >= 6000);
 }
 
-// All routers have restarted and the demand of a team is at one of them. It asks for more than any other has; each gives all that it has,
-// as soon as its checkpoint covers it, instead of the little that it may commit at that moment. Requests were refused for three seconds
-// with 200,000 tokens left.
+// Guards against small loans after a restart of all routers, when the demand of a team is at one of them. A peer asked for more than it
+// holds lends all of that as soon as a checkpoint covers it, not only the little that it may commit at that moment. Requests were refused
+// for three seconds with 200,000 tokens left.
 BOOST_AUTO_TEST_CASE(aLenderGivesAllItHas)
 {
     Scene scene;
@@ -218,9 +219,9 @@
     BOOST_TEST(loan.tokens >= s_prepaid / 4);
 }
 
-// Guards against a keeper that takes asks which it cannot serve for demand: each borrower repeats them at every keeper, the keepers promise
-// to commit for all of them, and that much counts as spent when one dies.
-BOOST_AUTO_TEST_CASE(whatIsNotLentIsNoDemand)
+// Guards against loan requests that a lender cannot serve and counts as demand. Borrowers repeat them at every assigned holder; each would
+// write a commitment for all of them, and that much counts as spent when it dies.
+BOOST_AUTO_TEST_CASE(tokensNotLentAreNoDemand)
 {
     Scene scene;
     BOOST_TEST(scene.reserve(1).ok());
