--- a/src/gateway/attemptend.h
+++ b/src/gateway/attemptoutcome.h
@@ -3,7 +3,7 @@
 namespace bamboohold {
 
 /// How one attempt of a request at a target ended.
-enum class AttemptEnd {
+enum class AttemptOutcome {
     /// The caller has the whole answer.
     Delivered,
     /// The target did not run it, or was never reached.
@@ -11,9 +11,9 @@
     /// The target ran it and failed; the failure can be passed on.
     Failed,
     /// It may have run; nothing usable came, or the stream broke off.
-    Broken,
+    Incomplete,
     /// The caller left.
-    CallerLeft,
+    CallerDisconnected,
     /// The caller's or the route's time is over.
     TimedOut,
 };
--- a/src/gateway/requestcost.cpp
+++ b/src/gateway/requestcost.cpp
@@ -19,13 +19,13 @@
         return terms.bound();
     }
     const auto events = static_cast<Tokens>(use.events);
-    if (use.end == AttemptEnd::Delivered && use.streamed) {
+    if (use.end == AttemptOutcome::Delivered && use.streamed) {
         return terms.promptTokens + events * use.tokensPerEvent;
     }
-    if (use.end == AttemptEnd::Failed) {
+    if (use.end == AttemptOutcome::Failed) {
         return terms.promptTokens;
     }
-    if (use.end == AttemptEnd::CallerLeft) {
+    if (use.end == AttemptOutcome::CallerDisconnected) {
         return terms.promptTokens + (events + s_unseenEvents) * use.tokensPerEvent;
     }
     return terms.bound();
--- a/src/gateway/requestcost.h
+++ b/src/gateway/requestcost.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/attemptend.h"
+#include "gateway/attemptoutcome.h"
 #include "gateway/callercodec.h"
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 /// What is known of a request's end as far as it decides what its team pays.
 struct RequestUse {
-    AttemptEnd end = AttemptEnd::NotRun;
+    AttemptOutcome end = AttemptOutcome::NotRun;
     /// Attempts that may have run it.
     unsigned ran = 0;
     /// An attempt other than the last broke off, so that nobody counted what it generated.
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -86,12 +86,12 @@
             m_call->cancel();
         }
     });
-    const AttemptEnd end = co_await attempts();
-    settle(end);
+    const AttemptOutcome outcome = co_await attempts();
+    settle(outcome);
     if (m_onTrial && m_ran == 0) {
         m_gateway.m_guard.trialNotRun(fingerprints());
     }
-    co_await finish(end);
+    co_await finish(outcome);
 }
 
 absl::Status RequestRun::admit()
@@ -157,24 +157,24 @@
     co_return made.status();
 }
 
-asio::awaitable<AttemptEnd> RequestRun::attempts()
+asio::awaitable<AttemptOutcome> RequestRun::attempts()
 {
-    AttemptEnd end = AttemptEnd::NotRun;
+    AttemptOutcome outcome = AttemptOutcome::NotRun;
     m_lastProblem = "no target";
     do {
         if (m_callerLeft || m_exchange.hungUp()) {
             m_callerLeft = true;
-            co_return m_ran == 0 ? AttemptEnd::NotRun : AttemptEnd::CallerLeft;
+            co_return m_ran == 0 ? AttemptOutcome::NotRun : AttemptOutcome::CallerDisconnected;
         }
         const PlacementWish wish{
             .service = m_serviceName, .prompt = m_terms.prompt, .except = m_tried, .draw = stableHash(m_terms.requestId) + m_tried.size()};
         const std::optional<Placement> placement =
             co_await m_gateway.m_chooser.place(wish, m_service != nullptr ? m_service->coldRequestsPerSecond : 0);
         if (m_callerLeft) {
-            co_return m_ran == 0 ? AttemptEnd::NotRun : AttemptEnd::CallerLeft;
+            co_return m_ran == 0 ? AttemptOutcome::NotRun : AttemptOutcome::CallerDisconnected;
         }
         if (!placement) {
-            co_return end;
+            co_return outcome;
         }
         const Instant now = steadyNow();
         m_tried.push_back(placement->incarnation);
@@ -187,10 +187,10 @@
         m_gateway.m_board.sent(placement->incarnation, m_terms.prompt, placement->uncached, now);
         m_gateway.m_chooser.countSent(placement->incarnation);
         m_gateway.m_chooser.tellLoad(placement->incarnation);
-        end = co_await attempt(*placement);
-        noteAttemptEnd(end);
-    } while (mayTryAgain(end, steadyNow()));
-    co_return end;
+        outcome = co_await attempt(*placement);
+        noteAttemptEnd(outcome);
+    } while (mayTryAgain(outcome, steadyNow()));
+    co_return outcome;
 }
 
 void RequestRun::leaveFormerLife(Instant now)
@@ -211,39 +211,39 @@
     }
 }
 
-void RequestRun::noteAttemptEnd(AttemptEnd end)
+void RequestRun::noteAttemptEnd(AttemptOutcome outcome)
 {
     noteFirstByte();
     m_gateway.m_board.done(m_placement->incarnation, m_sign, steadyNow());
     m_gateway.m_chooser.tellLoad(m_placement->incarnation);
-    if (end != AttemptEnd::NotRun) {
+    if (outcome != AttemptOutcome::NotRun) {
         ++m_ran;
     }
-    noteBreakOff(end);
+    noteBreakOff(outcome);
     // A failure that a target answers may come before it begins to run the request: it proves nothing.
-    if (end == AttemptEnd::Delivered && m_succeeded) {
+    if (outcome == AttemptOutcome::Delivered && m_succeeded) {
         noteAnswered();
     }
-    if (end != AttemptEnd::Delivered && end != AttemptEnd::CallerLeft) {
+    if (outcome != AttemptOutcome::Delivered && outcome != AttemptOutcome::CallerDisconnected) {
         logLine(Severity::Info,
                 "attempt.ended",
                 {{"request", m_terms.requestId},
                  {"fingerprint", fingerprints().front().text()},
                  {"target", m_placement->incarnation},
-                 {"may_have_run", static_cast<std::int64_t>(end != AttemptEnd::NotRun)},
+                 {"may_have_run", static_cast<std::int64_t>(outcome != AttemptOutcome::NotRun)},
                  {"problem", m_lastProblem},
                  {"events", static_cast<std::int64_t>(m_events.events())},
                  {"after_ms", inMs(steadyNow() - m_attemptAt)}});
     }
 }
 
-bool RequestRun::mayTryAgain(AttemptEnd end, Instant now)
+bool RequestRun::mayTryAgain(AttemptOutcome outcome, Instant now)
 {
-    const bool open = end == AttemptEnd::NotRun || end == AttemptEnd::Failed || end == AttemptEnd::Broken;
+    const bool open = outcome == AttemptOutcome::NotRun || outcome == AttemptOutcome::Failed || outcome == AttemptOutcome::Incomplete;
     if (!open || m_callerLeft || m_tried.size() >= s_maxTries || m_deadline - now < s_leastTime) {
         return false;
     }
-    const bool ran = end != AttemptEnd::NotRun;
+    const bool ran = outcome != AttemptOutcome::NotRun;
     if (ran && (!m_route->repeatable() || m_ran >= m_route->maxAttempts)) {
         return false;
     }
@@ -256,7 +256,7 @@
         m_lastProblem.append("; retry budget used up");
         return false;
     }
-    if (end == AttemptEnd::Broken) {
+    if (outcome == AttemptOutcome::Incomplete) {
         m_uncounted = true;
         m_events.restart();
     }
@@ -297,41 +297,41 @@
     return options;
 }
 
-AttemptEnd RequestRun::endOf(const absl::Status &status) const
+AttemptOutcome RequestRun::endOf(const absl::Status &status) const
 {
     if (toFailure(status).ran == Ran::No) {
-        return AttemptEnd::NotRun;
+        return AttemptOutcome::NotRun;
     }
     if (m_callerLeft) {
-        return AttemptEnd::CallerLeft;
+        return AttemptOutcome::CallerDisconnected;
     }
-    return steadyNow() >= m_deadline ? AttemptEnd::TimedOut : AttemptEnd::Broken;
+    return steadyNow() >= m_deadline ? AttemptOutcome::TimedOut : AttemptOutcome::Incomplete;
 }
 
-asio::awaitable<AttemptEnd> RequestRun::attempt(const Placement &placement)
+asio::awaitable<AttemptOutcome> RequestRun::attempt(const Placement &placement)
 {
     HttpCallOptions options = callOptions(placement, m_attemptAt);
     const std::shared_ptr<HttpClient> client = m_gateway.client(placement);
     HttpStreamCall call(*client, std::move(options));
     m_call = &call;
     const absl::Status started = co_await call.start();
-    AttemptEnd end = AttemptEnd::Broken;
+    AttemptOutcome outcome = AttemptOutcome::Incomplete;
     if (started.ok()) {
         ++m_sent;
-        end = co_await takeAnswer(call);
+        outcome = co_await takeAnswer(call);
     } else {
-        end = endOf(started);
+        outcome = endOf(started);
         m_lastProblem = std::string(started.message());
-        m_sent += end == AttemptEnd::NotRun ? 0 : 1;
+        m_sent += outcome == AttemptOutcome::NotRun ? 0 : 1;
         m_brokeOff = !call.cancelled();
         const bool own = m_callerLeft || toFailure(started).kind == FailureKind::Cancelled;
         m_sign = own ? TargetSign::Neutral : TargetSign::Broken;
     }
     m_call = nullptr;
-    co_return end;
+    co_return outcome;
 }
 
-asio::awaitable<AttemptEnd> RequestRun::takeAnswer(HttpStreamCall &call)
+asio::awaitable<AttemptOutcome> RequestRun::takeAnswer(HttpStreamCall &call)
 {
     const AnswerTerms answer = m_gateway.m_options.codec.readAnswer(call.status(), call.headers());
     const unsigned status = call.status();
@@ -339,26 +339,26 @@
     if (answer.notRun) {
         m_lastProblem = absl::StrCat("declined with ", status);
         m_sign = answer.otherProcess ? TargetSign::Neutral : TargetSign::Declined;
-        co_return AttemptEnd::NotRun;
+        co_return AttemptOutcome::NotRun;
     }
     const bool success = status >= s_firstSuccess && status < s_firstRedirect;
     m_succeeded = success;
     if (answer.altered || (success && !answer.sealed)) {
         m_lastProblem = answer.altered ? "the body is encoded" : "no seal";
         m_sign = TargetSign::Failing;
-        co_return AttemptEnd::Broken;
+        co_return AttemptOutcome::Incomplete;
     }
     const bool stream = success && m_route->repeatability == Repeatability::Stream;
-    AttemptEnd end = AttemptEnd::Broken;
+    AttemptOutcome outcome = AttemptOutcome::Incomplete;
     if (stream) {
-        end = co_await takeStream(call);
+        outcome = co_await takeStream(call);
     } else {
-        end = co_await takeWhole(call);
+        outcome = co_await takeWhole(call);
     }
-    co_return end;
+    co_return outcome;
 }
 
-AttemptEnd RequestRun::answerBrokeOff(const absl::Status &status)
+AttemptOutcome RequestRun::answerBrokeOff(const absl::Status &status)
 {
     m_lastProblem = std::string(status.message());
     m_sign = m_callerLeft ? TargetSign::Neutral : TargetSign::Failing;
@@ -366,7 +366,7 @@
     return endOf(status);
 }
 
-asio::awaitable<AttemptEnd> RequestRun::takeWhole(HttpStreamCall &call)
+asio::awaitable<AttemptOutcome> RequestRun::takeWhole(HttpStreamCall &call)
 {
     HeldAnswer answer{.status = call.status(), .headers = endToEndHeaders(call.headers())};
     bool more = true;
@@ -374,27 +374,27 @@
         call.setTimeout(clampedWait(m_deadline - steadyNow()));
         absl::StatusOr<std::string> piece = co_await call.readSome();
         if (!piece.ok()) {
-            const AttemptEnd end = answerBrokeOff(piece.status());
-            co_return end;
+            const AttemptOutcome outcome = answerBrokeOff(piece.status());
+            co_return outcome;
         }
         noteFirstByte();
         more = !piece->empty();
         answer.body.append(*piece);
         if (answer.body.size() > s_heldBytes && more) {
             m_lastProblem = "the answer is longer than may be held";
-            co_return AttemptEnd::Broken;
+            co_return AttemptOutcome::Incomplete;
         }
     }
     if (answer.status >= s_firstServerError) {
         m_lastProblem = absl::StrCat("the target answered ", answer.status);
         m_sign = TargetSign::Failing;
         m_failure = std::move(answer);
-        co_return AttemptEnd::Failed;
+        co_return AttemptOutcome::Failed;
     }
     m_sign = TargetSign::Sound;
     m_firstByte = steadyNow();
     co_await m_exchange.respond(answer.status, "", std::move(answer.body), std::move(answer.headers));
-    co_return AttemptEnd::Delivered;
+    co_return AttemptOutcome::Delivered;
 }
 
 asio::awaitable<bool> RequestRun::passOn(std::string_view events)
@@ -416,7 +416,7 @@
     m_callerLeft = m_callerLeft || !begun;
 }
 
-asio::awaitable<AttemptEnd> RequestRun::takeStream(HttpStreamCall &call)
+asio::awaitable<AttemptOutcome> RequestRun::takeStream(HttpStreamCall &call)
 {
     const Duration silence = longestSilence(*m_route);
     bool more = true;
@@ -426,8 +426,8 @@
         call.setTimeout(clampedWait(first ? firstByteTime(now) : std::min(m_deadline - now, silence)));
         const absl::StatusOr<std::string> piece = co_await call.readSome();
         if (!piece.ok()) {
-            const AttemptEnd end = answerBrokeOff(piece.status());
-            co_return end;
+            const AttemptOutcome outcome = answerBrokeOff(piece.status());
+            co_return outcome;
         }
         noteFirstByte();
         first = false;
@@ -440,22 +440,22 @@
         const bool taken = co_await passOn(events);
         if (!taken || m_callerLeft) {
             call.cancel();
-            co_return AttemptEnd::CallerLeft;
+            co_return AttemptOutcome::CallerDisconnected;
         }
     }
     m_sign = TargetSign::Sound;
     co_await beginStream(call);
     co_await m_exchange.endStream();
-    co_return AttemptEnd::Delivered;
+    co_return AttemptOutcome::Delivered;
 }
 
-void RequestRun::settle(AttemptEnd end)
+void RequestRun::settle(AttemptOutcome outcome)
 {
     if (!m_reservation) {
         return;
     }
     const Tokens used = usedTokens(m_terms,
-                                   {.end = end,
+                                   {.end = outcome,
                                     .ran = m_ran,
                                     .uncounted = m_uncounted,
                                     .streamed = m_streaming,
@@ -465,14 +465,14 @@
     m_reservation.reset();
 }
 
-asio::awaitable<void> RequestRun::finish(AttemptEnd end)
+asio::awaitable<void> RequestRun::finish(AttemptOutcome outcome)
 {
     const std::string ran = absl::StrCat(m_ran, " of ", m_tried.size(), " attempts may have run; ", m_lastProblem);
-    if (end == AttemptEnd::Delivered) {
+    if (outcome == AttemptOutcome::Delivered) {
         logEnd("answered", "");
         co_return;
     }
-    if (end == AttemptEnd::CallerLeft || m_callerLeft) {
+    if (outcome == AttemptOutcome::CallerDisconnected || m_callerLeft) {
         logEnd("caller_left", ran);
         m_exchange.cut();
         co_return;
@@ -496,7 +496,7 @@
         const std::optional<Instant> opens = m_gateway.m_board.opensAt(m_serviceName, now);
         failure.retryAfterMs = opens ? inMs(*opens - now) + 1 : s_retryAfterOverloadMs;
         failure.detail.append(opens ? "; all targets rest, or admit no more" : "");
-    } else if (end == AttemptEnd::TimedOut) {
+    } else if (outcome == AttemptOutcome::TimedOut) {
         failure.kind = FailureKind::DeadlineExceeded;
     }
     co_await refuse(failure);
@@ -549,7 +549,7 @@
     return toStatus({.kind = FailureKind::Quarantined, .detail = "targets crashed under this request", .retryAfterMs = inMs(*held)});
 }
 
-void RequestRun::noteBreakOff(AttemptEnd end)
+void RequestRun::noteBreakOff(AttemptOutcome outcome)
 {
     if (!m_gateway.m_options.quarantines) {
         return;
@@ -557,10 +557,10 @@
     // A caller that leaves before the first byte leaves nothing behind whose end would tell of a crash, so the target is asked then, too.
     // Not by a host that is short of time: its callers leave because of that, many a second, and the questions would take what time it has.
     const bool inTime = m_gateway.m_shedder.share() == 0;
-    const bool leftEarly = inTime && end == AttemptEnd::CallerLeft && !m_firstByte;
-    if (leftEarly || (m_brokeOff && end != AttemptEnd::NotRun && end != AttemptEnd::TimedOut)) {
+    const bool leftEarly = inTime && outcome == AttemptOutcome::CallerDisconnected && !m_firstByte;
+    if (leftEarly || (m_brokeOff && outcome != AttemptOutcome::NotRun && outcome != AttemptOutcome::TimedOut)) {
         m_gateway.m_guard.brokeOff(m_placement->incarnation, m_placement->address, fingerprints());
-    } else if (end == AttemptEnd::CallerLeft) {
+    } else if (outcome == AttemptOutcome::CallerDisconnected) {
         m_gateway.m_guard.left(m_placement->incarnation, m_placement->address, fingerprints());
     }
 }
--- a/src/gateway/requestrun.h
+++ b/src/gateway/requestrun.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/attemptend.h"
+#include "gateway/attemptoutcome.h"
 #include "gateway/eventstream.h"
 #include "gateway/gateway.h"
 #include "quarantine/requestfingerprint.h"
@@ -48,26 +48,26 @@
     /// The refusal of a request that is held back; OK for any other one, and for a copy on trial.
     absl::Status heldBack();
     /// Tells what may have been under way when a target crashed.
-    void noteBreakOff(AttemptEnd end);
+    void noteBreakOff(AttemptOutcome outcome);
     void noteAnswered();
     asio::awaitable<absl::Status> reserve();
-    asio::awaitable<AttemptEnd> attempts();
-    asio::awaitable<AttemptEnd> attempt(const Placement &placement);
-    asio::awaitable<AttemptEnd> takeAnswer(HttpStreamCall &call);
-    asio::awaitable<AttemptEnd> takeWhole(HttpStreamCall &call);
-    asio::awaitable<AttemptEnd> takeStream(HttpStreamCall &call);
+    asio::awaitable<AttemptOutcome> attempts();
+    asio::awaitable<AttemptOutcome> attempt(const Placement &placement);
+    asio::awaitable<AttemptOutcome> takeAnswer(HttpStreamCall &call);
+    asio::awaitable<AttemptOutcome> takeWhole(HttpStreamCall &call);
+    asio::awaitable<AttemptOutcome> takeStream(HttpStreamCall &call);
     asio::awaitable<void> beginStream(HttpStreamCall &call);
     asio::awaitable<bool> passOn(std::string_view events);
-    asio::awaitable<void> finish(AttemptEnd end);
+    asio::awaitable<void> finish(AttemptOutcome outcome);
     asio::awaitable<void> refuse(const Failure &failure);
-    AttemptEnd endOf(const absl::Status &status) const;
-    AttemptEnd answerBrokeOff(const absl::Status &status);
-    bool mayTryAgain(AttemptEnd end, Instant now);
+    AttemptOutcome endOf(const absl::Status &status) const;
+    AttemptOutcome answerBrokeOff(const absl::Status &status);
+    bool mayTryAgain(AttemptOutcome outcome, Instant now);
     HttpCallOptions callOptions(const Placement &placement, Instant now);
     Duration firstByteTime(Instant now) const;
-    void noteAttemptEnd(AttemptEnd end);
+    void noteAttemptEnd(AttemptOutcome outcome);
     void noteFirstByte();
-    void settle(AttemptEnd end);
+    void settle(AttemptOutcome outcome);
     void logEnd(std::string_view outcome, std::string_view detail);
     /// What tells this request from others that come again. Made when it is first needed: a digest of a long body takes a small host
     /// milliseconds.
--- a/src/measure/bookfleet.cpp
+++ b/src/measure/bookfleet.cpp
@@ -133,7 +133,7 @@
                          .budget = budget,
                          .reservation = *reservation,
                          .terms = terms,
-                         .use = {.end = AttemptEnd::Delivered, .ran = 1, .streamed = true, .tokensPerEvent = s_tokensPerEvent},
+                         .use = {.end = AttemptOutcome::Delivered, .ran = 1, .streamed = true, .tokensPerEvent = s_tokensPerEvent},
                          .begun = m_store.now,
                          .end = m_store.now + std::chrono::milliseconds(100 + 12 * events),
                          .events = static_cast<std::uint64_t>(events)});
@@ -148,7 +148,7 @@
     }
     const bool left = m_options.cause == Cause::CallerLeft;
     if ((left || m_options.cause == Cause::BrokenOff) && drawn(s_disturbedShare)) {
-        running.use.end = left ? AttemptEnd::CallerLeft : AttemptEnd::Broken;
+        running.use.end = left ? AttemptOutcome::CallerDisconnected : AttemptOutcome::Incomplete;
         running.events /= 2;
         running.end = running.begun + (running.end - running.begun) / 2;
     }
--- a/src/tests/requestcosttest.cpp
+++ b/src/tests/requestcosttest.cpp
@@ -19,19 +19,19 @@
         RequestUse use;
         Tokens used = 0;
     };
-    const RequestUse streamed{.end = AttemptEnd::Delivered, .ran = 1, .streamed = true, .events = 7, .tokensPerEvent = 3};
+    const RequestUse streamed{.end = AttemptOutcome::Delivered, .ran = 1, .streamed = true, .events = 7, .tokensPerEvent = 3};
     RequestUse again = streamed;
     again.uncounted = true;
-    for (const Case &item : {Case{{.end = AttemptEnd::NotRun}, 0},
-                             Case{{.end = AttemptEnd::CallerLeft, .ran = 0}, 0},
+    for (const Case &item : {Case{{.end = AttemptOutcome::NotRun}, 0},
+                             Case{{.end = AttemptOutcome::CallerDisconnected, .ran = 0}, 0},
                              Case{streamed, 121},
                              Case{again, s_worstCase},
-                             Case{{.end = AttemptEnd::Delivered, .ran = 1}, s_worstCase},
-                             Case{{.end = AttemptEnd::Failed, .ran = 1}, 100},
-                             Case{{.end = AttemptEnd::Failed, .ran = 2, .uncounted = true}, s_worstCase},
-                             Case{{.end = AttemptEnd::Broken, .ran = 1, .streamed = true, .events = 7}, s_worstCase},
-                             Case{{.end = AttemptEnd::TimedOut, .ran = 1}, s_worstCase},
-                             Case{{.end = AttemptEnd::NotRun, .ran = 1}, s_worstCase}}) {
+                             Case{{.end = AttemptOutcome::Delivered, .ran = 1}, s_worstCase},
+                             Case{{.end = AttemptOutcome::Failed, .ran = 1}, 100},
+                             Case{{.end = AttemptOutcome::Failed, .ran = 2, .uncounted = true}, s_worstCase},
+                             Case{{.end = AttemptOutcome::Incomplete, .ran = 1, .streamed = true, .events = 7}, s_worstCase},
+                             Case{{.end = AttemptOutcome::TimedOut, .ran = 1}, s_worstCase},
+                             Case{{.end = AttemptOutcome::NotRun, .ran = 1}, s_worstCase}}) {
         BOOST_TEST(usedTokens(s_terms, item.use) == item.used);
     }
 }
@@ -39,7 +39,7 @@
 // A caller leaves in the middle of a stream. The target goes on for a moment: what it generates unseen was generated for the team.
 BOOST_AUTO_TEST_CASE(whatWasGeneratedUnseenCounts)
 {
-    const RequestUse left{.end = AttemptEnd::CallerLeft, .ran = 1, .streamed = true, .events = 10, .tokensPerEvent = 2};
+    const RequestUse left{.end = AttemptOutcome::CallerDisconnected, .ran = 1, .streamed = true, .events = 10, .tokensPerEvent = 2};
     BOOST_TEST(usedTokens(s_terms, left) > 120);
 }
 
