--- a/src/gateway/attemptoutcome.h
+++ b/src/gateway/attemptoutcome.h
@@ -2,19 +2,19 @@
 
 namespace bamboohold {
 
-/// How one attempt of a request at a target ended.
+/// Result of one attempt to have a target serve a request.
 enum class AttemptOutcome {
-    /// The caller has the whole answer.
+    /// The complete response was delivered to the caller.
     Delivered,
-    /// The target did not run it, or was never reached.
+    /// The target declined the request or was never reached, so it did not run.
     NotRun,
-    /// The target ran it and failed; the failure can be passed on.
+    /// The target ran the request and answered with a failure, which can be forwarded to the caller.
     Failed,
-    /// It may have run; nothing usable came, or the stream broke off.
+    /// The request may have run, but no usable response arrived, or the stream was interrupted.
     Incomplete,
-    /// The caller left.
+    /// The caller disconnected.
     CallerDisconnected,
-    /// The caller's or the route's time is over.
+    /// The timeout of the caller or of the route expired.
     TimedOut,
 };
 
