--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -118,7 +118,7 @@
         m_team = team->name;
         m_priority = team->priority.value_or(m_priority);
     }
-    if (m_gateway.m_end && m_arrived + allowanceForEnd(*m_route, m_terms, *m_gateway.m_end - m_arrived) > *m_gateway.m_end) {
+    if (m_gateway.m_end && m_arrived + drainAllowance(*m_route, m_terms, *m_gateway.m_end - m_arrived) > *m_gateway.m_end) {
         return toStatus(
             {.kind = FailureKind::Draining, .detail = "this router ends before the request would", .retryAfterMs = s_retryAfterDrainMs});
     }
@@ -266,7 +266,7 @@
 Duration RequestRun::firstByteTime(Instant now) const
 {
     const bool another = m_route->repeatable() && m_ran + 1 < m_route->maxAttempts;
-    return firstByteLimit(*m_route, m_deadline - now, another);
+    return firstByteTimeout(*m_route, m_deadline - now, another);
 }
 
 HttpCallOptions RequestRun::callOptions(const Placement &placement, Instant now)
@@ -371,7 +371,7 @@
     HeldAnswer answer{.status = call.status(), .headers = endToEndHeaders(call.headers())};
     bool more = true;
     while (more) {
-        call.setTimeout(clampedWait(m_deadline - steadyNow()));
+        call.setTimeout(clampedTimeout(m_deadline - steadyNow()));
         absl::StatusOr<std::string> piece = co_await call.readSome();
         if (!piece.ok()) {
             const AttemptOutcome outcome = answerBrokeOff(piece.status());
@@ -418,12 +418,12 @@
 
 asio::awaitable<AttemptOutcome> RequestRun::takeStream(HttpStreamCall &call)
 {
-    const Duration silence = longestSilence(*m_route);
+    const Duration stallTimeout = streamStallTimeout(*m_route);
     bool more = true;
     bool first = true;
     while (more) {
         const Instant now = steadyNow();
-        call.setTimeout(clampedWait(first ? firstByteTime(now) : std::min(m_deadline - now, silence)));
+        call.setTimeout(clampedTimeout(first ? firstByteTime(now) : std::min(m_deadline - now, stallTimeout)));
         const absl::StatusOr<std::string> piece = co_await call.readSome();
         if (!piece.ok()) {
             const AttemptOutcome outcome = answerBrokeOff(piece.status());
--- a/src/gateway/requesttimes.cpp
+++ b/src/gateway/requesttimes.cpp
@@ -8,53 +8,54 @@
 
 /// What a stream takes, by its token counts, on an engine that is half as slow again as usual. Most streams end well before their output
 /// limit.
-constexpr double s_slowMsPerOutputToken = 7.5;
-constexpr double s_slowMsPerPromptToken = 0.06;
-constexpr Duration s_queueAllowance = std::chrono::milliseconds(300);
+constexpr double s_slowEngineMsPerOutputToken = 7.5;
+constexpr double s_slowEngineMsPerPromptToken = 0.06;
+constexpr Duration s_queueTimeAllowance = std::chrono::milliseconds(300);
 /// Once a router has been ending for a while there is no time left in which a slower stream could finish: twice the usual pace.
-constexpr Duration s_lateInDrain = std::chrono::milliseconds(4000);
-constexpr int s_lateFactor = 2;
+constexpr Duration s_lateDrainThreshold = std::chrono::milliseconds(4000);
+constexpr int s_lateDrainFactor = 2;
 /// Callers abandon a stream after a silence of two seconds or more; a stream that can go on elsewhere must do so well before.
-constexpr Duration s_longestSilence = std::chrono::milliseconds(1200);
-constexpr int s_pausesOfSilence = 4;
+constexpr Duration s_minResumableStallTimeout = std::chrono::milliseconds(1200);
+constexpr int s_stallTimeoutPauses = 4;
 /// A stream that can only go on where it is is given up after this: no caller waits longer for the next event.
-constexpr Duration s_deadSilence = std::chrono::milliseconds(4000);
+constexpr Duration s_nonResumableStallTimeout = std::chrono::milliseconds(4000);
 
 }
 
-Duration clampedWait(Duration wait)
+Duration clampedTimeout(Duration unclamped)
 {
-    return std::max<Duration>(wait, std::chrono::milliseconds(1));
+    return std::max<Duration>(unclamped, std::chrono::milliseconds(1));
 }
 
-Duration longestRun(const Route &route, const RequestTerms &terms)
+Duration maxExpectedDuration(const Route &route, const RequestTerms &terms)
 {
     if (route.repeatability != Repeatability::Stream) {
         return std::min(route.timeout, terms.patience);
     }
-    const double reading = s_slowMsPerPromptToken * static_cast<double>(terms.promptTokens);
-    const double writing = s_slowMsPerOutputToken * static_cast<double>(terms.outputLimit);
-    const auto run = std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(reading + writing)) + s_queueAllowance;
-    return std::min({run, route.timeout, terms.patience});
+    const double promptMs = s_slowEngineMsPerPromptToken * static_cast<double>(terms.promptTokens);
+    const double outputMs = s_slowEngineMsPerOutputToken * static_cast<double>(terms.outputLimit);
+    const auto estimate =
+        std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(promptMs + outputMs)) + s_queueTimeAllowance;
+    return std::min({estimate, route.timeout, terms.patience});
 }
 
-Duration allowanceForEnd(const Route &route, const RequestTerms &terms, Duration untilEnd)
+Duration drainAllowance(const Route &route, const RequestTerms &terms, Duration untilShutdown)
 {
-    const bool late = untilEnd < s_lateInDrain;
-    return late ? s_lateFactor * longestRun(route, terms) : longestRun(route, terms);
+    const bool lateInDrain = untilShutdown < s_lateDrainThreshold;
+    return lateInDrain ? s_lateDrainFactor * maxExpectedDuration(route, terms) : maxExpectedDuration(route, terms);
 }
 
-Duration firstByteLimit(const Route &route, Duration left, bool mayTryElsewhere)
+Duration firstByteTimeout(const Route &route, Duration remaining, bool retryAllowed)
 {
-    if (!mayTryElsewhere) {
-        return clampedWait(left);
+    if (!retryAllowed) {
+        return clampedTimeout(remaining);
     }
-    return clampedWait(std::min(left, std::max(left / 2, route.objective * 13 / 10)));
+    return clampedTimeout(std::min(remaining, std::max(remaining / 2, route.objective * 13 / 10)));
 }
 
-Duration longestSilence(const Route &route)
+Duration streamStallTimeout(const Route &route)
 {
-    return route.resumable ? std::max(s_longestSilence, s_pausesOfSilence * route.pauseObjective) : s_deadSilence;
+    return route.resumable ? std::max(s_minResumableStallTimeout, s_stallTimeoutPauses * route.pauseObjective) : s_nonResumableStallTimeout;
 }
 
 }
--- a/src/gateway/requesttimes.h
+++ b/src/gateway/requesttimes.h
@@ -6,19 +6,19 @@
 namespace bamboohold {
 
 /// How long a request certainly takes no longer than, if all goes as usual.
-Duration longestRun(const Route &route, const RequestTerms &terms);
+Duration maxExpectedDuration(const Route &route, const RequestTerms &terms);
 
 /// The time that it is given in a router which ends at that moment: less and less, the later it came.
-Duration allowanceForEnd(const Route &route, const RequestTerms &terms, Duration untilEnd);
+Duration drainAllowance(const Route &route, const RequestTerms &terms, Duration untilShutdown);
 
 /// How long an attempt may wait for its first byte: all of the time that is left, or, where the request may be tried again elsewhere, so
 /// much that another attempt still has a chance.
-Duration firstByteLimit(const Route &route, Duration left, bool mayTryElsewhere);
+Duration firstByteTimeout(const Route &route, Duration remaining, bool retryAllowed);
 
 /// The longest silence within a stream before it is given up here.
-Duration longestSilence(const Route &route);
+Duration streamStallTimeout(const Route &route);
 
 /// At least a millisecond: a wait of none would never end.
-Duration clampedWait(Duration wait);
+Duration clampedTimeout(Duration unclamped);
 
 }
--- a/src/tests/requesttimestest.cpp
+++ b/src/tests/requesttimestest.cpp
@@ -17,27 +17,27 @@
 {
     const RequestTerms small{.patience = 15 * s_second, .promptTokens = 500, .outputLimit = 100};
     const RequestTerms large{.patience = 15 * s_second, .promptTokens = 9000, .outputLimit = 1000};
-    BOOST_TEST((longestRun(s_stream, small) < 2 * s_second));
-    BOOST_TEST((longestRun(s_stream, large) > 5 * s_second));
-    BOOST_TEST((longestRun(s_stream, {.patience = s_second, .promptTokens = 9000, .outputLimit = 1000}) == s_second));
+    BOOST_TEST((maxExpectedDuration(s_stream, small) < 2 * s_second));
+    BOOST_TEST((maxExpectedDuration(s_stream, large) > 5 * s_second));
+    BOOST_TEST((maxExpectedDuration(s_stream, {.patience = s_second, .promptTokens = 9000, .outputLimit = 1000}) == s_second));
 }
 
 // A router was asked to end. Late in its time only what is certainly over before is still taken.
 BOOST_AUTO_TEST_CASE(anEndingRouterReckonsWithMoreLateInItsTime)
 {
     const RequestTerms terms{.patience = 15 * s_second, .promptTokens = 500, .outputLimit = 100};
-    BOOST_TEST((allowanceForEnd(s_stream, terms, 7 * s_second) == longestRun(s_stream, terms)));
-    BOOST_TEST((allowanceForEnd(s_stream, terms, 2 * s_second) == 2 * longestRun(s_stream, terms)));
+    BOOST_TEST((drainAllowance(s_stream, terms, 7 * s_second) == maxExpectedDuration(s_stream, terms)));
+    BOOST_TEST((drainAllowance(s_stream, terms, 2 * s_second) == 2 * maxExpectedDuration(s_stream, terms)));
 }
 
 // Where another attempt is allowed, the first one must not use up all of the time.
 BOOST_AUTO_TEST_CASE(theFirstAttemptLeavesTimeForAnother)
 {
-    BOOST_TEST((firstByteLimit(s_stream, 6 * s_second, true) == 3 * s_second));
-    BOOST_TEST((firstByteLimit(s_stream, 6 * s_second, false) == 6 * s_second));
+    BOOST_TEST((firstByteTimeout(s_stream, 6 * s_second, true) == 3 * s_second));
+    BOOST_TEST((firstByteTimeout(s_stream, 6 * s_second, false) == 6 * s_second));
     // But no attempt is given less than what callers expect of a whole request.
-    BOOST_TEST((firstByteLimit(s_stream, 2 * s_second, true) == std::chrono::milliseconds(1300)));
-    BOOST_TEST((firstByteLimit(s_stream, Duration::zero(), false) > Duration::zero()));
+    BOOST_TEST((firstByteTimeout(s_stream, 2 * s_second, true) == std::chrono::milliseconds(1300)));
+    BOOST_TEST((firstByteTimeout(s_stream, Duration::zero(), false) > Duration::zero()));
 }
 
 BOOST_AUTO_TEST_CASE(aStreamThatCanGoOnElsewhereWaitsLess)
@@ -45,8 +45,8 @@
     Route resumable = s_stream;
     resumable.resumable = true;
     resumable.pauseObjective = std::chrono::milliseconds(300);
-    BOOST_TEST((longestSilence(resumable) < 2 * s_second));
-    BOOST_TEST((longestSilence(s_stream) > 2 * s_second));
+    BOOST_TEST((streamStallTimeout(resumable) < 2 * s_second));
+    BOOST_TEST((streamStallTimeout(s_stream) > 2 * s_second));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
