--- a/src/gateway/requesttimes.cpp
+++ b/src/gateway/requesttimes.cpp
@@ -6,18 +6,19 @@
 
 namespace {
 
-/// What a stream takes, by its token counts, on an engine that is half as slow again as usual. Most streams end well before their output
-/// limit.
+/// Duration of a stream per token, on an engine that takes 1.5 times as long as usual. Most streams end well before their output limit.
 constexpr double s_slowEngineMsPerOutputToken = 7.5;
 constexpr double s_slowEngineMsPerPromptToken = 0.06;
 constexpr Duration s_queueTimeAllowance = std::chrono::milliseconds(300);
-/// Once a router has been ending for a while there is no time left in which a slower stream could finish: twice the usual pace.
+/// With less than this left of the drain there is no spare time in which a slow stream could finish, so twice the expected duration must
+/// remain.
 constexpr Duration s_lateDrainThreshold = std::chrono::milliseconds(4000);
 constexpr int s_lateDrainFactor = 2;
-/// Callers abandon a stream after a silence of two seconds or more; a stream that can go on elsewhere must do so well before.
+/// Callers abandon a stream after a silence of two seconds or more; a stream that can be resumed at another target must be moved well
+/// before that.
 constexpr Duration s_minResumableStallTimeout = std::chrono::milliseconds(1200);
 constexpr int s_stallTimeoutPauses = 4;
-/// A stream that can only go on where it is is given up after this: no caller waits longer for the next event.
+/// A stream that cannot be resumed elsewhere is abandoned after this silence: no caller waits longer for the next event.
 constexpr Duration s_nonResumableStallTimeout = std::chrono::milliseconds(4000);
 
 }
--- a/src/gateway/requesttimes.h
+++ b/src/gateway/requesttimes.h
@@ -5,20 +5,22 @@
 
 namespace bamboohold {
 
-/// How long a request certainly takes no longer than, if all goes as usual.
+/// Upper estimate of the time that a request takes if its target works normally: the route's timeout, or for streams an estimate from the
+/// token counts. Never longer than the route's timeout or the caller's.
 Duration maxExpectedDuration(const Route &route, const RequestTerms &terms);
 
-/// The time that it is given in a router which ends at that moment: less and less, the later it came.
+/// The time that must remain before a draining router shuts down for a request to be accepted. Late in the drain it is a multiple of
+/// `maxExpectedDuration`.
 Duration drainAllowance(const Route &route, const RequestTerms &terms, Duration untilShutdown);
 
-/// How long an attempt may wait for its first byte: all of the time that is left, or, where the request may be tried again elsewhere, so
-/// much that another attempt still has a chance.
+/// How long an attempt may wait for its first byte: all of the remaining time, or, if the request may be retried at another target, little
+/// enough that a retry can still succeed.
 Duration firstByteTimeout(const Route &route, Duration remaining, bool retryAllowed);
 
-/// The longest silence within a stream before it is given up here.
+/// The longest pause within a stream before the attempt is abandoned.
 Duration streamStallTimeout(const Route &route);
 
-/// At least a millisecond: a wait of none would never end.
+/// The timeout, raised to at least one millisecond: a wait with a timeout of zero would never end.
 Duration clampedTimeout(Duration unclamped);
 
 }
