--- a/src/gateway/requestcost.cpp
+++ b/src/gateway/requestcost.cpp
@@ -6,27 +6,27 @@
 
 /// Events that a target may have made, unseen, before it noticed that its answer was no longer wanted: half a second's worth at the fastest
 /// step, and some that were on their way.
-constexpr Tokens s_unseenEvents = 48;
+constexpr Tokens s_maxUndeliveredEvents = 48;
 
 }
 
-Tokens usedTokens(const RequestTerms &terms, const RequestUse &use)
+Tokens usedTokens(const RequestTerms &terms, const RequestUsage &use)
 {
-    if (use.ran == 0) {
+    if (use.possibleExecutions == 0) {
         return 0;
     }
-    if (use.uncounted) {
+    if (use.hasUncountedAttempt) {
         return terms.bound();
     }
     const auto events = static_cast<Tokens>(use.events);
-    if (use.end == AttemptOutcome::Delivered && use.streamed) {
+    if (use.outcome == AttemptOutcome::Delivered && use.streamed) {
         return terms.promptTokens + events * use.tokensPerEvent;
     }
-    if (use.end == AttemptOutcome::Failed) {
+    if (use.outcome == AttemptOutcome::Failed) {
         return terms.promptTokens;
     }
-    if (use.end == AttemptOutcome::CallerDisconnected) {
-        return terms.promptTokens + (events + s_unseenEvents) * use.tokensPerEvent;
+    if (use.outcome == AttemptOutcome::CallerDisconnected) {
+        return terms.promptTokens + (events + s_maxUndeliveredEvents) * use.tokensPerEvent;
     }
     return terms.bound();
 }
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -455,9 +455,9 @@
         return;
     }
     const Tokens used = usedTokens(m_terms,
-                                   {.end = outcome,
-                                    .ran = m_ran,
-                                    .uncounted = m_uncounted,
+                                   {.outcome = outcome,
+                                    .possibleExecutions = m_ran,
+                                    .hasUncountedAttempt = m_uncounted,
                                     .streamed = m_streaming,
                                     .events = m_events.events(),
                                     .tokensPerEvent = m_service != nullptr ? m_service->tokensPerEvent : 1});
--- a/src/measure/bookfleet.cpp
+++ b/src/measure/bookfleet.cpp
@@ -129,26 +129,27 @@
         return;
     }
     const Tokens events = std::uniform_int_distribution<Tokens>(1, terms.outputLimit / s_tokensPerEvent)(m_random);
-    m_running.push_back({.router = router,
-                         .budget = budget,
-                         .reservation = *reservation,
-                         .terms = terms,
-                         .use = {.end = AttemptOutcome::Delivered, .ran = 1, .streamed = true, .tokensPerEvent = s_tokensPerEvent},
-                         .begun = m_store.now,
-                         .end = m_store.now + std::chrono::milliseconds(100 + 12 * events),
-                         .events = static_cast<std::uint64_t>(events)});
+    m_running.push_back(
+        {.router = router,
+         .budget = budget,
+         .reservation = *reservation,
+         .terms = terms,
+         .use = {.outcome = AttemptOutcome::Delivered, .possibleExecutions = 1, .streamed = true, .tokensPerEvent = s_tokensPerEvent},
+         .begun = m_store.now,
+         .end = m_store.now + std::chrono::milliseconds(100 + 12 * events),
+         .events = static_cast<std::uint64_t>(events)});
     spoil(m_running.back());
 }
 
 void BookFleet::spoil(Running &running)
 {
     if (m_options.cause == Cause::Resumed && drawn(s_disturbedShare)) {
-        running.use.ran = 2;
-        running.use.uncounted = true;
+        running.use.possibleExecutions = 2;
+        running.use.hasUncountedAttempt = true;
     }
     const bool left = m_options.cause == Cause::CallerLeft;
     if ((left || m_options.cause == Cause::BrokenOff) && drawn(s_disturbedShare)) {
-        running.use.end = left ? AttemptOutcome::CallerDisconnected : AttemptOutcome::Incomplete;
+        running.use.outcome = left ? AttemptOutcome::CallerDisconnected : AttemptOutcome::Incomplete;
         running.events /= 2;
         running.end = running.begun + (running.end - running.begun) / 2;
     }
--- a/src/measure/bookfleet.h
+++ b/src/measure/bookfleet.h
@@ -84,7 +84,7 @@
         int budget = 0;
         Reservation reservation;
         RequestTerms terms;
-        RequestUse use;
+        RequestUsage use;
         Instant begun{};
         Instant end{};
         /// Events that its target makes in all.
