--- a/src/gateway/requestcost.cpp
+++ b/src/gateway/requestcost.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Events that a target may have made, unseen, before it noticed that its answer was no longer wanted: half a second's worth at the fastest
-/// step, and some that were on their way.
+/// Events that a target may have generated, but not delivered, before it noticed that the caller had disconnected: those of half a second
+/// at the engine's highest speed, and a few that were in transit.
 constexpr Tokens s_maxUndeliveredEvents = 48;
 
 }
--- a/src/gateway/requestcost.h
+++ b/src/gateway/requestcost.h
@@ -7,21 +7,21 @@
 
 namespace bamboohold {
 
-/// What is known of a request's end as far as it decides what its team pays.
+/// The outcome of a request, as far as it determines what the team is charged.
 struct RequestUsage {
     AttemptOutcome outcome = AttemptOutcome::NotRun;
-    /// Attempts that may have run it.
+    /// Attempts in which a target may have run the request.
     unsigned possibleExecutions = 0;
-    /// An attempt other than the last broke off, so that nobody counted what it generated.
+    /// An attempt other than the last one was interrupted, so the tokens that it generated were not counted.
     bool hasUncountedAttempt = false;
-    /// Its answer was a stream, and so many events of it were passed on, of so many tokens each at the most.
+    /// Whether the response was a stream, how many of its events were forwarded, and the most tokens that one event holds.
     bool streamed = false;
     std::uint64_t events = 0;
     Tokens tokensPerEvent = 1;
 };
 
-/// Tokens that a request has used: counted where its end is known, and its worst case where it is not. Never less than was delivered, so
-/// that no team gets more than it has paid for.
+/// The tokens that a request is charged: the number used if its outcome is known, otherwise the worst case. Never less than was delivered,
+/// so that no team gets more than it has paid for.
 Tokens usedTokens(const RequestTerms &terms, const RequestUsage &use);
 
 }
