--- a/src/gateway/mechanisms.cpp
+++ b/src/gateway/mechanisms.cpp
@@ -15,7 +15,7 @@
 
 struct Switch {
     std::string_view name;
-    bool Mechanisms::*on;
+    bool Mechanisms::*enabled;
 };
 
 constexpr std::array<Switch, 13> s_switches{{{"relays", &Mechanisms::relays},
@@ -43,7 +43,7 @@
         if (found == s_switches.end()) {
             return failed(FailureKind::InvalidSetting, absl::StrCat("there is no mechanism '", name, "' to leave out"));
         }
-        mechanisms.*(found->on) = false;
+        mechanisms.*(found->enabled) = false;
     }
     return mechanisms;
 }
