--- a/src/gateway/mechanisms.cpp
+++ b/src/gateway/mechanisms.cpp
@@ -41,7 +41,7 @@
     for (const std::string &name : names) {
         const auto found = std::ranges::find(s_switches, name, &Switch::name);
         if (found == s_switches.end()) {
-            return failed(FailureKind::InvalidSetting, absl::StrCat("there is no mechanism '", name, "' to leave out"));
+            return failed(FailureKind::InvalidSetting, absl::StrCat("unknown mechanism '", name, "'"));
         }
         mechanisms.*(found->enabled) = false;
     }
--- a/src/gateway/mechanisms.h
+++ b/src/gateway/mechanisms.h
@@ -6,39 +6,41 @@
 
 namespace bamboohold {
 
-/// What a router does beyond the plain way of a request. Each can be left out, so that a measurement tells what it is worth; scripts/ablate
-/// plays a deployment without one after the other.
+/// Optional mechanisms of a router. Each can be disabled, so that a measurement shows what it contributes; scripts/ablate.py runs a
+/// deployment once without each of them.
 struct Mechanisms {
-    /// Store calls go through relays beside the targets while the direct way is cut.
+    /// Sends store calls through the relays beside the targets while the store cannot be reached directly.
     bool relays = true;
-    /// Routers carry store calls for each other.
+    /// Lets routers forward store calls for each other.
     bool carriedCalls = true;
-    /// Small budgets are kept by few routers.
+    /// Keeps each small budget at a few routers only.
     bool keepers = true;
-    /// Routers lend each other tokens.
+    /// Lets routers lend each other tokens.
     bool loans = true;
-    /// Budgets with much left are not held back while commitments stand still.
+    /// Lets budgets with plenty of tokens left commit enough at once for the whole time in which commitments are stalled.
     bool ampleBudgets = true;
-    /// Requests wait for a starting router's first configuration.
+    /// Lets requests wait for the first configuration of a router that is starting.
     bool startPatience = true;
-    /// Requests with the same part of a prompt go to the same target.
+    /// Sends requests that share a part of their prompt to the same target.
     bool favourites = true;
-    /// Routers learn from the relays beside targets what others have there.
+    /// Lets routers learn from the relays beside the targets how many requests the other routers have there.
     bool sharedLoads = true;
-    /// An overloaded router refuses what it has no time for.
+    /// Lets an overloaded router refuse requests that it has no time for.
     bool shedding = true;
-    /// Targets that were silent for long are chosen less.
+    /// Prefers other targets to those that have kept a request waiting for its first byte for long.
     bool silence = true;
-    /// Targets that broke off or failed several times in a row rest.
+    /// Pauses targets whose connections broke, or that failed several times in a row.
     bool ejection = true;
-    /// Requests that crash targets are held back.
+    /// Quarantines requests that crash targets.
     bool quarantine = true;
-    /// One process admits requests to a target that is cold or limits what it takes; without it, shares of all routers do.
+    /// Lets one process admit requests to a target that is cold or limits its request rate. If disabled, each router uses its share of that
+    /// rate.
     bool admissions = true;
 };
 
-/// All mechanisms but those named in the comma-separated list: relays, carried-calls, keepers, loans, ample-budgets, start-patience,
-/// favourites, shared-loads, shedding, silence, ejection, quarantine, admissions. Any other name is an InvalidSetting.
+/// Returns all mechanisms as enabled except those in the comma-separated list: relays, carried-calls, keepers, loans, ample-budgets,
+/// start-patience, favourites, shared-loads, shedding, silence, ejection, quarantine, admissions. Fails with InvalidSetting for any other
+/// name.
 absl::StatusOr<Mechanisms> mechanismsWithout(std::string_view list);
 
 }
