--- a/src/gateway/eventstream.cpp
+++ b/src/gateway/eventstreamparser.cpp
@@ -1,4 +1,4 @@
-#include "gateway/eventstream.h"
+#include "gateway/eventstreamparser.h"
 
 #include <algorithm>
 #include <optional>
@@ -29,12 +29,12 @@
 
 }
 
-std::string EventStream::feed(std::string_view bytes)
+std::string EventStreamParser::feed(std::string_view bytes)
 {
     m_partial.append(bytes);
     std::size_t whole = 0;
     while (const auto end = endOfEvent(std::string_view(m_partial).substr(whole))) {
-        noteEvent(std::string_view(m_partial).substr(whole, *end));
+        recordEventIds(std::string_view(m_partial).substr(whole, *end));
         whole += *end;
     }
     std::string events = m_partial.substr(0, whole);
@@ -42,7 +42,7 @@
     return events;
 }
 
-void EventStream::noteEvent(std::string_view event)
+void EventStreamParser::recordEventIds(std::string_view event)
 {
     std::size_t line = 0;
     while (line < event.size()) {
@@ -59,8 +59,8 @@
         while (text.ends_with('\r')) {
             text.remove_suffix(1);
         }
-        m_lastId = std::string(text);
-        ++m_events;
+        m_lastEventId = std::string(text);
+        ++m_eventCount;
     }
 }
 
--- a/src/gateway/eventstream.h
+++ b/src/gateway/eventstreamparser.h
@@ -8,42 +8,42 @@
 
 /// Cuts a stream of server-sent events into whole events. A target may stop in the middle of an event; what was not whole is never passed
 /// on, so that a resumed stream joins without a torn or doubled piece.
-class EventStream
+class EventStreamParser
 {
 public:
     /// Takes bytes as they arrive and returns the whole events among all bytes so far.
     std::string feed(std::string_view bytes);
 
     /// Bytes after the last whole event.
-    std::string_view remainder() const
+    std::string_view incompleteEvent() const
     {
         return m_partial;
     }
 
     /// The target changed: an event that it had begun is dropped.
-    void restart()
+    void discardIncompleteEvent()
     {
         m_partial.clear();
     }
 
     /// Whole events so far, those without an id (comments and the like) left out.
-    std::uint64_t events() const
+    std::uint64_t eventCount() const
     {
-        return m_events;
+        return m_eventCount;
     }
 
     /// The id of the last whole event, as the target wrote it; empty before the first.
-    const std::string &lastId() const
+    const std::string &lastEventId() const
     {
-        return m_lastId;
+        return m_lastEventId;
     }
 
 private:
-    void noteEvent(std::string_view event);
+    void recordEventIds(std::string_view event);
 
     std::string m_partial;
-    std::string m_lastId;
-    std::uint64_t m_events = 0;
+    std::string m_lastEventId;
+    std::uint64_t m_eventCount = 0;
 };
 
 }
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -232,7 +232,7 @@
                  {"target", m_placement->incarnation},
                  {"may_have_run", static_cast<std::int64_t>(outcome != AttemptOutcome::NotRun)},
                  {"problem", m_lastProblem},
-                 {"events", static_cast<std::int64_t>(m_events.events())},
+                 {"events", static_cast<std::int64_t>(m_events.eventCount())},
                  {"after_ms", inMs(steadyNow() - m_attemptAt)}});
     }
 }
@@ -258,7 +258,7 @@
     }
     if (outcome == AttemptOutcome::Incomplete) {
         m_uncounted = true;
-        m_events.restart();
+        m_events.discardIncompleteEvent();
     }
     return true;
 }
@@ -274,7 +274,7 @@
     const HttpRequest &request = m_exchange.request();
     DispatchTerms terms{.incarnation = placement.name, .team = m_team, .timeLeft = m_deadline - now, .priority = m_priority};
     if (m_streaming) {
-        terms.resumeAfter = m_events.lastId();
+        terms.resumeAfter = m_events.lastEventId();
     }
     HttpCallOptions options{.method = std::string(request.method_string()),
                             .path = std::string(request.target()),
@@ -432,7 +432,7 @@
         noteFirstByte();
         first = false;
         more = !piece->empty();
-        const std::string events = more ? m_events.feed(*piece) : std::string(m_events.remainder());
+        const std::string events = more ? m_events.feed(*piece) : std::string(m_events.incompleteEvent());
         if (events.empty()) {
             continue;
         }
@@ -459,7 +459,7 @@
                                     .possibleExecutions = m_ran,
                                     .hasUncountedAttempt = m_uncounted,
                                     .streamed = m_streaming,
-                                    .events = m_events.events(),
+                                    .events = m_events.eventCount(),
                                     .tokensPerEvent = m_service != nullptr ? m_service->tokensPerEvent : 1});
     m_gateway.m_ledger.settle(m_team, *m_reservation, used);
     m_reservation.reset();
@@ -600,7 +600,7 @@
              {"service", m_serviceName},
              {"target", m_placement ? std::string_view(m_placement->incarnation) : std::string_view()},
              {"attempts", static_cast<std::int64_t>(m_tried.size())},
-             {"events", static_cast<std::int64_t>(m_events.events())},
+             {"events", static_cast<std::int64_t>(m_events.eventCount())},
              {"first_byte_ms", m_firstByte ? inMs(*m_firstByte - m_arrived) : -1},
              {"total_ms", inMs(now - m_arrived)},
              {"bound", m_terms.bound()}});
--- a/src/gateway/requestrun.h
+++ b/src/gateway/requestrun.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/attemptoutcome.h"
-#include "gateway/eventstream.h"
+#include "gateway/eventstreamparser.h"
 #include "gateway/gateway.h"
 #include "quarantine/requestfingerprint.h"
 
@@ -96,7 +96,7 @@
     bool m_callerLeft = false;
     HttpStreamCall *m_call = nullptr;
 
-    EventStream m_events;
+    EventStreamParser m_events;
     bool m_streaming = false;
     /// Counted among the gateway's streams.
     bool m_countedStream = false;
--- a/src/tests/eventstreamtest.cpp
+++ b/src/tests/eventstreamtest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/eventstream.h"
+#include "gateway/eventstreamparser.h"
 
 #include <boost/test/unit_test.hpp>
 #include <rapidcheck.h>
@@ -8,7 +8,7 @@
 BOOST_AUTO_TEST_SUITE(EventStreamTest)
 
 // However a stream is cut into packets, the whole events come out in order and complete, and a torn one stays back.
-BOOST_AUTO_TEST_CASE(cutsDoNotMatter)
+BOOST_AUTO_TEST_CASE(packetBoundariesDoNotChangeTheEvents)
 {
     BOOST_TEST(rc::check("any cutting gives the same events", [] {
         std::string text;
@@ -17,37 +17,37 @@
             const std::string end = *rc::gen::arbitrary<bool>() ? "\n" : "\r\n";
             text += "id: " + std::to_string(id) + end + "data: " + std::string(*rc::gen::inRange(0, 40), 'x') + end + end;
         }
-        const std::string torn = "id: 99\ndata: to";
-        const std::string all = text + torn;
-        EventStream stream;
-        std::string passed;
+        const std::string incomplete = "id: 99\ndata: to";
+        const std::string all = text + incomplete;
+        EventStreamParser parser;
+        std::string forwarded;
         std::size_t at = 0;
         while (at < all.size()) {
             const std::size_t size = *rc::gen::inRange<std::size_t>(1, 30);
-            passed += stream.feed(std::string_view(all).substr(at, size));
+            forwarded += parser.feed(std::string_view(all).substr(at, size));
             at += size;
         }
-        RC_ASSERT(passed == text);
-        RC_ASSERT(stream.remainder() == torn);
-        RC_ASSERT(stream.events() == static_cast<std::uint64_t>(events));
-        RC_ASSERT(stream.lastId() == (events == 0 ? "" : std::to_string(events)));
+        RC_ASSERT(forwarded == text);
+        RC_ASSERT(parser.incompleteEvent() == incomplete);
+        RC_ASSERT(parser.eventCount() == static_cast<std::uint64_t>(events));
+        RC_ASSERT(parser.lastEventId() == (events == 0 ? "" : std::to_string(events)));
     }));
 }
 
-BOOST_AUTO_TEST_CASE(restartDropsTheTornEvent)
+BOOST_AUTO_TEST_CASE(discardDropsTheIncompleteEvent)
 {
-    EventStream stream;
-    stream.feed("id: 1\n\nid: 2\nda");
-    stream.restart();
-    BOOST_TEST(stream.feed("id: 2\ndata: x\n\n") == "id: 2\ndata: x\n\n");
-    BOOST_TEST(stream.lastId() == "2");
+    EventStreamParser parser;
+    parser.feed("id: 1\n\nid: 2\nda");
+    parser.discardIncompleteEvent();
+    BOOST_TEST(parser.feed("id: 2\ndata: x\n\n") == "id: 2\ndata: x\n\n");
+    BOOST_TEST(parser.lastEventId() == "2");
 }
 
-BOOST_AUTO_TEST_CASE(commentsAreNoEvents)
+BOOST_AUTO_TEST_CASE(commentsAreNotCounted)
 {
-    EventStream stream;
-    BOOST_TEST(stream.feed(": still here\n\n") == ": still here\n\n");
-    BOOST_TEST(stream.events() == 0U);
+    EventStreamParser parser;
+    BOOST_TEST(parser.feed(": still here\n\n") == ": still here\n\n");
+    BOOST_TEST(parser.eventCount() == 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
