--- a/src/gateway/eventstreamparser.cpp
+++ b/src/gateway/eventstreamparser.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view s_idField = "id:";
 
-/// The end of the first whole event in the text: after the blank line that closes it. Lines end with LF or CRLF.
+/// The offset just after the blank line that ends the first complete event in the text. Lines end with LF or CRLF.
 std::optional<std::size_t> endOfEvent(std::string_view text)
 {
     std::size_t line = 0;
--- a/src/gateway/eventstreamparser.h
+++ b/src/gateway/eventstreamparser.h
@@ -6,33 +6,33 @@
 
 namespace bamboohold {
 
-/// Cuts a stream of server-sent events into whole events. A target may stop in the middle of an event; what was not whole is never passed
-/// on, so that a resumed stream joins without a torn or doubled piece.
+/// Splits a stream of server-sent events into complete events. A target may stop in the middle of an event; an incomplete event is never
+/// forwarded, so that a resumed stream continues without a truncated or duplicated event.
 class EventStreamParser
 {
 public:
-    /// Takes bytes as they arrive and returns the whole events among all bytes so far.
+    /// Appends bytes and returns the events that they complete.
     std::string feed(std::string_view bytes);
 
-    /// Bytes after the last whole event.
+    /// The bytes after the last complete event.
     std::string_view incompleteEvent() const
     {
         return m_partial;
     }
 
-    /// The target changed: an event that it had begun is dropped.
+    /// Discards the incomplete event. Call before the stream is resumed at another target.
     void discardIncompleteEvent()
     {
         m_partial.clear();
     }
 
-    /// Whole events so far, those without an id (comments and the like) left out.
+    /// The number of complete events so far that have an id; comments, for example, have none.
     std::uint64_t eventCount() const
     {
         return m_eventCount;
     }
 
-    /// The id of the last whole event, as the target wrote it; empty before the first.
+    /// The id of the last complete event, as the target sent it; empty before the first one.
     const std::string &lastEventId() const
     {
         return m_lastEventId;
