--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -136,7 +136,7 @@
     m_serviceName = m_gateway.chooseService(*m_route);
     m_service = m_plan->service(m_serviceName);
     m_deadline = m_arrived + std::min(m_terms.patience, m_route->timeout);
-    m_gateway.m_retries.noteRequest(m_serviceName, m_arrived);
+    m_gateway.m_retries.recordRequest(m_serviceName, m_arrived);
     return absl::OkStatus();
 }
 
@@ -252,7 +252,7 @@
         m_lastProblem.append("; targets crashed under this request");
         return false;
     }
-    if (m_sent > 0 && !m_gateway.m_retries.tryRetry(m_serviceName, m_gateway.m_options.routers(), now)) {
+    if (m_sent > 0 && !m_gateway.m_retries.tryAcquireRetry(m_serviceName, m_gateway.m_options.routers(), now)) {
         m_lastProblem.append("; retry budget used up");
         return false;
     }
--- a/src/gateway/retrybudget.cpp
+++ b/src/gateway/retrybudget.cpp
@@ -20,23 +20,23 @@
 {
 }
 
-void RetryBudget::forget(Window &window, Instant now) const
+void RetryBudget::dropExpired(Window &window, Instant now) const
 {
     dropBefore(window.requests, now - m_options.window);
     dropBefore(window.retries, now - m_options.window);
 }
 
-void RetryBudget::noteRequest(const std::string &service, Instant now)
+void RetryBudget::recordRequest(const std::string &service, Instant now)
 {
     Window &window = m_windows[service];
-    forget(window, now);
+    dropExpired(window, now);
     window.requests.push_back(now);
 }
 
-bool RetryBudget::tryRetry(const std::string &service, std::size_t routers, Instant now)
+bool RetryBudget::tryAcquireRetry(const std::string &service, std::size_t routers, Instant now)
 {
     Window &window = m_windows[service];
-    forget(window, now);
+    dropExpired(window, now);
     const double slack = m_options.slack / static_cast<double>(std::max<std::size_t>(routers, 1));
     const double bound = m_options.usedShare * (m_options.ratio * static_cast<double>(window.requests.size()) + slack);
     if (static_cast<double>(window.retries.size() + 1) > bound) {
--- a/src/gateway/retrybudget.h
+++ b/src/gateway/retrybudget.h
@@ -30,10 +30,10 @@
     explicit RetryBudget(Options options);
 
     /// A request for the service arrived.
-    void noteRequest(const std::string &service, Instant now);
+    void recordRequest(const std::string &service, Instant now);
 
     /// Takes a second attempt out of the budget, if it has one.
-    bool tryRetry(const std::string &service, std::size_t routers, Instant now);
+    bool tryAcquireRetry(const std::string &service, std::size_t routers, Instant now);
 
 private:
     struct Window {
@@ -41,7 +41,7 @@
         std::deque<Instant> retries;
     };
 
-    void forget(Window &window, Instant now) const;
+    void dropExpired(Window &window, Instant now) const;
 
     Options m_options;
     absl::flat_hash_map<std::string, Window> m_windows;
--- a/src/tests/retrybudgettest.cpp
+++ b/src/tests/retrybudgettest.cpp
@@ -17,21 +17,21 @@
     int granted = 0;
     for (int count = 0; count < s_requests; ++count) {
         now += std::chrono::milliseconds(10);
-        budget.noteRequest("service", now);
-        granted += budget.tryRetry("service", s_routers, now) ? 1 : 0;
+        budget.recordRequest("service", now);
+        granted += budget.tryAcquireRetry("service", s_routers, now) ? 1 : 0;
     }
     BOOST_TEST(granted == static_cast<int>(0.2 * s_requests + 50 / s_routers));
     now += std::chrono::seconds(11);
-    BOOST_TEST(budget.tryRetry("service", s_routers, now));
+    BOOST_TEST(budget.tryAcquireRetry("service", s_routers, now));
 }
 
-BOOST_AUTO_TEST_CASE(servicesDoNotShare)
+BOOST_AUTO_TEST_CASE(servicesHaveSeparateBudgets)
 {
     RetryBudget budget({.ratio = 0, .slack = 1, .window = std::chrono::seconds(10), .usedShare = 1});
     const Instant now = Instant(std::chrono::seconds(5));
-    BOOST_TEST(budget.tryRetry("one", 1, now));
-    BOOST_TEST(!budget.tryRetry("one", 1, now));
-    BOOST_TEST(budget.tryRetry("two", 1, now));
+    BOOST_TEST(budget.tryAcquireRetry("one", 1, now));
+    BOOST_TEST(!budget.tryAcquireRetry("one", 1, now));
+    BOOST_TEST(budget.tryAcquireRetry("two", 1, now));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
