--- a/src/gateway/retrybudget.h
+++ b/src/gateway/retrybudget.h
@@ -10,29 +10,30 @@
 
 namespace bamboohold {
 
-/// Bounds second attempts of each service, so that a failing service is not also flooded with repeats.
+/// Limits the retries of each service, so that a failing service is not flooded with them as well.
 ///
-/// The bound holds for all routers together; each keeps to its own share: a fixed part of the slack, and the ratio of its own requests.
-/// Pure.
+/// The limit applies to all routers together. Each router uses its own share: an equal part of the slack, and the ratio of its own
+/// requests. Does no I/O.
 class RetryBudget
 {
 public:
     struct Options {
-        /// Second attempts per request over the window.
+        /// Retries per request within the window.
         double ratio = 0.2;
-        /// Second attempts over the window on top of that, over all routers.
+        /// Additional retries within the window, for all routers together.
         double slack = 58;
         Duration window = std::chrono::seconds(10);
-        /// The part of the bound that is used: routers' windows do not start together, and one that joins or restarts brings a new share.
+        /// The part of the limit that is used. The rest is a reserve, because the windows of the routers are not aligned, and a router that
+        /// joins or restarts brings a new share.
         double usedShare = 0.7;
     };
 
     explicit RetryBudget(Options options);
 
-    /// A request for the service arrived.
+    /// Records that a request for the service arrived.
     void recordRequest(const std::string &service, Instant now);
 
-    /// Takes a second attempt out of the budget, if it has one.
+    /// Takes one retry out of the budget. Returns false if none is left.
     bool tryAcquireRetry(const std::string &service, std::size_t routers, Instant now);
 
 private:
