--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -63,8 +63,8 @@
     if (!m_options.sheds) {
         return;
     }
-    m_shedder.measured(delay, steadyNow());
-    const bool shedding = m_shedder.share() > 0;
+    m_shedder.recordDelay(delay, steadyNow());
+    const bool shedding = m_shedder.refusedShare() > 0;
     if (shedding != m_shedding) {
         logLine(shedding ? Severity::Warning : Severity::Info,
                 shedding ? "router.overloaded" : "router.overload_over",
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -414,8 +414,8 @@
     {
         Instant overloadedSince{};
         while (true) {
-            const Instant due = steadyNow() + LoadShedder::s_tick;
-            co_await pause(LoadShedder::s_tick);
+            const Instant due = steadyNow() + LoadShedder::s_measurementInterval;
+            co_await pause(LoadShedder::s_measurementInterval);
             const Instant now = steadyNow();
             const Duration roundTrip = m_loads.takeShortestRoundTrip().value_or(Duration::zero());
             m_gateway.noteDelay(std::max({Duration::zero(), now - due, roundTrip}));
--- a/src/gateway/loadshedder.h
+++ b/src/gateway/loadshedder.h
@@ -22,54 +22,54 @@
     struct Options {
         /// Delay of the loop that is aimed at, as a mean over some ticks: a tenth of most objectives. A host whose processor is taken away
         /// for the rest of each tenth of a second once its share is used up has up to 45 ms of it, on average, without being overloaded.
-        Duration target = std::chrono::milliseconds(60);
+        Duration targetDelay = std::chrono::milliseconds(60);
         /// The share grows by this much a tick while the delay is above that, up to four times as fast when it is far above; it shrinks by
         /// this part a tick otherwise. Faster growth overshoots: callers are refused who come back to the same host and are refused again.
-        double growth = 0.012;
-        double decay = 0.05;
+        double shareGrowth = 0.012;
+        double shareDecay = 0.05;
         /// Never all of them: what is still let in tells whether there is time again.
-        double most = 0.95;
+        double maxRefusedShare = 0.95;
         /// From this share on the host counts as overloaded, and its callers are better served by other hosts: for this long, and twice as
         /// long each time that it happens again soon. A caller that fills a small host ends at a large one that way, and stays there.
-        double overloadedAt = 0.2;
-        Duration firstAway = std::chrono::seconds(8);
-        Duration longestAway = std::chrono::seconds(30);
+        double overloadShare = 0.2;
+        Duration firstOverloadPeriod = std::chrono::seconds(8);
+        Duration maxOverloadPeriod = std::chrono::seconds(30);
     };
 
     LoadShedder();
     explicit LoadShedder(Options options);
 
     /// The host's delay, measured now. Call every `s_tick`; a call that comes late by that delay counts for those left out.
-    void measured(Duration delay, Instant now);
+    void recordDelay(Duration delay, Instant now);
 
     /// Whether a request is refused. `draw` is any number of the request's own, evenly spread.
-    bool refuses(std::uint64_t draw) const;
+    bool shouldRefuse(std::uint64_t requestHash) const;
 
     /// Whether connections should go to other hosts.
     bool overloaded(Instant now) const;
 
     /// How long until new connections reach other hosts, zero once they do; none while the host is not overloaded. A caller that comes back
     /// earlier is sent here again.
-    std::optional<Duration> untilElsewhere(Instant now) const;
+    std::optional<Duration> timeUntilRedirect(Instant now) const;
 
     /// The share that is refused.
-    double share() const
+    double refusedShare() const
     {
-        return m_share;
+        return m_refusedShare;
     }
 
     /// A balancer that asks once a second sends connections elsewhere after two misses.
     static constexpr Duration s_rotationTime = std::chrono::milliseconds(2100);
 
     /// How often the delay should be measured.
-    static constexpr Duration s_tick = std::chrono::milliseconds(50);
+    static constexpr Duration s_measurementInterval = std::chrono::milliseconds(50);
 
 private:
     Options m_options;
     double m_meanMs = 0;
-    double m_share = 0;
-    Duration m_away{};
-    std::optional<Instant> m_awayUntil;
+    double m_refusedShare = 0;
+    Duration m_overloadPeriod{};
+    std::optional<Instant> m_overloadedUntil;
 };
 
 }
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -122,8 +122,8 @@
         return toStatus(
             {.kind = FailureKind::Draining, .detail = "this router ends before the request would", .retryAfterMs = s_retryAfterDrainMs});
     }
-    if (m_gateway.m_shedder.refuses(stableHash(m_terms.requestId))) {
-        const Duration elsewhere = m_gateway.m_shedder.untilElsewhere(m_arrived).value_or(Duration::zero());
+    if (m_gateway.m_shedder.shouldRefuse(stableHash(m_terms.requestId))) {
+        const Duration elsewhere = m_gateway.m_shedder.timeUntilRedirect(m_arrived).value_or(Duration::zero());
         return toStatus({.kind = FailureKind::Overloaded,
                          .detail = "this router is overloaded",
                          .retryAfterMs = inMs(std::max(s_retryElsewhere, elsewhere))});
@@ -556,7 +556,7 @@
     }
     // A caller that leaves before the first byte leaves nothing behind whose end would tell of a crash, so the target is asked then, too.
     // Not by a host that is short of time: its callers leave because of that, many a second, and the questions would take what time it has.
-    const bool inTime = m_gateway.m_shedder.share() == 0;
+    const bool inTime = m_gateway.m_shedder.refusedShare() == 0;
     const bool leftEarly = inTime && outcome == AttemptOutcome::CallerDisconnected && !m_firstByte;
     if (leftEarly || (m_brokeOff && outcome != AttemptOutcome::NotRun && outcome != AttemptOutcome::TimedOut)) {
         m_gateway.m_guard.brokeOff(m_placement->incarnation, m_placement->address, fingerprints());
