--- a/src/gateway/loadshedder.cpp
+++ b/src/gateway/loadshedder.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// The newest delay's weight in the mean: one late tick is no overload, four are.
+/// Weight of the newest delay in the moving average: a single late measurement is no overload, four in a row are.
 constexpr double s_newestSampleWeight = 0.25;
-/// Growth for a long delay is bounded: the delay is that of requests let in before.
+/// Limits the growth of the share after a long delay, because that delay was caused by requests admitted earlier.
 constexpr double s_maxGrowthFactor = 4;
-/// Measurements that a late one stands for at most: with its weight, the mean is then the newest delay.
+/// The most measurements that a late one counts for. Together with its weight, the average is then the newest delay.
 constexpr double s_maxMissedTicks = 4;
-/// Shares below this are none.
+/// Smaller shares are set to zero.
 constexpr double s_minRefusedShare = 0.01;
 constexpr double s_msPerSecond = 1000;
 
@@ -34,7 +34,7 @@
 {
     const double delayMs = seconds(delay) * s_msPerSecond;
     const double targetMs = seconds(m_options.targetDelay) * s_msPerSecond;
-    // A late measurement stands for those that should have been made in the meantime.
+    // A late measurement also counts for those that it delayed.
     const double ticks = std::min(s_maxMissedTicks, 1 + seconds(delay) / seconds(s_measurementInterval));
     m_meanMs += s_newestSampleWeight * ticks * (delayMs - m_meanMs);
     if (m_meanMs > targetMs) {
--- a/src/gateway/loadshedder.h
+++ b/src/gateway/loadshedder.h
@@ -7,30 +7,32 @@
 
 namespace bamboohold {
 
-/// Decides which share of its requests a router refuses at once because its host has no processor time, or no room on its link, left for
-/// them; and whether callers should go to other hosts altogether.
+/// Decides which share of its requests a router refuses immediately because its host has no processor time, or no bandwidth on its link,
+/// left for them, and whether callers should be sent to other hosts.
 ///
-/// The balancer sends all connections of one caller to the same router. A caller that sends ten times its usual then fills one small host
-/// while the others idle: everything there waits, for seconds, and all of its callers leave unserved. A request that is refused within
-/// milliseconds goes to another router, which has time for it.
+/// The load balancer sends all connections of one caller to the same router. A caller that sends ten times its usual load then overloads
+/// one small host while the others are idle: every request there waits for seconds, and all of its callers give up. A request that is
+/// refused within milliseconds reaches another router, which has time for it.
 ///
-/// Told how late the loop runs, or how long a datagram takes to a host nearby and back, whichever is longer; refuses more while that is too
-/// much, and less once it is not, until about as many are left as the host can serve. Pure.
+/// The input is the delay of the event loop or the round trip of a datagram to a nearby host, whichever is longer. While it is above the
+/// target the refused share grows, otherwise it shrinks, until about as many requests are admitted as the host can serve. Does no I/O.
 class LoadShedder
 {
 public:
     struct Options {
-        /// Delay of the loop that is aimed at, as a mean over some ticks: a tenth of most objectives. A host whose processor is taken away
-        /// for the rest of each tenth of a second once its share is used up has up to 45 ms of it, on average, without being overloaded.
+        /// Target for the delay of the event loop, averaged over some measurements: a tenth of most objectives. On a host that has used up
+        /// its CPU quota and is paused for the rest of each 100 ms period, the delay is up to 45 ms on average without an overload.
         Duration targetDelay = std::chrono::milliseconds(60);
-        /// The share grows by this much a tick while the delay is above that, up to four times as fast when it is far above; it shrinks by
-        /// this part a tick otherwise. Faster growth overshoots: callers are refused who come back to the same host and are refused again.
+        /// Growth of the refused share per measurement while the delay is above the target, up to four times as much if it is far above,
+        /// and the part of the share that is removed per measurement otherwise. With a faster growth the share overshoots, and callers that
+        /// were refused return to the same host and are refused again.
         double shareGrowth = 0.012;
         double shareDecay = 0.05;
-        /// Never all of them: what is still let in tells whether there is time again.
+        /// Maximum of the refused share. It stays below 1 because only the admitted requests show whether the host has time again.
         double maxRefusedShare = 0.95;
-        /// From this share on the host counts as overloaded, and its callers are better served by other hosts: for this long, and twice as
-        /// long each time that it happens again soon. A caller that fills a small host ends at a large one that way, and stays there.
+        /// From this refused share on the host counts as overloaded and asks the load balancer to send its callers to other hosts: for
+        /// `firstOverloadPeriod`, and for twice the previous period, up to `maxOverloadPeriod`, if it is overloaded again soon afterwards.
+        /// This way a caller that overloads a small host ends up at a large one and stays there.
         double overloadShare = 0.2;
         Duration firstOverloadPeriod = std::chrono::seconds(8);
         Duration maxOverloadPeriod = std::chrono::seconds(30);
@@ -39,29 +41,30 @@
     LoadShedder();
     explicit LoadShedder(Options options);
 
-    /// The host's delay, measured now. Call every `s_tick`; a call that comes late by that delay counts for those left out.
+    /// Records the current delay of the host. Call every `s_measurementInterval`; a call that comes late because of the delay counts for
+    /// the missed ones, too.
     void recordDelay(Duration delay, Instant now);
 
-    /// Whether a request is refused. `draw` is any number of the request's own, evenly spread.
+    /// Whether a request is refused. `requestHash` is any evenly distributed value of the request.
     bool shouldRefuse(std::uint64_t requestHash) const;
 
-    /// Whether connections should go to other hosts.
+    /// Whether the load balancer should send connections to other hosts.
     bool overloaded(Instant now) const;
 
-    /// How long until new connections reach other hosts, zero once they do; none while the host is not overloaded. A caller that comes back
-    /// earlier is sent here again.
+    /// The time until new connections reach other hosts, zero once they do; none while the host is not overloaded. A caller that retries
+    /// earlier reaches this host again.
     std::optional<Duration> timeUntilRedirect(Instant now) const;
 
-    /// The share that is refused.
+    /// The share of requests that is refused.
     double refusedShare() const
     {
         return m_refusedShare;
     }
 
-    /// A balancer that asks once a second sends connections elsewhere after two misses.
+    /// A load balancer that checks once a second redirects connections after two failed checks.
     static constexpr Duration s_rotationTime = std::chrono::milliseconds(2100);
 
-    /// How often the delay should be measured.
+    /// The interval at which the delay is to be measured.
     static constexpr Duration s_measurementInterval = std::chrono::milliseconds(50);
 
 private:
