--- a/src/gateway/callercodec.h
+++ b/src/gateway/callercodec.h
@@ -15,7 +15,7 @@
 namespace bamboohold {
 
 /// What a caller says about its request besides method, path and body.
-struct RequestTerms {
+struct RequestMetadata {
     std::string requestId;
     /// How long the caller waits, counted from when it sent the request.
     Duration patience = std::chrono::seconds(30);
@@ -34,7 +34,7 @@
 };
 
 /// What a router tells a target about one attempt.
-struct DispatchTerms {
+struct DispatchMetadata {
     /// Name of the only process that may run it; addresses are used again. It keeps the name when it starts again.
     std::string incarnation;
     std::string team;
@@ -45,7 +45,7 @@
 };
 
 /// What an answer's head says besides its status.
-struct AnswerTerms {
+struct ResponseMetadata {
     std::string requestId;
     /// The target vouches for the answer.
     bool sealed = false;
@@ -66,18 +66,18 @@
 };
 
 /// How a failure is told to callers of one interface.
-struct CallerRefusal {
+struct FailureResponse {
     unsigned status = 503;
     std::vector<HttpHeader> headers;
 };
 
 /// The headers of a caller's interface, decoded into terms and back. An interface is added by filling in the four functions.
 struct CallerCodec {
-    std::function<absl::StatusOr<RequestTerms>(const http::fields &)> readRequest;
+    std::function<absl::StatusOr<RequestMetadata>(const http::fields &)> readRequest;
     /// All headers that go to the target, the caller's own included.
-    std::function<std::vector<HttpHeader>(const HttpRequest &, const DispatchTerms &)> dispatchHeaders;
-    std::function<AnswerTerms(unsigned status, const http::fields &)> readAnswer;
-    std::function<CallerRefusal(const Failure &)> refusal;
+    std::function<std::vector<HttpHeader>(const HttpRequest &, const DispatchMetadata &)> dispatchHeaders;
+    std::function<ResponseMetadata(unsigned status, const http::fields &)> readResponse;
+    std::function<FailureResponse(const Failure &)> failureResponse;
 };
 
 /// The headers of a message that are meant for more than one connection: all but those that HTTP calls hop-by-hop, those that the message
--- a/src/gateway/requestcost.cpp
+++ b/src/gateway/requestcost.cpp
@@ -10,25 +10,25 @@
 
 }
 
-Tokens usedTokens(const RequestTerms &terms, const RequestUsage &use)
+Tokens usedTokens(const RequestMetadata &metadata, const RequestUsage &use)
 {
     if (use.possibleExecutions == 0) {
         return 0;
     }
     if (use.hasUncountedAttempt) {
-        return terms.bound();
+        return metadata.bound();
     }
     const auto events = static_cast<Tokens>(use.events);
     if (use.outcome == AttemptOutcome::Delivered && use.streamed) {
-        return terms.promptTokens + events * use.tokensPerEvent;
+        return metadata.promptTokens + events * use.tokensPerEvent;
     }
     if (use.outcome == AttemptOutcome::Failed) {
-        return terms.promptTokens;
+        return metadata.promptTokens;
     }
     if (use.outcome == AttemptOutcome::CallerDisconnected) {
-        return terms.promptTokens + (events + s_maxUndeliveredEvents) * use.tokensPerEvent;
+        return metadata.promptTokens + (events + s_maxUndeliveredEvents) * use.tokensPerEvent;
     }
-    return terms.bound();
+    return metadata.bound();
 }
 
 }
--- a/src/gateway/requestcost.h
+++ b/src/gateway/requestcost.h
@@ -22,6 +22,6 @@
 
 /// The tokens that a request is charged: the number used if its outcome is known, otherwise the worst case. Never less than was delivered,
 /// so that no team gets more than it has paid for.
-Tokens usedTokens(const RequestTerms &terms, const RequestUsage &use);
+Tokens usedTokens(const RequestMetadata &metadata, const RequestUsage &use);
 
 }
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -96,11 +96,11 @@
 
 absl::Status RequestRun::admit()
 {
-    absl::StatusOr<RequestTerms> terms = m_gateway.m_options.codec.readRequest(m_exchange.request());
+    absl::StatusOr<RequestMetadata> terms = m_gateway.m_options.codec.readRequest(m_exchange.request());
     if (!terms.ok()) {
         return terms.status();
     }
-    m_terms = *std::move(terms);
+    m_metadata = *std::move(terms);
     if (!m_plan) {
         // Whether the route or the key exists cannot be told without a plan; saying "no such route" could be false.
         return toStatus({.kind = FailureKind::Draining, .detail = "no configuration known yet", .retryAfterMs = s_retryAfterStartMs});
@@ -111,18 +111,18 @@
     }
     m_priority = m_route->priority;
     if (m_plan->hasTeams() && !m_route->open) {
-        const TeamPlan *team = m_plan->teamOf(m_terms.key);
+        const TeamPlan *team = m_plan->teamOf(m_metadata.key);
         if (team == nullptr) {
             return failed(FailureKind::Unauthenticated, "no team has this key");
         }
         m_team = team->name;
         m_priority = team->priority.value_or(m_priority);
     }
-    if (m_gateway.m_end && m_arrived + drainAllowance(*m_route, m_terms, *m_gateway.m_end - m_arrived) > *m_gateway.m_end) {
+    if (m_gateway.m_end && m_arrived + drainAllowance(*m_route, m_metadata, *m_gateway.m_end - m_arrived) > *m_gateway.m_end) {
         return toStatus(
             {.kind = FailureKind::Draining, .detail = "this router ends before the request would", .retryAfterMs = s_retryAfterDrainMs});
     }
-    if (m_gateway.m_shedder.shouldRefuse(stableHash(m_terms.requestId))) {
+    if (m_gateway.m_shedder.shouldRefuse(stableHash(m_metadata.requestId))) {
         const Duration elsewhere = m_gateway.m_shedder.timeUntilRedirect(m_arrived).value_or(Duration::zero());
         return toStatus({.kind = FailureKind::Overloaded,
                          .detail = "this router is overloaded",
@@ -135,14 +135,14 @@
     m_gateway.m_streamsInFlight += m_countedStream ? 1 : 0;
     m_serviceName = m_gateway.chooseService(*m_route);
     m_service = m_plan->service(m_serviceName);
-    m_deadline = m_arrived + std::min(m_terms.patience, m_route->timeout);
+    m_deadline = m_arrived + std::min(m_metadata.patience, m_route->timeout);
     m_gateway.m_retries.recordRequest(m_serviceName, m_arrived);
     return absl::OkStatus();
 }
 
 asio::awaitable<absl::Status> RequestRun::reserve()
 {
-    if (m_team.empty() || m_terms.bound() == 0) {
+    if (m_team.empty() || m_metadata.bound() == 0) {
         co_return absl::OkStatus();
     }
     const auto &teams = m_plan->teams();
@@ -150,7 +150,7 @@
     if (!team->prepaid) {
         co_return absl::OkStatus();
     }
-    const absl::StatusOr<Reservation> made = co_await m_gateway.m_ledger.reserve(m_team, m_terms.bound());
+    const absl::StatusOr<Reservation> made = co_await m_gateway.m_ledger.reserve(m_team, m_metadata.bound());
     if (made.ok()) {
         m_reservation = *made;
     }
@@ -166,8 +166,10 @@
             m_callerLeft = true;
             co_return m_ran == 0 ? AttemptOutcome::NotRun : AttemptOutcome::CallerDisconnected;
         }
-        const PlacementWish wish{
-            .service = m_serviceName, .prompt = m_terms.prompt, .except = m_tried, .draw = stableHash(m_terms.requestId) + m_tried.size()};
+        const PlacementWish wish{.service = m_serviceName,
+                                 .prompt = m_metadata.prompt,
+                                 .except = m_tried,
+                                 .draw = stableHash(m_metadata.requestId) + m_tried.size()};
         const std::optional<Placement> placement =
             co_await m_gateway.m_chooser.place(wish, m_service != nullptr ? m_service->coldRequestsPerSecond : 0);
         if (m_callerLeft) {
@@ -184,7 +186,7 @@
         m_brokeOff = false;
         m_lastHeard = now;
         m_sign = TargetSign::Neutral;
-        m_gateway.m_board.sent(placement->incarnation, m_terms.prompt, placement->uncached, now);
+        m_gateway.m_board.sent(placement->incarnation, m_metadata.prompt, placement->uncached, now);
         m_gateway.m_chooser.countSent(placement->incarnation);
         m_gateway.m_chooser.tellLoad(placement->incarnation);
         outcome = co_await attempt(*placement);
@@ -227,7 +229,7 @@
     if (outcome != AttemptOutcome::Delivered && outcome != AttemptOutcome::CallerDisconnected) {
         logLine(Severity::Info,
                 "attempt.ended",
-                {{"request", m_terms.requestId},
+                {{"request", m_metadata.requestId},
                  {"fingerprint", fingerprints().front().text()},
                  {"target", m_placement->incarnation},
                  {"may_have_run", static_cast<std::int64_t>(outcome != AttemptOutcome::NotRun)},
@@ -272,7 +274,7 @@
 HttpCallOptions RequestRun::callOptions(const Placement &placement, Instant now)
 {
     const HttpRequest &request = m_exchange.request();
-    DispatchTerms terms{.incarnation = placement.name, .team = m_team, .timeLeft = m_deadline - now, .priority = m_priority};
+    DispatchMetadata terms{.incarnation = placement.name, .team = m_team, .timeLeft = m_deadline - now, .priority = m_priority};
     if (m_streaming) {
         terms.resumeAfter = m_events.lastEventId();
     }
@@ -291,8 +293,8 @@
         return !m_callerLeft;
     };
     options.belongs = [this](const http::fields &fields) {
-        const AnswerTerms answer = m_gateway.m_options.codec.readAnswer(s_firstSuccess, fields);
-        return answer.requestId.empty() || answer.requestId == m_terms.requestId;
+        const ResponseMetadata answer = m_gateway.m_options.codec.readResponse(s_firstSuccess, fields);
+        return answer.requestId.empty() || answer.requestId == m_metadata.requestId;
     };
     return options;
 }
@@ -333,7 +335,7 @@
 
 asio::awaitable<AttemptOutcome> RequestRun::takeAnswer(HttpStreamCall &call)
 {
-    const AnswerTerms answer = m_gateway.m_options.codec.readAnswer(call.status(), call.headers());
+    const ResponseMetadata answer = m_gateway.m_options.codec.readResponse(call.status(), call.headers());
     const unsigned status = call.status();
     m_gateway.m_chooser.noteTargetTerms(m_placement->incarnation, answer, m_attemptAt);
     if (answer.notRun) {
@@ -454,7 +456,7 @@
     if (!m_reservation) {
         return;
     }
-    const Tokens used = usedTokens(m_terms,
+    const Tokens used = usedTokens(m_metadata,
                                    {.outcome = outcome,
                                     .possibleExecutions = m_ran,
                                     .hasUncountedAttempt = m_uncounted,
@@ -505,8 +507,8 @@
 asio::awaitable<void> RequestRun::refuse(const Failure &failure)
 {
     logEnd(failureName(failure.kind), failure.detail);
-    CallerRefusal refusal = m_gateway.m_options.codec.refusal(failure);
-    std::string body = errorBody(failure, m_terms.requestId);
+    FailureResponse refusal = m_gateway.m_options.codec.failureResponse(failure);
+    std::string body = errorBody(failure, m_metadata.requestId);
     co_await m_exchange.respond(refusal.status, "application/json", std::move(body), std::move(refusal.headers));
 }
 
@@ -590,7 +592,7 @@
     }
     logLine(Severity::Info,
             "request.ended",
-            {{"request", m_terms.requestId},
+            {{"request", m_metadata.requestId},
              {"fingerprint", fingerprints().front().text()},
              {"outcome", outcome},
              {"detail", detail},
@@ -603,7 +605,7 @@
              {"events", static_cast<std::int64_t>(m_events.eventCount())},
              {"first_byte_ms", m_firstByte ? inMs(*m_firstByte - m_arrived) : -1},
              {"total_ms", inMs(now - m_arrived)},
-             {"bound", m_terms.bound()}});
+             {"bound", m_metadata.bound()}});
 }
 
 }
--- a/src/gateway/requestrun.h
+++ b/src/gateway/requestrun.h
@@ -77,7 +77,7 @@
     HttpExchange &m_exchange;
     std::shared_ptr<const RoutingPlan> m_plan;
     Instant m_arrived;
-    RequestTerms m_terms;
+    RequestMetadata m_metadata;
     const Route *m_route = nullptr;
     const ServicePlan *m_service = nullptr;
     std::string m_serviceName;
--- a/src/gateway/requesttimes.cpp
+++ b/src/gateway/requesttimes.cpp
@@ -28,22 +28,22 @@
     return std::max<Duration>(unclamped, std::chrono::milliseconds(1));
 }
 
-Duration maxExpectedDuration(const Route &route, const RequestTerms &terms)
+Duration maxExpectedDuration(const Route &route, const RequestMetadata &metadata)
 {
     if (route.repeatability != Repeatability::Stream) {
-        return std::min(route.timeout, terms.patience);
+        return std::min(route.timeout, metadata.patience);
     }
-    const double promptMs = s_slowEngineMsPerPromptToken * static_cast<double>(terms.promptTokens);
-    const double outputMs = s_slowEngineMsPerOutputToken * static_cast<double>(terms.outputLimit);
+    const double promptMs = s_slowEngineMsPerPromptToken * static_cast<double>(metadata.promptTokens);
+    const double outputMs = s_slowEngineMsPerOutputToken * static_cast<double>(metadata.outputLimit);
     const auto estimate =
         std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(promptMs + outputMs)) + s_queueTimeAllowance;
-    return std::min({estimate, route.timeout, terms.patience});
+    return std::min({estimate, route.timeout, metadata.patience});
 }
 
-Duration drainAllowance(const Route &route, const RequestTerms &terms, Duration untilShutdown)
+Duration drainAllowance(const Route &route, const RequestMetadata &metadata, Duration untilShutdown)
 {
     const bool lateInDrain = untilShutdown < s_lateDrainThreshold;
-    return lateInDrain ? s_lateDrainFactor * maxExpectedDuration(route, terms) : maxExpectedDuration(route, terms);
+    return lateInDrain ? s_lateDrainFactor * maxExpectedDuration(route, metadata) : maxExpectedDuration(route, metadata);
 }
 
 Duration firstByteTimeout(const Route &route, Duration remaining, bool retryAllowed)
--- a/src/gateway/requesttimes.h
+++ b/src/gateway/requesttimes.h
@@ -7,11 +7,11 @@
 
 /// Upper estimate of the time that a request takes if its target works normally: the route's timeout, or for streams an estimate from the
 /// token counts. Never longer than the route's timeout or the caller's.
-Duration maxExpectedDuration(const Route &route, const RequestTerms &terms);
+Duration maxExpectedDuration(const Route &route, const RequestMetadata &metadata);
 
 /// The time that must remain before a draining router shuts down for a request to be accepted. Late in the drain it is a multiple of
 /// `maxExpectedDuration`.
-Duration drainAllowance(const Route &route, const RequestTerms &terms, Duration untilShutdown);
+Duration drainAllowance(const Route &route, const RequestMetadata &metadata, Duration untilShutdown);
 
 /// How long an attempt may wait for its first byte: all of the remaining time, or, if the request may be retried at another target, little
 /// enough that a retry can still succeed.
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -67,7 +67,7 @@
     m_metrics.count("target_requests_total", labels);
 }
 
-void TargetChooser::noteTargetTerms(const std::string &incarnation, const AnswerTerms &answer, Instant sentAt)
+void TargetChooser::noteTargetTerms(const std::string &incarnation, const ResponseMetadata &answer, Instant sentAt)
 {
     if (!answer.unreadable.empty()) {
         logLine(Severity::Warning, "target.header_unreadable", {{"target", incarnation}, {"header", answer.unreadable}});
--- a/src/gateway/targetchooser.h
+++ b/src/gateway/targetchooser.h
@@ -59,7 +59,7 @@
     void renewLoads();
 
     /// Takes what an answer to a request that was sent at that instant says about its target.
-    void noteTargetTerms(const std::string &incarnation, const AnswerTerms &answer, Instant sentAt);
+    void noteTargetTerms(const std::string &incarnation, const ResponseMetadata &answer, Instant sentAt);
 
 private:
     /// Chooses a target after it has asked a few for what others have there.
--- a/src/measure/bookfleet.cpp
+++ b/src/measure/bookfleet.cpp
@@ -117,8 +117,8 @@
     if (!up(router) || m_closing == router) {
         return;
     }
-    const RequestTerms terms{.promptTokens = std::uniform_int_distribution<Tokens>(500, 9000)(m_random),
-                             .outputLimit = std::uniform_int_distribution<Tokens>(100, 800)(m_random)};
+    const RequestMetadata terms{.promptTokens = std::uniform_int_distribution<Tokens>(500, 9000)(m_random),
+                                .outputLimit = std::uniform_int_distribution<Tokens>(100, 800)(m_random)};
     m_routers[router]->holding(budget).noteRequest(terms.bound(), m_store.now);
     std::optional<Reservation> reservation = m_routers[router]->reserve(budget, terms.bound());
     if (!reservation && borrow(router, budget, terms.bound())) {
--- a/src/measure/bookfleet.h
+++ b/src/measure/bookfleet.h
@@ -83,7 +83,7 @@
         std::size_t router = 0;
         int budget = 0;
         Reservation reservation;
-        RequestTerms terms;
+        RequestMetadata terms;
         RequestUsage use;
         Instant begun{};
         Instant end{};
--- a/src/tests/gatewayscene.cpp
+++ b/src/tests/gatewayscene.cpp
@@ -24,20 +24,20 @@
 CallerCodec testCodec()
 {
     CallerCodec codec;
-    codec.readRequest = [](const http::fields &fields) -> absl::StatusOr<RequestTerms> {
-        RequestTerms terms{
+    codec.readRequest = [](const http::fields &fields) -> absl::StatusOr<RequestMetadata> {
+        RequestMetadata metadata{
             .requestId = std::string(fields["X-Id"]), .patience = std::chrono::seconds(3), .key = std::string(fields["X-Key"])};
-        terms.promptTokens = fields.count("X-Tokens") > 0 ? 10 : 0;
-        return terms;
+        metadata.promptTokens = fields.count("X-Tokens") > 0 ? 10 : 0;
+        return metadata;
     };
-    codec.dispatchHeaders = [](const HttpRequest &request, const DispatchTerms &terms) {
+    codec.dispatchHeaders = [](const HttpRequest &request, const DispatchMetadata &metadata) {
         std::vector<HttpHeader> headers = endToEndHeaders(request);
-        headers.push_back({.name = "X-Team", .value = terms.team});
-        headers.push_back({.name = "X-Resume", .value = terms.resumeAfter});
+        headers.push_back({.name = "X-Team", .value = metadata.team});
+        headers.push_back({.name = "X-Resume", .value = metadata.resumeAfter});
         return headers;
     };
-    codec.readAnswer = [](unsigned, const http::fields &fields) {
-        AnswerTerms answer{
+    codec.readResponse = [](unsigned, const http::fields &fields) {
+        ResponseMetadata answer{
             .requestId = std::string(fields["X-Id"]), .sealed = fields.count("X-Seal") > 0, .notRun = fields.count("X-Not-Run") > 0};
         if (fields.count("X-Limit") > 0) {
             answer.limit = std::stod(std::string(fields["X-Limit"]));
@@ -48,8 +48,8 @@
         }
         return answer;
     };
-    codec.refusal = [](const Failure &failure) {
-        CallerRefusal refusal{.status = httpStatus(failure.kind)};
+    codec.failureResponse = [](const Failure &failure) {
+        FailureResponse refusal{.status = httpStatus(failure.kind)};
         if (failure.retryAfterMs) {
             refusal.headers.push_back({.name = "X-Retry-Ms", .value = absl::StrCat(*failure.retryAfterMs)});
         }
--- a/src/tests/requestcosttest.cpp
+++ b/src/tests/requestcosttest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const RequestTerms s_terms{.promptTokens = 100, .outputLimit = 400};
+const RequestMetadata s_metadata{.promptTokens = 100, .outputLimit = 400};
 constexpr Tokens s_worstCase = 500;
 
 }
@@ -34,7 +34,7 @@
           Case{{.outcome = AttemptOutcome::Incomplete, .possibleExecutions = 1, .streamed = true, .events = 7}, s_worstCase},
           Case{{.outcome = AttemptOutcome::TimedOut, .possibleExecutions = 1}, s_worstCase},
           Case{{.outcome = AttemptOutcome::NotRun, .possibleExecutions = 1}, s_worstCase}}) {
-        BOOST_TEST(usedTokens(s_terms, item.use) == item.used);
+        BOOST_TEST(usedTokens(s_metadata, item.use) == item.used);
     }
 }
 
@@ -43,7 +43,7 @@
 {
     const RequestUsage left{
         .outcome = AttemptOutcome::CallerDisconnected, .possibleExecutions = 1, .streamed = true, .events = 10, .tokensPerEvent = 2};
-    BOOST_TEST(usedTokens(s_terms, left) > 120);
+    BOOST_TEST(usedTokens(s_metadata, left) > 120);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/requesttimestest.cpp
+++ b/src/tests/requesttimestest.cpp
@@ -15,8 +15,8 @@
 
 BOOST_AUTO_TEST_CASE(aStreamTakesByItsTokens)
 {
-    const RequestTerms small{.patience = 15 * s_second, .promptTokens = 500, .outputLimit = 100};
-    const RequestTerms large{.patience = 15 * s_second, .promptTokens = 9000, .outputLimit = 1000};
+    const RequestMetadata small{.patience = 15 * s_second, .promptTokens = 500, .outputLimit = 100};
+    const RequestMetadata large{.patience = 15 * s_second, .promptTokens = 9000, .outputLimit = 1000};
     BOOST_TEST((maxExpectedDuration(s_stream, small) < 2 * s_second));
     BOOST_TEST((maxExpectedDuration(s_stream, large) > 5 * s_second));
     BOOST_TEST((maxExpectedDuration(s_stream, {.patience = s_second, .promptTokens = 9000, .outputLimit = 1000}) == s_second));
@@ -25,9 +25,9 @@
 // A router was asked to end. Late in its time only what is certainly over before is still taken.
 BOOST_AUTO_TEST_CASE(anEndingRouterReckonsWithMoreLateInItsTime)
 {
-    const RequestTerms terms{.patience = 15 * s_second, .promptTokens = 500, .outputLimit = 100};
-    BOOST_TEST((drainAllowance(s_stream, terms, 7 * s_second) == maxExpectedDuration(s_stream, terms)));
-    BOOST_TEST((drainAllowance(s_stream, terms, 2 * s_second) == 2 * maxExpectedDuration(s_stream, terms)));
+    const RequestMetadata metadata{.patience = 15 * s_second, .promptTokens = 500, .outputLimit = 100};
+    BOOST_TEST((drainAllowance(s_stream, metadata, 7 * s_second) == maxExpectedDuration(s_stream, metadata)));
+    BOOST_TEST((drainAllowance(s_stream, metadata, 2 * s_second) == 2 * maxExpectedDuration(s_stream, metadata)));
 }
 
 // Where another attempt is allowed, the first one must not use up all of the time.
