--- a/src/gateway/callercodec.h
+++ b/src/gateway/callercodec.h
@@ -18,18 +18,18 @@
 struct RequestMetadata {
     std::string requestId;
     /// How long the caller waits, counted from when it sent the request.
-    Duration patience = std::chrono::seconds(30);
+    Duration callerTimeout = std::chrono::seconds(30);
     /// The team's key; empty when there is none.
-    std::string key;
+    std::string apiKey;
     /// Prompt tokens, and the most that may be generated; both 0 for a plain service.
     Tokens promptTokens = 0;
-    Tokens outputLimit = 0;
+    Tokens maxOutputTokens = 0;
     std::vector<PromptPart> prompt;
 
     /// The request's worst case.
-    Tokens bound() const
+    Tokens worstCaseTokens() const
     {
-        return promptTokens + outputLimit;
+        return promptTokens + maxOutputTokens;
     }
 };
 
@@ -52,17 +52,17 @@
     /// The target says that it did not run the request.
     bool notRun = false;
     /// Another process than the expected one has the address.
-    bool otherProcess = false;
+    bool misdirected = false;
     /// The body was changed on its way.
-    bool altered = false;
+    bool contentEncoded = false;
     /// Requests a second that the target takes from all routers together, for as long as its answers say so.
-    std::optional<double> limit;
+    std::optional<double> requestRateLimit;
     /// The target says that it leaves: it takes nothing new.
     bool leaving = false;
     /// The target has turned the request away, and wants nothing from this router for so long.
-    std::optional<Duration> rest;
+    std::optional<Duration> retryAfter;
     /// A header about the target that cannot be read; empty where there is none.
-    std::string unreadable;
+    std::string malformedHeader;
 };
 
 /// How a failure is told to callers of one interface.
--- a/src/gateway/requestcost.cpp
+++ b/src/gateway/requestcost.cpp
@@ -16,7 +16,7 @@
         return 0;
     }
     if (use.hasUncountedAttempt) {
-        return metadata.bound();
+        return metadata.worstCaseTokens();
     }
     const auto events = static_cast<Tokens>(use.events);
     if (use.outcome == AttemptOutcome::Delivered && use.streamed) {
@@ -28,7 +28,7 @@
     if (use.outcome == AttemptOutcome::CallerDisconnected) {
         return metadata.promptTokens + (events + s_maxUndeliveredEvents) * use.tokensPerEvent;
     }
-    return metadata.bound();
+    return metadata.worstCaseTokens();
 }
 
 }
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requestrun.cpp
@@ -111,7 +111,7 @@
     }
     m_priority = m_route->priority;
     if (m_plan->hasTeams() && !m_route->open) {
-        const TeamPlan *team = m_plan->teamOf(m_metadata.key);
+        const TeamPlan *team = m_plan->teamOf(m_metadata.apiKey);
         if (team == nullptr) {
             return failed(FailureKind::Unauthenticated, "no team has this key");
         }
@@ -135,14 +135,14 @@
     m_gateway.m_streamsInFlight += m_countedStream ? 1 : 0;
     m_serviceName = m_gateway.chooseService(*m_route);
     m_service = m_plan->service(m_serviceName);
-    m_deadline = m_arrived + std::min(m_metadata.patience, m_route->timeout);
+    m_deadline = m_arrived + std::min(m_metadata.callerTimeout, m_route->timeout);
     m_gateway.m_retries.recordRequest(m_serviceName, m_arrived);
     return absl::OkStatus();
 }
 
 asio::awaitable<absl::Status> RequestRun::reserve()
 {
-    if (m_team.empty() || m_metadata.bound() == 0) {
+    if (m_team.empty() || m_metadata.worstCaseTokens() == 0) {
         co_return absl::OkStatus();
     }
     const auto &teams = m_plan->teams();
@@ -150,7 +150,7 @@
     if (!team->prepaid) {
         co_return absl::OkStatus();
     }
-    const absl::StatusOr<Reservation> made = co_await m_gateway.m_ledger.reserve(m_team, m_metadata.bound());
+    const absl::StatusOr<Reservation> made = co_await m_gateway.m_ledger.reserve(m_team, m_metadata.worstCaseTokens());
     if (made.ok()) {
         m_reservation = *made;
     }
@@ -340,13 +340,13 @@
     m_gateway.m_chooser.noteTargetTerms(m_placement->incarnation, answer, m_attemptAt);
     if (answer.notRun) {
         m_lastProblem = absl::StrCat("declined with ", status);
-        m_sign = answer.otherProcess ? TargetSign::Neutral : TargetSign::Declined;
+        m_sign = answer.misdirected ? TargetSign::Neutral : TargetSign::Declined;
         co_return AttemptOutcome::NotRun;
     }
     const bool success = status >= s_firstSuccess && status < s_firstRedirect;
     m_succeeded = success;
-    if (answer.altered || (success && !answer.sealed)) {
-        m_lastProblem = answer.altered ? "the body is encoded" : "no seal";
+    if (answer.contentEncoded || (success && !answer.sealed)) {
+        m_lastProblem = answer.contentEncoded ? "the body is encoded" : "no seal";
         m_sign = TargetSign::Failing;
         co_return AttemptOutcome::Incomplete;
     }
@@ -605,7 +605,7 @@
              {"events", static_cast<std::int64_t>(m_events.eventCount())},
              {"first_byte_ms", m_firstByte ? inMs(*m_firstByte - m_arrived) : -1},
              {"total_ms", inMs(now - m_arrived)},
-             {"bound", m_metadata.bound()}});
+             {"bound", m_metadata.worstCaseTokens()}});
 }
 
 }
--- a/src/gateway/requesttimes.cpp
+++ b/src/gateway/requesttimes.cpp
@@ -31,13 +31,13 @@
 Duration maxExpectedDuration(const Route &route, const RequestMetadata &metadata)
 {
     if (route.repeatability != Repeatability::Stream) {
-        return std::min(route.timeout, metadata.patience);
+        return std::min(route.timeout, metadata.callerTimeout);
     }
     const double promptMs = s_slowEngineMsPerPromptToken * static_cast<double>(metadata.promptTokens);
-    const double outputMs = s_slowEngineMsPerOutputToken * static_cast<double>(metadata.outputLimit);
+    const double outputMs = s_slowEngineMsPerOutputToken * static_cast<double>(metadata.maxOutputTokens);
     const auto estimate =
         std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(promptMs + outputMs)) + s_queueTimeAllowance;
-    return std::min({estimate, route.timeout, metadata.patience});
+    return std::min({estimate, route.timeout, metadata.callerTimeout});
 }
 
 Duration drainAllowance(const Route &route, const RequestMetadata &metadata, Duration untilShutdown)
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -69,23 +69,23 @@
 
 void TargetChooser::noteTargetTerms(const std::string &incarnation, const ResponseMetadata &answer, Instant sentAt)
 {
-    if (!answer.unreadable.empty()) {
-        logLine(Severity::Warning, "target.header_unreadable", {{"target", incarnation}, {"header", answer.unreadable}});
+    if (!answer.malformedHeader.empty()) {
+        logLine(Severity::Warning, "target.header_unreadable", {{"target", incarnation}, {"header", answer.malformedHeader}});
     }
     if (answer.leaving && m_board.withdrawal(incarnation) != Withdrawal::Leaving) {
         logLine(Severity::Info, "target.says_leaving", {{"target", incarnation}});
     }
-    if (answer.leaving || answer.otherProcess) {
+    if (answer.leaving || answer.misdirected) {
         m_board.leaves(incarnation);
     }
-    if (answer.rest) {
+    if (answer.retryAfter) {
         logLine(Severity::Info,
                 "target.asks_rest",
-                {{"target", incarnation}, {"rest_ms", std::chrono::duration_cast<std::chrono::milliseconds>(*answer.rest).count()}});
-        m_board.closeUntil(incarnation, steadyNow() + *answer.rest);
+                {{"target", incarnation}, {"rest_ms", std::chrono::duration_cast<std::chrono::milliseconds>(*answer.retryAfter).count()}});
+        m_board.closeUntil(incarnation, steadyNow() + *answer.retryAfter);
     }
-    if (answer.limit) {
-        const double limit = std::max(*answer.limit, LimitAdmissions::s_leastPerSecond);
+    if (answer.requestRateLimit) {
+        const double limit = std::max(*answer.requestRateLimit, LimitAdmissions::s_leastPerSecond);
         setLimit(incarnation, limit);
         tellLimit(incarnation, limit);
     } else if (answer.sealed && endLimit(incarnation, sentAt)) {
--- a/src/measure/bookfleet.cpp
+++ b/src/measure/bookfleet.cpp
@@ -118,17 +118,17 @@
         return;
     }
     const RequestMetadata terms{.promptTokens = std::uniform_int_distribution<Tokens>(500, 9000)(m_random),
-                                .outputLimit = std::uniform_int_distribution<Tokens>(100, 800)(m_random)};
-    m_routers[router]->holding(budget).noteRequest(terms.bound(), m_store.now);
-    std::optional<Reservation> reservation = m_routers[router]->reserve(budget, terms.bound());
-    if (!reservation && borrow(router, budget, terms.bound())) {
-        reservation = m_routers[router]->reserve(budget, terms.bound());
+                                .maxOutputTokens = std::uniform_int_distribution<Tokens>(100, 800)(m_random)};
+    m_routers[router]->holding(budget).noteRequest(terms.worstCaseTokens(), m_store.now);
+    std::optional<Reservation> reservation = m_routers[router]->reserve(budget, terms.worstCaseTokens());
+    if (!reservation && borrow(router, budget, terms.worstCaseTokens())) {
+        reservation = m_routers[router]->reserve(budget, terms.worstCaseTokens());
     }
     if (!reservation) {
         ++m_refused;
         return;
     }
-    const Tokens events = std::uniform_int_distribution<Tokens>(1, terms.outputLimit / s_tokensPerEvent)(m_random);
+    const Tokens events = std::uniform_int_distribution<Tokens>(1, terms.maxOutputTokens / s_tokensPerEvent)(m_random);
     m_running.push_back(
         {.router = router,
          .budget = budget,
--- a/src/tests/gatewayscene.cpp
+++ b/src/tests/gatewayscene.cpp
@@ -26,7 +26,7 @@
     CallerCodec codec;
     codec.readRequest = [](const http::fields &fields) -> absl::StatusOr<RequestMetadata> {
         RequestMetadata metadata{
-            .requestId = std::string(fields["X-Id"]), .patience = std::chrono::seconds(3), .key = std::string(fields["X-Key"])};
+            .requestId = std::string(fields["X-Id"]), .callerTimeout = std::chrono::seconds(3), .apiKey = std::string(fields["X-Key"])};
         metadata.promptTokens = fields.count("X-Tokens") > 0 ? 10 : 0;
         return metadata;
     };
@@ -40,11 +40,11 @@
         ResponseMetadata answer{
             .requestId = std::string(fields["X-Id"]), .sealed = fields.count("X-Seal") > 0, .notRun = fields.count("X-Not-Run") > 0};
         if (fields.count("X-Limit") > 0) {
-            answer.limit = std::stod(std::string(fields["X-Limit"]));
+            answer.requestRateLimit = std::stod(std::string(fields["X-Limit"]));
         }
         answer.leaving = fields.count("X-Leaving") > 0;
         if (fields.count("X-Rest") > 0) {
-            answer.rest = std::chrono::seconds(std::stoi(std::string(fields["X-Rest"])));
+            answer.retryAfter = std::chrono::seconds(std::stoi(std::string(fields["X-Rest"])));
         }
         return answer;
     };
--- a/src/tests/requestcosttest.cpp
+++ b/src/tests/requestcosttest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const RequestMetadata s_metadata{.promptTokens = 100, .outputLimit = 400};
+const RequestMetadata s_metadata{.promptTokens = 100, .maxOutputTokens = 400};
 constexpr Tokens s_worstCase = 500;
 
 }
--- a/src/tests/requesttimestest.cpp
+++ b/src/tests/requesttimestest.cpp
@@ -15,17 +15,17 @@
 
 BOOST_AUTO_TEST_CASE(aStreamTakesByItsTokens)
 {
-    const RequestMetadata small{.patience = 15 * s_second, .promptTokens = 500, .outputLimit = 100};
-    const RequestMetadata large{.patience = 15 * s_second, .promptTokens = 9000, .outputLimit = 1000};
+    const RequestMetadata small{.callerTimeout = 15 * s_second, .promptTokens = 500, .maxOutputTokens = 100};
+    const RequestMetadata large{.callerTimeout = 15 * s_second, .promptTokens = 9000, .maxOutputTokens = 1000};
     BOOST_TEST((maxExpectedDuration(s_stream, small) < 2 * s_second));
     BOOST_TEST((maxExpectedDuration(s_stream, large) > 5 * s_second));
-    BOOST_TEST((maxExpectedDuration(s_stream, {.patience = s_second, .promptTokens = 9000, .outputLimit = 1000}) == s_second));
+    BOOST_TEST((maxExpectedDuration(s_stream, {.callerTimeout = s_second, .promptTokens = 9000, .maxOutputTokens = 1000}) == s_second));
 }
 
 // A router was asked to end. Late in its time only what is certainly over before is still taken.
 BOOST_AUTO_TEST_CASE(anEndingRouterReckonsWithMoreLateInItsTime)
 {
-    const RequestMetadata metadata{.patience = 15 * s_second, .promptTokens = 500, .outputLimit = 100};
+    const RequestMetadata metadata{.callerTimeout = 15 * s_second, .promptTokens = 500, .maxOutputTokens = 100};
     BOOST_TEST((drainAllowance(s_stream, metadata, 7 * s_second) == maxExpectedDuration(s_stream, metadata)));
     BOOST_TEST((drainAllowance(s_stream, metadata, 2 * s_second) == 2 * maxExpectedDuration(s_stream, metadata)));
 }
