--- a/src/gateway/callercodec.cpp
+++ b/src/gateway/callercodec.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::array s_perConnection{
+constexpr std::array s_hopByHopHeaders{
     std::string_view("connection"),
     std::string_view("keep-alive"),
     std::string_view("proxy-connection"),
@@ -29,21 +29,21 @@
 
 std::vector<HttpHeader> endToEndHeaders(const http::fields &fields)
 {
-    std::vector<std::string> named;
+    std::vector<std::string> namedInConnection;
     for (const auto &field : fields) {
         if (field.name() != http::field::connection) {
             continue;
         }
         const std::string value = absl::AsciiStrToLower(std::string(field.value()));
         for (const auto item : absl::StrSplit(value, ',')) {
-            named.emplace_back(absl::StripAsciiWhitespace(item));
+            namedInConnection.emplace_back(absl::StripAsciiWhitespace(item));
         }
     }
     std::vector<HttpHeader> headers;
     for (const auto &field : fields) {
         const std::string name = absl::AsciiStrToLower(std::string(field.name_string()));
-        const bool perConnection = std::ranges::find(s_perConnection, name) != s_perConnection.end();
-        if (!perConnection && std::ranges::find(named, name) == named.end()) {
+        const bool hopByHop = std::ranges::find(s_hopByHopHeaders, name) != s_hopByHopHeaders.end();
+        if (!hopByHop && std::ranges::find(namedInConnection, name) == namedInConnection.end()) {
             headers.push_back({.name = std::string(field.name_string()), .value = std::string(field.value())});
         }
     }
