--- a/src/gateway/callercodec.h
+++ b/src/gateway/callercodec.h
@@ -14,74 +14,75 @@
 
 namespace bamboohold {
 
-/// What a caller says about its request besides method, path and body.
+/// The information about a request that its caller sends in headers.
 struct RequestMetadata {
     std::string requestId;
-    /// How long the caller waits, counted from when it sent the request.
+    /// How long the caller waits for the response, counted from when it sent the request.
     Duration callerTimeout = std::chrono::seconds(30);
-    /// The team's key; empty when there is none.
+    /// The team's API key; empty if there is none.
     std::string apiKey;
-    /// Prompt tokens, and the most that may be generated; both 0 for a plain service.
+    /// Prompt tokens, and the most tokens that may be generated; both 0 for a service that does not use tokens.
     Tokens promptTokens = 0;
     Tokens maxOutputTokens = 0;
     std::vector<PromptPart> prompt;
 
-    /// The request's worst case.
+    /// The most tokens that the request can use.
     Tokens worstCaseTokens() const
     {
         return promptTokens + maxOutputTokens;
     }
 };
 
-/// What a router tells a target about one attempt.
+/// The information about one attempt that a router sends to a target.
 struct DispatchMetadata {
-    /// Name of the only process that may run it; addresses are used again. It keeps the name when it starts again.
+    /// Name of the only process that may run the request, since addresses are reused. It keeps this name when it restarts.
     std::string incarnation;
     std::string team;
     Duration timeLeft{};
     int priority = 0;
-    /// Goes on after this event; empty: from the start, or where the caller itself asked to go on.
+    /// The id of the event after which the stream is to continue. If empty, it starts at the beginning, or where the caller itself asked to
+    /// resume.
     std::string resumeAfter;
 };
 
-/// What an answer's head says besides its status.
+/// The information in the head of a response, apart from its status.
 struct ResponseMetadata {
     std::string requestId;
-    /// The target vouches for the answer.
+    /// The target has marked the response as its own with a seal.
     bool sealed = false;
-    /// The target says that it did not run the request.
+    /// The target states that it did not run the request.
     bool notRun = false;
-    /// Another process than the expected one has the address.
+    /// The address belongs to another process than the expected one.
     bool misdirected = false;
-    /// The body was changed on its way.
+    /// The body has a content encoding, so it was changed in transit.
     bool contentEncoded = false;
-    /// Requests a second that the target takes from all routers together, for as long as its answers say so.
+    /// Requests per second that the target accepts from all routers together. The limit applies as long as its responses name it.
     std::optional<double> requestRateLimit;
-    /// The target says that it leaves: it takes nothing new.
+    /// The target is shutting down and accepts no new requests.
     bool leaving = false;
-    /// The target has turned the request away, and wants nothing from this router for so long.
+    /// The target has declined the request, and this router is to send it no requests for this long.
     std::optional<Duration> retryAfter;
-    /// A header about the target that cannot be read; empty where there is none.
+    /// A header with information about the target that could not be parsed; empty if there is none.
     std::string malformedHeader;
 };
 
-/// How a failure is told to callers of one interface.
+/// How a failure is reported to the callers of one interface.
 struct FailureResponse {
     unsigned status = 503;
     std::vector<HttpHeader> headers;
 };
 
-/// The headers of a caller's interface, decoded into terms and back. An interface is added by filling in the four functions.
+/// Translates between the headers of a caller interface and the metadata above. A new interface provides these four functions.
 struct CallerCodec {
     std::function<absl::StatusOr<RequestMetadata>(const http::fields &)> readRequest;
-    /// All headers that go to the target, the caller's own included.
+    /// All headers for the target, including those of the caller.
     std::function<std::vector<HttpHeader>(const HttpRequest &, const DispatchMetadata &)> dispatchHeaders;
     std::function<ResponseMetadata(unsigned status, const http::fields &)> readResponse;
     std::function<FailureResponse(const Failure &)> failureResponse;
 };
 
-/// The headers of a message that are meant for more than one connection: all but those that HTTP calls hop-by-hop, those that the message
-/// itself declares to be so, and those about its framing.
+/// The end-to-end headers of a message: all but the hop-by-hop headers of HTTP, those that the message itself names in Connection, and
+/// those about its framing.
 std::vector<HttpHeader> endToEndHeaders(const http::fields &fields);
 
 }
