--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,7 +1,7 @@
 #include "gateway/gateway.h"
 
 #include "clock/steadytime.h"
-#include "gateway/requestrun.h"
+#include "gateway/requesthandler.h"
 #include "net/endpoint.h"
 #include "operations/log.h"
 
@@ -31,8 +31,8 @@
         co_await waitUntilReady();
     }
     // The request keeps the plan it came under, also when a newer one arrives while it runs.
-    RequestRun run(*this, exchange, m_plan, arrived);
-    co_await run.serve();
+    RequestHandler request(*this, exchange, m_plan, arrived);
+    co_await request.serve();
 }
 
 asio::awaitable<void> Gateway::waitUntilReady()
@@ -69,7 +69,7 @@
         logLine(shedding ? Severity::Warning : Severity::Info,
                 shedding ? "router.overloaded" : "router.overload_over",
                 {{"delay_ms", std::chrono::duration_cast<std::chrono::milliseconds>(delay).count()},
-                 {"in_flight", static_cast<std::int64_t>(m_runs.size())}});
+                 {"in_flight", static_cast<std::int64_t>(m_activeRequests.size())}});
     }
     m_shedding = shedding;
 }
@@ -92,8 +92,8 @@
 void Gateway::prune()
 {
     const Instant now = steadyNow();
-    for (RequestRun *run : m_runs) {
-        run->leaveFormerLife(now);
+    for (RequestHandler *request : m_activeRequests) {
+        request->leaveFormerLife(now);
     }
     std::erase_if(m_clients, [this](const auto &entry) {
         return !m_board.lists(entry.first);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -22,7 +22,7 @@
 
 namespace bamboohold {
 
-class RequestRun;
+class RequestHandler;
 
 /// Serves callers straight from the targets: finds route and team, reserves tokens, chooses a target, passes the answer on, settles. Lives
 /// on one event loop.
@@ -65,7 +65,7 @@
     /// Requests under way.
     std::size_t inFlight() const
     {
-        return m_runs.size();
+        return m_activeRequests.size();
     }
 
     /// Streams under way: what a process that ends has to wait for.
@@ -114,7 +114,7 @@
     void prune();
 
 private:
-    friend class RequestRun;
+    friend class RequestHandler;
 
     bool ready() const
     {
@@ -143,7 +143,7 @@
     /// By incarnation.
     std::map<std::string, std::shared_ptr<HttpClient>> m_clients;
     std::mt19937_64 m_random;
-    std::set<RequestRun *> m_runs;
+    std::set<RequestHandler *> m_activeRequests;
     std::size_t m_streamsInFlight = 0;
     std::optional<Instant> m_end;
 };
--- a/src/gateway/requestrun.cpp
+++ b/src/gateway/requesthandler.cpp
@@ -1,4 +1,4 @@
-#include "gateway/requestrun.h"
+#include "gateway/requesthandler.h"
 
 #include "clock/steadytime.h"
 #include "gateway/requestcost.h"
@@ -49,22 +49,22 @@
 
 }
 
-RequestRun::RequestRun(Gateway &gateway, HttpExchange &exchange, std::shared_ptr<const RoutingPlan> plan, Instant arrived)
+RequestHandler::RequestHandler(Gateway &gateway, HttpExchange &exchange, std::shared_ptr<const RoutingPlan> plan, Instant arrived)
     : m_gateway(gateway)
     , m_exchange(exchange)
     , m_plan(std::move(plan))
     , m_arrived(arrived)
 {
-    m_gateway.m_runs.insert(this);
+    m_gateway.m_activeRequests.insert(this);
 }
 
-RequestRun::~RequestRun()
+RequestHandler::~RequestHandler()
 {
-    m_gateway.m_runs.erase(this);
+    m_gateway.m_activeRequests.erase(this);
     m_gateway.m_streamsInFlight -= m_countedStream ? 1 : 0;
 }
 
-asio::awaitable<void> RequestRun::serve()
+asio::awaitable<void> RequestHandler::serve()
 {
     const absl::Status admitted = admit();
     if (!admitted.ok()) {
@@ -94,7 +94,7 @@
     co_await finish(outcome);
 }
 
-absl::Status RequestRun::admit()
+absl::Status RequestHandler::admit()
 {
     absl::StatusOr<RequestMetadata> terms = m_gateway.m_options.codec.readRequest(m_exchange.request());
     if (!terms.ok()) {
@@ -140,7 +140,7 @@
     return absl::OkStatus();
 }
 
-asio::awaitable<absl::Status> RequestRun::reserve()
+asio::awaitable<absl::Status> RequestHandler::reserve()
 {
     if (m_team.empty() || m_metadata.worstCaseTokens() == 0) {
         co_return absl::OkStatus();
@@ -157,7 +157,7 @@
     co_return made.status();
 }
 
-asio::awaitable<AttemptOutcome> RequestRun::attempts()
+asio::awaitable<AttemptOutcome> RequestHandler::attempts()
 {
     AttemptOutcome outcome = AttemptOutcome::NotRun;
     m_lastProblem = "no target";
@@ -195,7 +195,7 @@
     co_return outcome;
 }
 
-void RequestRun::leaveFormerLife(Instant now)
+void RequestHandler::leaveFormerLife(Instant now)
 {
     const bool waits = m_call != nullptr && m_route->repeatable() && now - m_lastHeard >= s_formerLifeSilence;
     if (waits && m_gateway.m_board.reborn(m_placement->name, m_placement->incarnation)) {
@@ -203,7 +203,7 @@
     }
 }
 
-void RequestRun::noteFirstByte()
+void RequestHandler::noteFirstByte()
 {
     m_lastHeard = steadyNow();
     if (!m_attemptBegun) {
@@ -213,7 +213,7 @@
     }
 }
 
-void RequestRun::noteAttemptEnd(AttemptOutcome outcome)
+void RequestHandler::noteAttemptEnd(AttemptOutcome outcome)
 {
     noteFirstByte();
     m_gateway.m_board.done(m_placement->incarnation, m_sign, steadyNow());
@@ -239,7 +239,7 @@
     }
 }
 
-bool RequestRun::mayTryAgain(AttemptOutcome outcome, Instant now)
+bool RequestHandler::mayTryAgain(AttemptOutcome outcome, Instant now)
 {
     const bool open = outcome == AttemptOutcome::NotRun || outcome == AttemptOutcome::Failed || outcome == AttemptOutcome::Incomplete;
     if (!open || m_callerLeft || m_tried.size() >= s_maxTries || m_deadline - now < s_leastTime) {
@@ -265,13 +265,13 @@
     return true;
 }
 
-Duration RequestRun::firstByteTime(Instant now) const
+Duration RequestHandler::firstByteTime(Instant now) const
 {
     const bool another = m_route->repeatable() && m_ran + 1 < m_route->maxAttempts;
     return firstByteTimeout(*m_route, m_deadline - now, another);
 }
 
-HttpCallOptions RequestRun::callOptions(const Placement &placement, Instant now)
+HttpCallOptions RequestHandler::callOptions(const Placement &placement, Instant now)
 {
     const HttpRequest &request = m_exchange.request();
     DispatchMetadata terms{.incarnation = placement.name, .team = m_team, .timeLeft = m_deadline - now, .priority = m_priority};
@@ -299,7 +299,7 @@
     return options;
 }
 
-AttemptOutcome RequestRun::endOf(const absl::Status &status) const
+AttemptOutcome RequestHandler::endOf(const absl::Status &status) const
 {
     if (toFailure(status).ran == Ran::No) {
         return AttemptOutcome::NotRun;
@@ -310,7 +310,7 @@
     return steadyNow() >= m_deadline ? AttemptOutcome::TimedOut : AttemptOutcome::Incomplete;
 }
 
-asio::awaitable<AttemptOutcome> RequestRun::attempt(const Placement &placement)
+asio::awaitable<AttemptOutcome> RequestHandler::attempt(const Placement &placement)
 {
     HttpCallOptions options = callOptions(placement, m_attemptAt);
     const std::shared_ptr<HttpClient> client = m_gateway.client(placement);
@@ -333,7 +333,7 @@
     co_return outcome;
 }
 
-asio::awaitable<AttemptOutcome> RequestRun::takeAnswer(HttpStreamCall &call)
+asio::awaitable<AttemptOutcome> RequestHandler::takeAnswer(HttpStreamCall &call)
 {
     const ResponseMetadata answer = m_gateway.m_options.codec.readResponse(call.status(), call.headers());
     const unsigned status = call.status();
@@ -360,7 +360,7 @@
     co_return outcome;
 }
 
-AttemptOutcome RequestRun::answerBrokeOff(const absl::Status &status)
+AttemptOutcome RequestHandler::answerBrokeOff(const absl::Status &status)
 {
     m_lastProblem = std::string(status.message());
     m_sign = m_callerLeft ? TargetSign::Neutral : TargetSign::Failing;
@@ -368,7 +368,7 @@
     return endOf(status);
 }
 
-asio::awaitable<AttemptOutcome> RequestRun::takeWhole(HttpStreamCall &call)
+asio::awaitable<AttemptOutcome> RequestHandler::takeWhole(HttpStreamCall &call)
 {
     HeldAnswer answer{.status = call.status(), .headers = endToEndHeaders(call.headers())};
     bool more = true;
@@ -399,7 +399,7 @@
     co_return AttemptOutcome::Delivered;
 }
 
-asio::awaitable<bool> RequestRun::passOn(std::string_view events)
+asio::awaitable<bool> RequestHandler::passOn(std::string_view events)
 {
     m_firstByte = m_firstByte.value_or(steadyNow());
     const bool taken = co_await m_exchange.writeChunk(events);
@@ -407,7 +407,7 @@
     co_return taken;
 }
 
-asio::awaitable<void> RequestRun::beginStream(HttpStreamCall &call)
+asio::awaitable<void> RequestHandler::beginStream(HttpStreamCall &call)
 {
     if (m_streaming) {
         co_return;
@@ -418,7 +418,7 @@
     m_callerLeft = m_callerLeft || !begun;
 }
 
-asio::awaitable<AttemptOutcome> RequestRun::takeStream(HttpStreamCall &call)
+asio::awaitable<AttemptOutcome> RequestHandler::takeStream(HttpStreamCall &call)
 {
     const Duration stallTimeout = streamStallTimeout(*m_route);
     bool more = true;
@@ -451,7 +451,7 @@
     co_return AttemptOutcome::Delivered;
 }
 
-void RequestRun::settle(AttemptOutcome outcome)
+void RequestHandler::settle(AttemptOutcome outcome)
 {
     if (!m_reservation) {
         return;
@@ -467,7 +467,7 @@
     m_reservation.reset();
 }
 
-asio::awaitable<void> RequestRun::finish(AttemptOutcome outcome)
+asio::awaitable<void> RequestHandler::finish(AttemptOutcome outcome)
 {
     const std::string ran = absl::StrCat(m_ran, " of ", m_tried.size(), " attempts may have run; ", m_lastProblem);
     if (outcome == AttemptOutcome::Delivered) {
@@ -504,7 +504,7 @@
     co_await refuse(failure);
 }
 
-asio::awaitable<void> RequestRun::refuse(const Failure &failure)
+asio::awaitable<void> RequestHandler::refuse(const Failure &failure)
 {
     logEnd(failureName(failure.kind), failure.detail);
     FailureResponse refusal = m_gateway.m_options.codec.failureResponse(failure);
@@ -512,7 +512,7 @@
     co_await m_exchange.respond(refusal.status, "application/json", std::move(body), std::move(refusal.headers));
 }
 
-FingerprintSource RequestRun::fingerprintSource() const
+FingerprintSource RequestHandler::fingerprintSource() const
 {
     const HttpRequest &request = m_exchange.request();
     return {.team = m_team,
@@ -522,7 +522,7 @@
             .body = request.body()};
 }
 
-const FingerprintPair &RequestRun::fingerprints()
+const FingerprintPair &RequestHandler::fingerprints()
 {
     if (!m_fingerprints) {
         m_fingerprints = fingerprintsOf(fingerprintSource());
@@ -530,13 +530,13 @@
     return *m_fingerprints;
 }
 
-std::optional<Duration> RequestRun::heldBackFor()
+std::optional<Duration> RequestHandler::heldBackFor()
 {
     const bool known = m_gateway.m_guard.mayKnow(RequestFingerprint::addressHash(fingerprintSource()));
     return known ? m_gateway.m_guard.heldFor(fingerprints()) : std::nullopt;
 }
 
-absl::Status RequestRun::heldBack()
+absl::Status RequestHandler::heldBack()
 {
     // A request that crashes every target that begins it comes again and again; sent on, each copy takes a target and all that runs there
     // with it. This router or its peers have seen it do so.
@@ -551,7 +551,7 @@
     return toStatus({.kind = FailureKind::Quarantined, .detail = "targets crashed under this request", .retryAfterMs = inMs(*held)});
 }
 
-void RequestRun::noteBreakOff(AttemptOutcome outcome)
+void RequestHandler::noteBreakOff(AttemptOutcome outcome)
 {
     if (!m_gateway.m_options.quarantines) {
         return;
@@ -567,14 +567,14 @@
     }
 }
 
-void RequestRun::noteAnswered()
+void RequestHandler::noteAnswered()
 {
     if (m_gateway.m_guard.wantsAnswers(RequestFingerprint::addressHash(fingerprintSource()))) {
         m_gateway.m_guard.answered(fingerprints());
     }
 }
 
-void RequestRun::logEnd(std::string_view outcome, std::string_view detail)
+void RequestHandler::logEnd(std::string_view outcome, std::string_view detail)
 {
     const Instant now = steadyNow();
     const std::string route = m_route != nullptr ? m_route->name : std::string();
--- a/src/gateway/requestrun.h
+++ b/src/gateway/requesthandler.h
@@ -16,15 +16,15 @@
 ///
 /// What it may say to the caller follows from what is known: "not run" only while every attempt was declined by its target or never reached
 /// one. An answer is taken as whole only with the target's seal and its last byte.
-class RequestRun
+class RequestHandler
 {
 public:
     /// `arrived`: when the whole request had been read.
-    RequestRun(Gateway &gateway, HttpExchange &exchange, std::shared_ptr<const RoutingPlan> plan, Instant arrived);
-    ~RequestRun();
+    RequestHandler(Gateway &gateway, HttpExchange &exchange, std::shared_ptr<const RoutingPlan> plan, Instant arrived);
+    ~RequestHandler();
 
-    RequestRun(const RequestRun &) = delete;
-    RequestRun &operator=(const RequestRun &) = delete;
+    RequestHandler(const RequestHandler &) = delete;
+    RequestHandler &operator=(const RequestHandler &) = delete;
 
     /// Serves the request to its end.
     asio::awaitable<void> serve();
