--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -93,7 +93,7 @@
 {
     const Instant now = steadyNow();
     for (RequestHandler *request : m_activeRequests) {
-        request->leaveFormerLife(now);
+        request->abandonRestartedTarget(now);
     }
     std::erase_if(m_clients, [this](const auto &entry) {
         return !m_board.lists(entry.first);
--- a/src/gateway/requesthandler.cpp
+++ b/src/gateway/requesthandler.cpp
@@ -86,7 +86,7 @@
             m_call->cancel();
         }
     });
-    const AttemptOutcome outcome = co_await attempts();
+    const AttemptOutcome outcome = co_await runAttempts();
     settle(outcome);
     if (m_onTrial && m_ran == 0) {
         m_gateway.m_guard.trialNotRun(fingerprints());
@@ -128,7 +128,7 @@
                          .detail = "this router is overloaded",
                          .retryAfterMs = inMs(std::max(s_retryElsewhere, elsewhere))});
     }
-    if (const absl::Status held = heldBack(); !held.ok()) {
+    if (const absl::Status held = checkQuarantine(); !held.ok()) {
         return held;
     }
     m_countedStream = m_route->repeatability == Repeatability::Stream;
@@ -157,7 +157,7 @@
     co_return made.status();
 }
 
-asio::awaitable<AttemptOutcome> RequestHandler::attempts()
+asio::awaitable<AttemptOutcome> RequestHandler::runAttempts()
 {
     AttemptOutcome outcome = AttemptOutcome::NotRun;
     m_lastProblem = "no target";
@@ -189,13 +189,13 @@
         m_gateway.m_board.sent(placement->incarnation, m_metadata.prompt, placement->uncached, now);
         m_gateway.m_chooser.countSent(placement->incarnation);
         m_gateway.m_chooser.tellLoad(placement->incarnation);
-        outcome = co_await attempt(*placement);
-        noteAttemptEnd(outcome);
-    } while (mayTryAgain(outcome, steadyNow()));
+        outcome = co_await runAttempt(*placement);
+        recordAttemptOutcome(outcome);
+    } while (shouldRetry(outcome, steadyNow()));
     co_return outcome;
 }
 
-void RequestHandler::leaveFormerLife(Instant now)
+void RequestHandler::abandonRestartedTarget(Instant now)
 {
     const bool waits = m_call != nullptr && m_route->repeatable() && now - m_lastHeard >= s_formerLifeSilence;
     if (waits && m_gateway.m_board.reborn(m_placement->name, m_placement->incarnation)) {
@@ -203,7 +203,7 @@
     }
 }
 
-void RequestHandler::noteFirstByte()
+void RequestHandler::recordFirstByte()
 {
     m_lastHeard = steadyNow();
     if (!m_attemptBegun) {
@@ -213,18 +213,18 @@
     }
 }
 
-void RequestHandler::noteAttemptEnd(AttemptOutcome outcome)
+void RequestHandler::recordAttemptOutcome(AttemptOutcome outcome)
 {
-    noteFirstByte();
+    recordFirstByte();
     m_gateway.m_board.done(m_placement->incarnation, m_sign, steadyNow());
     m_gateway.m_chooser.tellLoad(m_placement->incarnation);
     if (outcome != AttemptOutcome::NotRun) {
         ++m_ran;
     }
-    noteBreakOff(outcome);
+    reportInterruption(outcome);
     // A failure that a target answers may come before it begins to run the request: it proves nothing.
     if (outcome == AttemptOutcome::Delivered && m_succeeded) {
-        noteAnswered();
+        reportSuccess();
     }
     if (outcome != AttemptOutcome::Delivered && outcome != AttemptOutcome::CallerDisconnected) {
         logLine(Severity::Info,
@@ -239,7 +239,7 @@
     }
 }
 
-bool RequestHandler::mayTryAgain(AttemptOutcome outcome, Instant now)
+bool RequestHandler::shouldRetry(AttemptOutcome outcome, Instant now)
 {
     const bool open = outcome == AttemptOutcome::NotRun || outcome == AttemptOutcome::Failed || outcome == AttemptOutcome::Incomplete;
     if (!open || m_callerLeft || m_tried.size() >= s_maxTries || m_deadline - now < s_leastTime) {
@@ -250,7 +250,7 @@
         return false;
     }
     const bool triesElsewhere = m_onTrial && !ran;
-    if (!triesElsewhere && heldBackFor()) {
+    if (!triesElsewhere && quarantineRemaining()) {
         m_lastProblem.append("; targets crashed under this request");
         return false;
     }
@@ -265,7 +265,7 @@
     return true;
 }
 
-Duration RequestHandler::firstByteTime(Instant now) const
+Duration RequestHandler::attemptFirstByteTimeout(Instant now) const
 {
     const bool another = m_route->repeatable() && m_ran + 1 < m_route->maxAttempts;
     return firstByteTimeout(*m_route, m_deadline - now, another);
@@ -284,7 +284,7 @@
                             .body = request.body(),
                             .headers = m_gateway.m_options.codec.dispatchHeaders(request, terms),
                             .host = std::string(m_exchange.header("Host")),
-                            .timeout = firstByteTime(now),
+                            .timeout = attemptFirstByteTimeout(now),
                             .connectTimeout = s_connectTimeout,
                             .sendBefore = placement.sendBefore};
     // A loop that is late hears of a caller's end long after the kernel did, and a call that must not run twice is not cancelled by it.
@@ -299,7 +299,7 @@
     return options;
 }
 
-AttemptOutcome RequestHandler::endOf(const absl::Status &status) const
+AttemptOutcome RequestHandler::outcomeOf(const absl::Status &status) const
 {
     if (toFailure(status).ran == Ran::No) {
         return AttemptOutcome::NotRun;
@@ -310,7 +310,7 @@
     return steadyNow() >= m_deadline ? AttemptOutcome::TimedOut : AttemptOutcome::Incomplete;
 }
 
-asio::awaitable<AttemptOutcome> RequestHandler::attempt(const Placement &placement)
+asio::awaitable<AttemptOutcome> RequestHandler::runAttempt(const Placement &placement)
 {
     HttpCallOptions options = callOptions(placement, m_attemptAt);
     const std::shared_ptr<HttpClient> client = m_gateway.client(placement);
@@ -320,9 +320,9 @@
     AttemptOutcome outcome = AttemptOutcome::Incomplete;
     if (started.ok()) {
         ++m_sent;
-        outcome = co_await takeAnswer(call);
+        outcome = co_await receiveResponse(call);
     } else {
-        outcome = endOf(started);
+        outcome = outcomeOf(started);
         m_lastProblem = std::string(started.message());
         m_sent += outcome == AttemptOutcome::NotRun ? 0 : 1;
         m_brokeOff = !call.cancelled();
@@ -333,7 +333,7 @@
     co_return outcome;
 }
 
-asio::awaitable<AttemptOutcome> RequestHandler::takeAnswer(HttpStreamCall &call)
+asio::awaitable<AttemptOutcome> RequestHandler::receiveResponse(HttpStreamCall &call)
 {
     const ResponseMetadata answer = m_gateway.m_options.codec.readResponse(call.status(), call.headers());
     const unsigned status = call.status();
@@ -353,33 +353,33 @@
     const bool stream = success && m_route->repeatability == Repeatability::Stream;
     AttemptOutcome outcome = AttemptOutcome::Incomplete;
     if (stream) {
-        outcome = co_await takeStream(call);
+        outcome = co_await forwardStream(call);
     } else {
-        outcome = co_await takeWhole(call);
+        outcome = co_await receiveBufferedResponse(call);
     }
     co_return outcome;
 }
 
-AttemptOutcome RequestHandler::answerBrokeOff(const absl::Status &status)
+AttemptOutcome RequestHandler::handleInterruptedResponse(const absl::Status &status)
 {
     m_lastProblem = std::string(status.message());
     m_sign = m_callerLeft ? TargetSign::Neutral : TargetSign::Failing;
     m_brokeOff = !m_call->cancelled();
-    return endOf(status);
+    return outcomeOf(status);
 }
 
-asio::awaitable<AttemptOutcome> RequestHandler::takeWhole(HttpStreamCall &call)
+asio::awaitable<AttemptOutcome> RequestHandler::receiveBufferedResponse(HttpStreamCall &call)
 {
-    HeldAnswer answer{.status = call.status(), .headers = endToEndHeaders(call.headers())};
+    BufferedResponse answer{.status = call.status(), .headers = endToEndHeaders(call.headers())};
     bool more = true;
     while (more) {
         call.setTimeout(clampedTimeout(m_deadline - steadyNow()));
         absl::StatusOr<std::string> piece = co_await call.readSome();
         if (!piece.ok()) {
-            const AttemptOutcome outcome = answerBrokeOff(piece.status());
+            const AttemptOutcome outcome = handleInterruptedResponse(piece.status());
             co_return outcome;
         }
-        noteFirstByte();
+        recordFirstByte();
         more = !piece->empty();
         answer.body.append(*piece);
         if (answer.body.size() > s_heldBytes && more) {
@@ -399,7 +399,7 @@
     co_return AttemptOutcome::Delivered;
 }
 
-asio::awaitable<bool> RequestHandler::passOn(std::string_view events)
+asio::awaitable<bool> RequestHandler::forwardEvents(std::string_view events)
 {
     m_firstByte = m_firstByte.value_or(steadyNow());
     const bool taken = co_await m_exchange.writeChunk(events);
@@ -407,7 +407,7 @@
     co_return taken;
 }
 
-asio::awaitable<void> RequestHandler::beginStream(HttpStreamCall &call)
+asio::awaitable<void> RequestHandler::startCallerStream(HttpStreamCall &call)
 {
     if (m_streaming) {
         co_return;
@@ -418,35 +418,35 @@
     m_callerLeft = m_callerLeft || !begun;
 }
 
-asio::awaitable<AttemptOutcome> RequestHandler::takeStream(HttpStreamCall &call)
+asio::awaitable<AttemptOutcome> RequestHandler::forwardStream(HttpStreamCall &call)
 {
     const Duration stallTimeout = streamStallTimeout(*m_route);
     bool more = true;
     bool first = true;
     while (more) {
         const Instant now = steadyNow();
-        call.setTimeout(clampedTimeout(first ? firstByteTime(now) : std::min(m_deadline - now, stallTimeout)));
+        call.setTimeout(clampedTimeout(first ? attemptFirstByteTimeout(now) : std::min(m_deadline - now, stallTimeout)));
         const absl::StatusOr<std::string> piece = co_await call.readSome();
         if (!piece.ok()) {
-            const AttemptOutcome outcome = answerBrokeOff(piece.status());
+            const AttemptOutcome outcome = handleInterruptedResponse(piece.status());
             co_return outcome;
         }
-        noteFirstByte();
+        recordFirstByte();
         first = false;
         more = !piece->empty();
         const std::string events = more ? m_events.feed(*piece) : std::string(m_events.incompleteEvent());
         if (events.empty()) {
             continue;
         }
-        co_await beginStream(call);
-        const bool taken = co_await passOn(events);
+        co_await startCallerStream(call);
+        const bool taken = co_await forwardEvents(events);
         if (!taken || m_callerLeft) {
             call.cancel();
             co_return AttemptOutcome::CallerDisconnected;
         }
     }
     m_sign = TargetSign::Sound;
-    co_await beginStream(call);
+    co_await startCallerStream(call);
     co_await m_exchange.endStream();
     co_return AttemptOutcome::Delivered;
 }
@@ -471,22 +471,22 @@
 {
     const std::string ran = absl::StrCat(m_ran, " of ", m_tried.size(), " attempts may have run; ", m_lastProblem);
     if (outcome == AttemptOutcome::Delivered) {
-        logEnd("answered", "");
+        logRequestEnd("answered", "");
         co_return;
     }
     if (outcome == AttemptOutcome::CallerDisconnected || m_callerLeft) {
-        logEnd("caller_left", ran);
+        logRequestEnd("caller_left", ran);
         m_exchange.cut();
         co_return;
     }
     if (m_streaming) {
         // The caller must not take what it has for the whole stream.
-        logEnd("stream_cut", ran);
+        logRequestEnd("stream_cut", ran);
         m_exchange.cut();
         co_return;
     }
     if (m_failure) {
-        logEnd("target_failed", ran);
+        logRequestEnd("target_failed", ran);
         co_await m_exchange.respond(m_failure->status, "", std::move(m_failure->body), std::move(m_failure->headers));
         co_return;
     }
@@ -506,7 +506,7 @@
 
 asio::awaitable<void> RequestHandler::refuse(const Failure &failure)
 {
-    logEnd(failureName(failure.kind), failure.detail);
+    logRequestEnd(failureName(failure.kind), failure.detail);
     FailureResponse refusal = m_gateway.m_options.codec.failureResponse(failure);
     std::string body = errorBody(failure, m_metadata.requestId);
     co_await m_exchange.respond(refusal.status, "application/json", std::move(body), std::move(refusal.headers));
@@ -530,17 +530,17 @@
     return *m_fingerprints;
 }
 
-std::optional<Duration> RequestHandler::heldBackFor()
+std::optional<Duration> RequestHandler::quarantineRemaining()
 {
     const bool known = m_gateway.m_guard.mayKnow(RequestFingerprint::addressHash(fingerprintSource()));
     return known ? m_gateway.m_guard.heldFor(fingerprints()) : std::nullopt;
 }
 
-absl::Status RequestHandler::heldBack()
+absl::Status RequestHandler::checkQuarantine()
 {
     // A request that crashes every target that begins it comes again and again; sent on, each copy takes a target and all that runs there
     // with it. This router or its peers have seen it do so.
-    const std::optional<Duration> held = heldBackFor();
+    const std::optional<Duration> held = quarantineRemaining();
     if (!held) {
         return absl::OkStatus();
     }
@@ -551,7 +551,7 @@
     return toStatus({.kind = FailureKind::Quarantined, .detail = "targets crashed under this request", .retryAfterMs = inMs(*held)});
 }
 
-void RequestHandler::noteBreakOff(AttemptOutcome outcome)
+void RequestHandler::reportInterruption(AttemptOutcome outcome)
 {
     if (!m_gateway.m_options.quarantines) {
         return;
@@ -567,14 +567,14 @@
     }
 }
 
-void RequestHandler::noteAnswered()
+void RequestHandler::reportSuccess()
 {
     if (m_gateway.m_guard.wantsAnswers(RequestFingerprint::addressHash(fingerprintSource()))) {
         m_gateway.m_guard.answered(fingerprints());
     }
 }
 
-void RequestHandler::logEnd(std::string_view outcome, std::string_view detail)
+void RequestHandler::logRequestEnd(std::string_view outcome, std::string_view detail)
 {
     const Instant now = steadyNow();
     const std::string route = m_route != nullptr ? m_route->name : std::string();
--- a/src/gateway/requesthandler.h
+++ b/src/gateway/requesthandler.h
@@ -31,11 +31,11 @@
 
     /// Ends an attempt that waits in silence for a target which has started again since; a request that may not run twice is left to its
     /// time, as its answer may be on the way. Call now and then.
-    void leaveFormerLife(Instant now);
+    void abandonRestartedTarget(Instant now);
 
 private:
     /// A whole answer that waits to be passed on.
-    struct HeldAnswer {
+    struct BufferedResponse {
         unsigned status = 0;
         std::vector<HttpHeader> headers;
         std::string body;
@@ -44,31 +44,31 @@
     absl::Status admit();
     FingerprintSource fingerprintSource() const;
     /// How long until the request may be tried, if targets have crashed under it.
-    std::optional<Duration> heldBackFor();
+    std::optional<Duration> quarantineRemaining();
     /// The refusal of a request that is held back; OK for any other one, and for a copy on trial.
-    absl::Status heldBack();
+    absl::Status checkQuarantine();
     /// Tells what may have been under way when a target crashed.
-    void noteBreakOff(AttemptOutcome outcome);
-    void noteAnswered();
+    void reportInterruption(AttemptOutcome outcome);
+    void reportSuccess();
     asio::awaitable<absl::Status> reserve();
-    asio::awaitable<AttemptOutcome> attempts();
-    asio::awaitable<AttemptOutcome> attempt(const Placement &placement);
-    asio::awaitable<AttemptOutcome> takeAnswer(HttpStreamCall &call);
-    asio::awaitable<AttemptOutcome> takeWhole(HttpStreamCall &call);
-    asio::awaitable<AttemptOutcome> takeStream(HttpStreamCall &call);
-    asio::awaitable<void> beginStream(HttpStreamCall &call);
-    asio::awaitable<bool> passOn(std::string_view events);
+    asio::awaitable<AttemptOutcome> runAttempts();
+    asio::awaitable<AttemptOutcome> runAttempt(const Placement &placement);
+    asio::awaitable<AttemptOutcome> receiveResponse(HttpStreamCall &call);
+    asio::awaitable<AttemptOutcome> receiveBufferedResponse(HttpStreamCall &call);
+    asio::awaitable<AttemptOutcome> forwardStream(HttpStreamCall &call);
+    asio::awaitable<void> startCallerStream(HttpStreamCall &call);
+    asio::awaitable<bool> forwardEvents(std::string_view events);
     asio::awaitable<void> finish(AttemptOutcome outcome);
     asio::awaitable<void> refuse(const Failure &failure);
-    AttemptOutcome endOf(const absl::Status &status) const;
-    AttemptOutcome answerBrokeOff(const absl::Status &status);
-    bool mayTryAgain(AttemptOutcome outcome, Instant now);
+    AttemptOutcome outcomeOf(const absl::Status &status) const;
+    AttemptOutcome handleInterruptedResponse(const absl::Status &status);
+    bool shouldRetry(AttemptOutcome outcome, Instant now);
     HttpCallOptions callOptions(const Placement &placement, Instant now);
-    Duration firstByteTime(Instant now) const;
-    void noteAttemptEnd(AttemptOutcome outcome);
-    void noteFirstByte();
+    Duration attemptFirstByteTimeout(Instant now) const;
+    void recordAttemptOutcome(AttemptOutcome outcome);
+    void recordFirstByte();
     void settle(AttemptOutcome outcome);
-    void logEnd(std::string_view outcome, std::string_view detail);
+    void logRequestEnd(std::string_view outcome, std::string_view detail);
     /// What tells this request from others that come again. Made when it is first needed: a digest of a long body takes a small host
     /// milliseconds.
     const FingerprintPair &fingerprints();
@@ -100,7 +100,7 @@
     bool m_streaming = false;
     /// Counted among the gateway's streams.
     bool m_countedStream = false;
-    std::optional<HeldAnswer> m_failure;
+    std::optional<BufferedResponse> m_failure;
     std::string m_lastProblem;
     /// The running attempt: its target, when it was sent, and whether its first byte has come.
     std::optional<Placement> m_placement;
