--- a/src/gateway/requesthandler.cpp
+++ b/src/gateway/requesthandler.cpp
@@ -80,15 +80,15 @@
         co_return;
     }
     m_exchange.onHangUp([this] {
-        m_callerLeft = true;
+        m_callerDisconnected = true;
         // A request that must not run twice is left to its target: cancelling it midway would leave its effect unknown to everyone.
-        if (m_call != nullptr && m_route->repeatability != Repeatability::AtMostOnce) {
-            m_call->cancel();
+        if (m_activeCall != nullptr && m_route->repeatability != Repeatability::AtMostOnce) {
+            m_activeCall->cancel();
         }
     });
     const AttemptOutcome outcome = co_await runAttempts();
     settle(outcome);
-    if (m_onTrial && m_ran == 0) {
+    if (m_onTrial && m_possibleExecutions == 0) {
         m_gateway.m_guard.trialNotRun(fingerprints());
     }
     co_await finish(outcome);
@@ -160,32 +160,32 @@
 asio::awaitable<AttemptOutcome> RequestHandler::runAttempts()
 {
     AttemptOutcome outcome = AttemptOutcome::NotRun;
-    m_lastProblem = "no target";
+    m_lastError = "no target";
     do {
-        if (m_callerLeft || m_exchange.hungUp()) {
-            m_callerLeft = true;
-            co_return m_ran == 0 ? AttemptOutcome::NotRun : AttemptOutcome::CallerDisconnected;
+        if (m_callerDisconnected || m_exchange.hungUp()) {
+            m_callerDisconnected = true;
+            co_return m_possibleExecutions == 0 ? AttemptOutcome::NotRun : AttemptOutcome::CallerDisconnected;
         }
         const PlacementWish wish{.service = m_serviceName,
                                  .prompt = m_metadata.prompt,
-                                 .except = m_tried,
-                                 .draw = stableHash(m_metadata.requestId) + m_tried.size()};
+                                 .except = m_triedTargets,
+                                 .draw = stableHash(m_metadata.requestId) + m_triedTargets.size()};
         const std::optional<Placement> placement =
             co_await m_gateway.m_chooser.place(wish, m_service != nullptr ? m_service->coldRequestsPerSecond : 0);
-        if (m_callerLeft) {
-            co_return m_ran == 0 ? AttemptOutcome::NotRun : AttemptOutcome::CallerDisconnected;
+        if (m_callerDisconnected) {
+            co_return m_possibleExecutions == 0 ? AttemptOutcome::NotRun : AttemptOutcome::CallerDisconnected;
         }
         if (!placement) {
             co_return outcome;
         }
         const Instant now = steadyNow();
-        m_tried.push_back(placement->incarnation);
+        m_triedTargets.push_back(placement->incarnation);
         m_placement = placement;
-        m_attemptAt = now;
-        m_attemptBegun = false;
-        m_brokeOff = false;
-        m_lastHeard = now;
-        m_sign = TargetSign::Neutral;
+        m_attemptSentAt = now;
+        m_firstByteReceived = false;
+        m_connectionLost = false;
+        m_lastReceivedAt = now;
+        m_targetSign = TargetSign::Neutral;
         m_gateway.m_board.sent(placement->incarnation, m_metadata.prompt, placement->uncached, now);
         m_gateway.m_chooser.countSent(placement->incarnation);
         m_gateway.m_chooser.tellLoad(placement->incarnation);
@@ -197,18 +197,18 @@
 
 void RequestHandler::abandonRestartedTarget(Instant now)
 {
-    const bool waits = m_call != nullptr && m_route->repeatable() && now - m_lastHeard >= s_formerLifeSilence;
+    const bool waits = m_activeCall != nullptr && m_route->repeatable() && now - m_lastReceivedAt >= s_formerLifeSilence;
     if (waits && m_gateway.m_board.reborn(m_placement->name, m_placement->incarnation)) {
-        m_call->cancel();
+        m_activeCall->cancel();
     }
 }
 
 void RequestHandler::recordFirstByte()
 {
-    m_lastHeard = steadyNow();
-    if (!m_attemptBegun) {
-        m_attemptBegun = true;
-        m_gateway.m_board.begun(m_placement->incarnation, m_placement->uncached, m_attemptAt);
+    m_lastReceivedAt = steadyNow();
+    if (!m_firstByteReceived) {
+        m_firstByteReceived = true;
+        m_gateway.m_board.begun(m_placement->incarnation, m_placement->uncached, m_attemptSentAt);
         m_gateway.m_chooser.tellLoad(m_placement->incarnation);
     }
 }
@@ -216,14 +216,14 @@
 void RequestHandler::recordAttemptOutcome(AttemptOutcome outcome)
 {
     recordFirstByte();
-    m_gateway.m_board.done(m_placement->incarnation, m_sign, steadyNow());
+    m_gateway.m_board.done(m_placement->incarnation, m_targetSign, steadyNow());
     m_gateway.m_chooser.tellLoad(m_placement->incarnation);
     if (outcome != AttemptOutcome::NotRun) {
-        ++m_ran;
+        ++m_possibleExecutions;
     }
     reportInterruption(outcome);
     // A failure that a target answers may come before it begins to run the request: it proves nothing.
-    if (outcome == AttemptOutcome::Delivered && m_succeeded) {
+    if (outcome == AttemptOutcome::Delivered && m_hasSuccessStatus) {
         reportSuccess();
     }
     if (outcome != AttemptOutcome::Delivered && outcome != AttemptOutcome::CallerDisconnected) {
@@ -233,41 +233,41 @@
                  {"fingerprint", fingerprints().front().text()},
                  {"target", m_placement->incarnation},
                  {"may_have_run", static_cast<std::int64_t>(outcome != AttemptOutcome::NotRun)},
-                 {"problem", m_lastProblem},
-                 {"events", static_cast<std::int64_t>(m_events.eventCount())},
-                 {"after_ms", inMs(steadyNow() - m_attemptAt)}});
+                 {"problem", m_lastError},
+                 {"events", static_cast<std::int64_t>(m_eventParser.eventCount())},
+                 {"after_ms", inMs(steadyNow() - m_attemptSentAt)}});
     }
 }
 
 bool RequestHandler::shouldRetry(AttemptOutcome outcome, Instant now)
 {
     const bool open = outcome == AttemptOutcome::NotRun || outcome == AttemptOutcome::Failed || outcome == AttemptOutcome::Incomplete;
-    if (!open || m_callerLeft || m_tried.size() >= s_maxTries || m_deadline - now < s_leastTime) {
+    if (!open || m_callerDisconnected || m_triedTargets.size() >= s_maxTries || m_deadline - now < s_leastTime) {
         return false;
     }
     const bool ran = outcome != AttemptOutcome::NotRun;
-    if (ran && (!m_route->repeatable() || m_ran >= m_route->maxAttempts)) {
+    if (ran && (!m_route->repeatable() || m_possibleExecutions >= m_route->maxAttempts)) {
         return false;
     }
     const bool triesElsewhere = m_onTrial && !ran;
     if (!triesElsewhere && quarantineRemaining()) {
-        m_lastProblem.append("; targets crashed under this request");
+        m_lastError.append("; targets crashed under this request");
         return false;
     }
-    if (m_sent > 0 && !m_gateway.m_retries.tryAcquireRetry(m_serviceName, m_gateway.m_options.routers(), now)) {
-        m_lastProblem.append("; retry budget used up");
+    if (m_attemptsSent > 0 && !m_gateway.m_retries.tryAcquireRetry(m_serviceName, m_gateway.m_options.routers(), now)) {
+        m_lastError.append("; retry budget used up");
         return false;
     }
     if (outcome == AttemptOutcome::Incomplete) {
-        m_uncounted = true;
-        m_events.discardIncompleteEvent();
+        m_hasUncountedAttempt = true;
+        m_eventParser.discardIncompleteEvent();
     }
     return true;
 }
 
 Duration RequestHandler::attemptFirstByteTimeout(Instant now) const
 {
-    const bool another = m_route->repeatable() && m_ran + 1 < m_route->maxAttempts;
+    const bool another = m_route->repeatable() && m_possibleExecutions + 1 < m_route->maxAttempts;
     return firstByteTimeout(*m_route, m_deadline - now, another);
 }
 
@@ -275,8 +275,8 @@
 {
     const HttpRequest &request = m_exchange.request();
     DispatchMetadata terms{.incarnation = placement.name, .team = m_team, .timeLeft = m_deadline - now, .priority = m_priority};
-    if (m_streaming) {
-        terms.resumeAfter = m_events.lastEventId();
+    if (m_streamStarted) {
+        terms.resumeAfter = m_eventParser.lastEventId();
     }
     HttpCallOptions options{.method = std::string(request.method_string()),
                             .path = std::string(request.target()),
@@ -289,8 +289,8 @@
                             .sendBefore = placement.sendBefore};
     // A loop that is late hears of a caller's end long after the kernel did, and a call that must not run twice is not cancelled by it.
     options.wanted = [this] {
-        m_callerLeft = m_callerLeft || m_exchange.hungUp();
-        return !m_callerLeft;
+        m_callerDisconnected = m_callerDisconnected || m_exchange.hungUp();
+        return !m_callerDisconnected;
     };
     options.belongs = [this](const http::fields &fields) {
         const ResponseMetadata answer = m_gateway.m_options.codec.readResponse(s_firstSuccess, fields);
@@ -304,7 +304,7 @@
     if (toFailure(status).ran == Ran::No) {
         return AttemptOutcome::NotRun;
     }
-    if (m_callerLeft) {
+    if (m_callerDisconnected) {
         return AttemptOutcome::CallerDisconnected;
     }
     return steadyNow() >= m_deadline ? AttemptOutcome::TimedOut : AttemptOutcome::Incomplete;
@@ -312,24 +312,24 @@
 
 asio::awaitable<AttemptOutcome> RequestHandler::runAttempt(const Placement &placement)
 {
-    HttpCallOptions options = callOptions(placement, m_attemptAt);
+    HttpCallOptions options = callOptions(placement, m_attemptSentAt);
     const std::shared_ptr<HttpClient> client = m_gateway.client(placement);
     HttpStreamCall call(*client, std::move(options));
-    m_call = &call;
+    m_activeCall = &call;
     const absl::Status started = co_await call.start();
     AttemptOutcome outcome = AttemptOutcome::Incomplete;
     if (started.ok()) {
-        ++m_sent;
+        ++m_attemptsSent;
         outcome = co_await receiveResponse(call);
     } else {
         outcome = outcomeOf(started);
-        m_lastProblem = std::string(started.message());
-        m_sent += outcome == AttemptOutcome::NotRun ? 0 : 1;
-        m_brokeOff = !call.cancelled();
-        const bool own = m_callerLeft || toFailure(started).kind == FailureKind::Cancelled;
-        m_sign = own ? TargetSign::Neutral : TargetSign::Broken;
+        m_lastError = std::string(started.message());
+        m_attemptsSent += outcome == AttemptOutcome::NotRun ? 0 : 1;
+        m_connectionLost = !call.cancelled();
+        const bool own = m_callerDisconnected || toFailure(started).kind == FailureKind::Cancelled;
+        m_targetSign = own ? TargetSign::Neutral : TargetSign::Broken;
     }
-    m_call = nullptr;
+    m_activeCall = nullptr;
     co_return outcome;
 }
 
@@ -337,17 +337,17 @@
 {
     const ResponseMetadata answer = m_gateway.m_options.codec.readResponse(call.status(), call.headers());
     const unsigned status = call.status();
-    m_gateway.m_chooser.noteTargetTerms(m_placement->incarnation, answer, m_attemptAt);
+    m_gateway.m_chooser.noteTargetTerms(m_placement->incarnation, answer, m_attemptSentAt);
     if (answer.notRun) {
-        m_lastProblem = absl::StrCat("declined with ", status);
-        m_sign = answer.misdirected ? TargetSign::Neutral : TargetSign::Declined;
+        m_lastError = absl::StrCat("declined with ", status);
+        m_targetSign = answer.misdirected ? TargetSign::Neutral : TargetSign::Declined;
         co_return AttemptOutcome::NotRun;
     }
     const bool success = status >= s_firstSuccess && status < s_firstRedirect;
-    m_succeeded = success;
+    m_hasSuccessStatus = success;
     if (answer.contentEncoded || (success && !answer.sealed)) {
-        m_lastProblem = answer.contentEncoded ? "the body is encoded" : "no seal";
-        m_sign = TargetSign::Failing;
+        m_lastError = answer.contentEncoded ? "the body is encoded" : "no seal";
+        m_targetSign = TargetSign::Failing;
         co_return AttemptOutcome::Incomplete;
     }
     const bool stream = success && m_route->repeatability == Repeatability::Stream;
@@ -362,9 +362,9 @@
 
 AttemptOutcome RequestHandler::handleInterruptedResponse(const absl::Status &status)
 {
-    m_lastProblem = std::string(status.message());
-    m_sign = m_callerLeft ? TargetSign::Neutral : TargetSign::Failing;
-    m_brokeOff = !m_call->cancelled();
+    m_lastError = std::string(status.message());
+    m_targetSign = m_callerDisconnected ? TargetSign::Neutral : TargetSign::Failing;
+    m_connectionLost = !m_activeCall->cancelled();
     return outcomeOf(status);
 }
 
@@ -383,39 +383,39 @@
         more = !piece->empty();
         answer.body.append(*piece);
         if (answer.body.size() > s_heldBytes && more) {
-            m_lastProblem = "the answer is longer than may be held";
+            m_lastError = "the answer is longer than may be held";
             co_return AttemptOutcome::Incomplete;
         }
     }
     if (answer.status >= s_firstServerError) {
-        m_lastProblem = absl::StrCat("the target answered ", answer.status);
-        m_sign = TargetSign::Failing;
-        m_failure = std::move(answer);
+        m_lastError = absl::StrCat("the target answered ", answer.status);
+        m_targetSign = TargetSign::Failing;
+        m_failureResponse = std::move(answer);
         co_return AttemptOutcome::Failed;
     }
-    m_sign = TargetSign::Sound;
-    m_firstByte = steadyNow();
+    m_targetSign = TargetSign::Sound;
+    m_firstByteAt = steadyNow();
     co_await m_exchange.respond(answer.status, "", std::move(answer.body), std::move(answer.headers));
     co_return AttemptOutcome::Delivered;
 }
 
 asio::awaitable<bool> RequestHandler::forwardEvents(std::string_view events)
 {
-    m_firstByte = m_firstByte.value_or(steadyNow());
+    m_firstByteAt = m_firstByteAt.value_or(steadyNow());
     const bool taken = co_await m_exchange.writeChunk(events);
-    m_callerLeft = m_callerLeft || !taken;
+    m_callerDisconnected = m_callerDisconnected || !taken;
     co_return taken;
 }
 
 asio::awaitable<void> RequestHandler::startCallerStream(HttpStreamCall &call)
 {
-    if (m_streaming) {
+    if (m_streamStarted) {
         co_return;
     }
-    m_streaming = true;
+    m_streamStarted = true;
     std::vector<HttpHeader> headers = endToEndHeaders(call.headers());
     const bool begun = co_await m_exchange.beginStream(call.status(), "", std::move(headers));
-    m_callerLeft = m_callerLeft || !begun;
+    m_callerDisconnected = m_callerDisconnected || !begun;
 }
 
 asio::awaitable<AttemptOutcome> RequestHandler::forwardStream(HttpStreamCall &call)
@@ -434,18 +434,18 @@
         recordFirstByte();
         first = false;
         more = !piece->empty();
-        const std::string events = more ? m_events.feed(*piece) : std::string(m_events.incompleteEvent());
+        const std::string events = more ? m_eventParser.feed(*piece) : std::string(m_eventParser.incompleteEvent());
         if (events.empty()) {
             continue;
         }
         co_await startCallerStream(call);
         const bool taken = co_await forwardEvents(events);
-        if (!taken || m_callerLeft) {
+        if (!taken || m_callerDisconnected) {
             call.cancel();
             co_return AttemptOutcome::CallerDisconnected;
         }
     }
-    m_sign = TargetSign::Sound;
+    m_targetSign = TargetSign::Sound;
     co_await startCallerStream(call);
     co_await m_exchange.endStream();
     co_return AttemptOutcome::Delivered;
@@ -458,10 +458,10 @@
     }
     const Tokens used = usedTokens(m_metadata,
                                    {.outcome = outcome,
-                                    .possibleExecutions = m_ran,
-                                    .hasUncountedAttempt = m_uncounted,
-                                    .streamed = m_streaming,
-                                    .events = m_events.eventCount(),
+                                    .possibleExecutions = m_possibleExecutions,
+                                    .hasUncountedAttempt = m_hasUncountedAttempt,
+                                    .streamed = m_streamStarted,
+                                    .events = m_eventParser.eventCount(),
                                     .tokensPerEvent = m_service != nullptr ? m_service->tokensPerEvent : 1});
     m_gateway.m_ledger.settle(m_team, *m_reservation, used);
     m_reservation.reset();
@@ -469,31 +469,32 @@
 
 asio::awaitable<void> RequestHandler::finish(AttemptOutcome outcome)
 {
-    const std::string ran = absl::StrCat(m_ran, " of ", m_tried.size(), " attempts may have run; ", m_lastProblem);
+    const std::string ran = absl::StrCat(m_possibleExecutions, " of ", m_triedTargets.size(), " attempts may have run; ", m_lastError);
     if (outcome == AttemptOutcome::Delivered) {
         logRequestEnd("answered", "");
         co_return;
     }
-    if (outcome == AttemptOutcome::CallerDisconnected || m_callerLeft) {
+    if (outcome == AttemptOutcome::CallerDisconnected || m_callerDisconnected) {
         logRequestEnd("caller_left", ran);
         m_exchange.cut();
         co_return;
     }
-    if (m_streaming) {
+    if (m_streamStarted) {
         // The caller must not take what it has for the whole stream.
         logRequestEnd("stream_cut", ran);
         m_exchange.cut();
         co_return;
     }
-    if (m_failure) {
+    if (m_failureResponse) {
         logRequestEnd("target_failed", ran);
-        co_await m_exchange.respond(m_failure->status, "", std::move(m_failure->body), std::move(m_failure->headers));
+        co_await m_exchange.respond(
+            m_failureResponse->status, "", std::move(m_failureResponse->body), std::move(m_failureResponse->headers));
         co_return;
     }
-    const bool notRun = m_ran == 0;
+    const bool notRun = m_possibleExecutions == 0;
     Failure failure{.kind = FailureKind::TargetLost, .detail = ran, .ran = notRun ? Ran::No : Ran::Unknown};
     if (notRun) {
-        failure.kind = m_tried.empty() ? FailureKind::NoTarget : FailureKind::Overloaded;
+        failure.kind = m_triedTargets.empty() ? FailureKind::NoTarget : FailureKind::Overloaded;
         const Instant now = steadyNow();
         const std::optional<Instant> opens = m_gateway.m_board.opensAt(m_serviceName, now);
         failure.retryAfterMs = opens ? inMs(*opens - now) + 1 : s_retryAfterOverloadMs;
@@ -559,8 +560,8 @@
     // A caller that leaves before the first byte leaves nothing behind whose end would tell of a crash, so the target is asked then, too.
     // Not by a host that is short of time: its callers leave because of that, many a second, and the questions would take what time it has.
     const bool inTime = m_gateway.m_shedder.refusedShare() == 0;
-    const bool leftEarly = inTime && outcome == AttemptOutcome::CallerDisconnected && !m_firstByte;
-    if (leftEarly || (m_brokeOff && outcome != AttemptOutcome::NotRun && outcome != AttemptOutcome::TimedOut)) {
+    const bool leftEarly = inTime && outcome == AttemptOutcome::CallerDisconnected && !m_firstByteAt;
+    if (leftEarly || (m_connectionLost && outcome != AttemptOutcome::NotRun && outcome != AttemptOutcome::TimedOut)) {
         m_gateway.m_guard.brokeOff(m_placement->incarnation, m_placement->address, fingerprints());
     } else if (outcome == AttemptOutcome::CallerDisconnected) {
         m_gateway.m_guard.left(m_placement->incarnation, m_placement->address, fingerprints());
@@ -582,10 +583,10 @@
     m_gateway.m_metrics.count("requests_total", byRoute);
     const std::array<MetricLabel, 2> byTeam{{{.name = "team", .value = m_team}, {.name = "outcome", .value = outcome}}};
     m_gateway.m_metrics.count("team_requests_total", byTeam);
-    if (m_firstByte) {
-        m_gateway.m_metrics.observe("first_byte_seconds", {.name = "route", .value = route}, seconds(*m_firstByte - m_arrived));
+    if (m_firstByteAt) {
+        m_gateway.m_metrics.observe("first_byte_seconds", {.name = "route", .value = route}, seconds(*m_firstByteAt - m_arrived));
     }
-    const bool well = outcome == "answered" && m_firstByte && *m_firstByte - m_arrived <= m_route->objective;
+    const bool well = outcome == "answered" && m_firstByteAt && *m_firstByteAt - m_arrived <= m_route->objective;
     static std::uint64_t s_successes = 0;
     if (well && ++s_successes % s_sampledSuccess != 0) {
         return;
@@ -601,9 +602,9 @@
              {"plan", static_cast<std::int64_t>(m_plan ? m_plan->version() : 0)},
              {"service", m_serviceName},
              {"target", m_placement ? std::string_view(m_placement->incarnation) : std::string_view()},
-             {"attempts", static_cast<std::int64_t>(m_tried.size())},
-             {"events", static_cast<std::int64_t>(m_events.eventCount())},
-             {"first_byte_ms", m_firstByte ? inMs(*m_firstByte - m_arrived) : -1},
+             {"attempts", static_cast<std::int64_t>(m_triedTargets.size())},
+             {"events", static_cast<std::int64_t>(m_eventParser.eventCount())},
+             {"first_byte_ms", m_firstByteAt ? inMs(*m_firstByteAt - m_arrived) : -1},
              {"total_ms", inMs(now - m_arrived)},
              {"bound", m_metadata.worstCaseTokens()}});
 }
--- a/src/gateway/requesthandler.h
+++ b/src/gateway/requesthandler.h
@@ -87,36 +87,36 @@
     std::optional<Reservation> m_reservation;
     std::optional<FingerprintPair> m_fingerprints;
 
-    std::vector<std::string> m_tried;
+    std::vector<std::string> m_triedTargets;
     /// Attempts whose target may have run the request.
-    unsigned m_ran = 0;
-    unsigned m_sent = 0;
+    unsigned m_possibleExecutions = 0;
+    unsigned m_attemptsSent = 0;
     /// An attempt other than the last broke off, so that nobody counted what it delivered.
-    bool m_uncounted = false;
-    bool m_callerLeft = false;
-    HttpStreamCall *m_call = nullptr;
+    bool m_hasUncountedAttempt = false;
+    bool m_callerDisconnected = false;
+    HttpStreamCall *m_activeCall = nullptr;
 
-    EventStreamParser m_events;
-    bool m_streaming = false;
+    EventStreamParser m_eventParser;
+    bool m_streamStarted = false;
     /// Counted among the gateway's streams.
     bool m_countedStream = false;
-    std::optional<BufferedResponse> m_failure;
-    std::string m_lastProblem;
+    std::optional<BufferedResponse> m_failureResponse;
+    std::string m_lastError;
     /// The running attempt: its target, when it was sent, and whether its first byte has come.
     std::optional<Placement> m_placement;
-    Instant m_attemptAt{};
-    bool m_attemptBegun = false;
+    Instant m_attemptSentAt{};
+    bool m_firstByteReceived = false;
     /// When the running attempt was sent, or the last bytes of it came.
-    Instant m_lastHeard{};
+    Instant m_lastReceivedAt{};
     /// Held back, and let through to see whether it still crashes targets.
     bool m_onTrial = false;
     /// The running attempt's answer says that the request was served.
-    bool m_succeeded = false;
+    bool m_hasSuccessStatus = false;
     /// The running attempt lost its connection before its answer was whole.
-    bool m_brokeOff = false;
+    bool m_connectionLost = false;
     /// What the last attempt tells of its target.
-    TargetSign m_sign = TargetSign::Neutral;
-    std::optional<Instant> m_firstByte;
+    TargetSign m_targetSign = TargetSign::Neutral;
+    std::optional<Instant> m_firstByteAt;
 };
 
 }
