--- a/src/gateway/requesthandler.cpp
+++ b/src/gateway/requesthandler.cpp
@@ -16,31 +16,31 @@
 namespace {
 
 /// Targets that one request is offered to at most, whatever they answer.
-constexpr std::size_t s_maxTries = 5;
+constexpr std::size_t s_maxTargetsTried = 5;
 /// Opening a connection takes a few milliseconds; a host that has not accepted by then is without power or cut off, and another target
 /// still serves the caller within most objectives.
 constexpr Duration s_connectTimeout = std::chrono::milliseconds(250);
 /// Less time than this is not worth another attempt: a target could not answer within it.
-constexpr Duration s_leastTime = std::chrono::milliseconds(30);
+constexpr Duration s_minAttemptTime = std::chrono::milliseconds(30);
 /// A target that has started again since it was sent a request knows nothing of it. Where its host lost power or is cut off, no reset says
 /// so, and the caller would wait half of its time or more for nothing. What still comes from a former life is passed on; after this
 /// silence, as long as the pause that callers expect of a stream at most, the request goes elsewhere.
-constexpr Duration s_formerLifeSilence = std::chrono::milliseconds(400);
+constexpr Duration s_restartedTargetSilence = std::chrono::milliseconds(400);
 /// An answer up to this size is held until it is whole, so that a broken one can be replaced; longer ones would delay their callers.
-constexpr std::size_t s_heldBytes = 256 * 1024;
+constexpr std::size_t s_maxBufferedBytes = 256 * 1024;
 /// Told to callers of a router that ends: it is back about this long after its end, and another one usually sooner.
 constexpr std::int64_t s_retryAfterDrainMs = 1000;
 /// Told to callers when no target has room; queues there drain within about this time.
 constexpr std::int64_t s_retryAfterOverloadMs = 1000;
 /// Told to callers of an overloaded router whose next attempt reaches another one, or is most likely let in.
-constexpr Duration s_retryElsewhere = std::chrono::milliseconds(50);
+constexpr Duration s_minRedirectDelay = std::chrono::milliseconds(50);
 /// Told to callers while this router does not know its plan yet.
-constexpr std::int64_t s_retryAfterStartMs = 700;
+constexpr std::int64_t s_retryAfterStartupMs = 700;
 /// One in this many requests that went well is logged; every other one is.
-constexpr std::uint64_t s_sampledSuccess = 32;
-constexpr unsigned s_firstSuccess = 200;
-constexpr unsigned s_firstRedirect = 300;
-constexpr unsigned s_firstServerError = 500;
+constexpr std::uint64_t s_successLogInterval = 32;
+constexpr unsigned s_minSuccessStatus = 200;
+constexpr unsigned s_minRedirectStatus = 300;
+constexpr unsigned s_minServerErrorStatus = 500;
 
 std::int64_t inMs(Duration duration)
 {
@@ -96,14 +96,14 @@
 
 absl::Status RequestHandler::admit()
 {
-    absl::StatusOr<RequestMetadata> terms = m_gateway.m_options.codec.readRequest(m_exchange.request());
-    if (!terms.ok()) {
-        return terms.status();
+    absl::StatusOr<RequestMetadata> metadata = m_gateway.m_options.codec.readRequest(m_exchange.request());
+    if (!metadata.ok()) {
+        return metadata.status();
     }
-    m_metadata = *std::move(terms);
+    m_metadata = *std::move(metadata);
     if (!m_plan) {
         // Whether the route or the key exists cannot be told without a plan; saying "no such route" could be false.
-        return toStatus({.kind = FailureKind::Draining, .detail = "no configuration known yet", .retryAfterMs = s_retryAfterStartMs});
+        return toStatus({.kind = FailureKind::Draining, .detail = "no configuration known yet", .retryAfterMs = s_retryAfterStartupMs});
     }
     m_route = m_plan->routeFor(m_exchange.header("Host"), m_exchange.path());
     if (m_route == nullptr) {
@@ -123,10 +123,10 @@
             {.kind = FailureKind::Draining, .detail = "this router ends before the request would", .retryAfterMs = s_retryAfterDrainMs});
     }
     if (m_gateway.m_shedder.shouldRefuse(stableHash(m_metadata.requestId))) {
-        const Duration elsewhere = m_gateway.m_shedder.timeUntilRedirect(m_arrived).value_or(Duration::zero());
+        const Duration redirectDelay = m_gateway.m_shedder.timeUntilRedirect(m_arrived).value_or(Duration::zero());
         return toStatus({.kind = FailureKind::Overloaded,
                          .detail = "this router is overloaded",
-                         .retryAfterMs = inMs(std::max(s_retryElsewhere, elsewhere))});
+                         .retryAfterMs = inMs(std::max(s_minRedirectDelay, redirectDelay))});
     }
     if (const absl::Status held = checkQuarantine(); !held.ok()) {
         return held;
@@ -197,8 +197,8 @@
 
 void RequestHandler::abandonRestartedTarget(Instant now)
 {
-    const bool waits = m_activeCall != nullptr && m_route->repeatable() && now - m_lastReceivedAt >= s_formerLifeSilence;
-    if (waits && m_gateway.m_board.reborn(m_placement->name, m_placement->incarnation)) {
+    const bool abandonable = m_activeCall != nullptr && m_route->repeatable() && now - m_lastReceivedAt >= s_restartedTargetSilence;
+    if (abandonable && m_gateway.m_board.reborn(m_placement->name, m_placement->incarnation)) {
         m_activeCall->cancel();
     }
 }
@@ -241,16 +241,17 @@
 
 bool RequestHandler::shouldRetry(AttemptOutcome outcome, Instant now)
 {
-    const bool open = outcome == AttemptOutcome::NotRun || outcome == AttemptOutcome::Failed || outcome == AttemptOutcome::Incomplete;
-    if (!open || m_callerDisconnected || m_triedTargets.size() >= s_maxTries || m_deadline - now < s_leastTime) {
+    const bool retryableOutcome =
+        outcome == AttemptOutcome::NotRun || outcome == AttemptOutcome::Failed || outcome == AttemptOutcome::Incomplete;
+    if (!retryableOutcome || m_callerDisconnected || m_triedTargets.size() >= s_maxTargetsTried || m_deadline - now < s_minAttemptTime) {
         return false;
     }
-    const bool ran = outcome != AttemptOutcome::NotRun;
-    if (ran && (!m_route->repeatable() || m_possibleExecutions >= m_route->maxAttempts)) {
+    const bool mayHaveRun = outcome != AttemptOutcome::NotRun;
+    if (mayHaveRun && (!m_route->repeatable() || m_possibleExecutions >= m_route->maxAttempts)) {
         return false;
     }
-    const bool triesElsewhere = m_onTrial && !ran;
-    if (!triesElsewhere && quarantineRemaining()) {
+    const bool trialNotStarted = m_onTrial && !mayHaveRun;
+    if (!trialNotStarted && quarantineRemaining()) {
         m_lastError.append("; targets crashed under this request");
         return false;
     }
@@ -267,22 +268,22 @@
 
 Duration RequestHandler::attemptFirstByteTimeout(Instant now) const
 {
-    const bool another = m_route->repeatable() && m_possibleExecutions + 1 < m_route->maxAttempts;
-    return firstByteTimeout(*m_route, m_deadline - now, another);
+    const bool retryAllowed = m_route->repeatable() && m_possibleExecutions + 1 < m_route->maxAttempts;
+    return firstByteTimeout(*m_route, m_deadline - now, retryAllowed);
 }
 
 HttpCallOptions RequestHandler::callOptions(const Placement &placement, Instant now)
 {
     const HttpRequest &request = m_exchange.request();
-    DispatchMetadata terms{.incarnation = placement.name, .team = m_team, .timeLeft = m_deadline - now, .priority = m_priority};
+    DispatchMetadata metadata{.incarnation = placement.name, .team = m_team, .timeLeft = m_deadline - now, .priority = m_priority};
     if (m_streamStarted) {
-        terms.resumeAfter = m_eventParser.lastEventId();
+        metadata.resumeAfter = m_eventParser.lastEventId();
     }
     HttpCallOptions options{.method = std::string(request.method_string()),
                             .path = std::string(request.target()),
                             .contentType = "",
                             .body = request.body(),
-                            .headers = m_gateway.m_options.codec.dispatchHeaders(request, terms),
+                            .headers = m_gateway.m_options.codec.dispatchHeaders(request, metadata),
                             .host = std::string(m_exchange.header("Host")),
                             .timeout = attemptFirstByteTimeout(now),
                             .connectTimeout = s_connectTimeout,
@@ -293,8 +294,8 @@
         return !m_callerDisconnected;
     };
     options.belongs = [this](const http::fields &fields) {
-        const ResponseMetadata answer = m_gateway.m_options.codec.readResponse(s_firstSuccess, fields);
-        return answer.requestId.empty() || answer.requestId == m_metadata.requestId;
+        const ResponseMetadata response = m_gateway.m_options.codec.readResponse(s_minSuccessStatus, fields);
+        return response.requestId.empty() || response.requestId == m_metadata.requestId;
     };
     return options;
 }
@@ -326,8 +327,8 @@
         m_lastError = std::string(started.message());
         m_attemptsSent += outcome == AttemptOutcome::NotRun ? 0 : 1;
         m_connectionLost = !call.cancelled();
-        const bool own = m_callerDisconnected || toFailure(started).kind == FailureKind::Cancelled;
-        m_targetSign = own ? TargetSign::Neutral : TargetSign::Broken;
+        const bool cancelledHere = m_callerDisconnected || toFailure(started).kind == FailureKind::Cancelled;
+        m_targetSign = cancelledHere ? TargetSign::Neutral : TargetSign::Broken;
     }
     m_activeCall = nullptr;
     co_return outcome;
@@ -335,18 +336,18 @@
 
 asio::awaitable<AttemptOutcome> RequestHandler::receiveResponse(HttpStreamCall &call)
 {
-    const ResponseMetadata answer = m_gateway.m_options.codec.readResponse(call.status(), call.headers());
+    const ResponseMetadata response = m_gateway.m_options.codec.readResponse(call.status(), call.headers());
     const unsigned status = call.status();
-    m_gateway.m_chooser.noteTargetTerms(m_placement->incarnation, answer, m_attemptSentAt);
-    if (answer.notRun) {
+    m_gateway.m_chooser.noteTargetTerms(m_placement->incarnation, response, m_attemptSentAt);
+    if (response.notRun) {
         m_lastError = absl::StrCat("declined with ", status);
-        m_targetSign = answer.misdirected ? TargetSign::Neutral : TargetSign::Declined;
+        m_targetSign = response.misdirected ? TargetSign::Neutral : TargetSign::Declined;
         co_return AttemptOutcome::NotRun;
     }
-    const bool success = status >= s_firstSuccess && status < s_firstRedirect;
+    const bool success = status >= s_minSuccessStatus && status < s_minRedirectStatus;
     m_hasSuccessStatus = success;
-    if (answer.contentEncoded || (success && !answer.sealed)) {
-        m_lastError = answer.contentEncoded ? "the body is encoded" : "no seal";
+    if (response.contentEncoded || (success && !response.sealed)) {
+        m_lastError = response.contentEncoded ? "the body is encoded" : "no seal";
         m_targetSign = TargetSign::Failing;
         co_return AttemptOutcome::Incomplete;
     }
@@ -370,7 +371,7 @@
 
 asio::awaitable<AttemptOutcome> RequestHandler::receiveBufferedResponse(HttpStreamCall &call)
 {
-    BufferedResponse answer{.status = call.status(), .headers = endToEndHeaders(call.headers())};
+    BufferedResponse response{.status = call.status(), .headers = endToEndHeaders(call.headers())};
     bool more = true;
     while (more) {
         call.setTimeout(clampedTimeout(m_deadline - steadyNow()));
@@ -381,30 +382,30 @@
         }
         recordFirstByte();
         more = !piece->empty();
-        answer.body.append(*piece);
-        if (answer.body.size() > s_heldBytes && more) {
+        response.body.append(*piece);
+        if (response.body.size() > s_maxBufferedBytes && more) {
             m_lastError = "the answer is longer than may be held";
             co_return AttemptOutcome::Incomplete;
         }
     }
-    if (answer.status >= s_firstServerError) {
-        m_lastError = absl::StrCat("the target answered ", answer.status);
+    if (response.status >= s_minServerErrorStatus) {
+        m_lastError = absl::StrCat("the target answered ", response.status);
         m_targetSign = TargetSign::Failing;
-        m_failureResponse = std::move(answer);
+        m_failureResponse = std::move(response);
         co_return AttemptOutcome::Failed;
     }
     m_targetSign = TargetSign::Sound;
     m_firstByteAt = steadyNow();
-    co_await m_exchange.respond(answer.status, "", std::move(answer.body), std::move(answer.headers));
+    co_await m_exchange.respond(response.status, "", std::move(response.body), std::move(response.headers));
     co_return AttemptOutcome::Delivered;
 }
 
 asio::awaitable<bool> RequestHandler::forwardEvents(std::string_view events)
 {
     m_firstByteAt = m_firstByteAt.value_or(steadyNow());
-    const bool taken = co_await m_exchange.writeChunk(events);
-    m_callerDisconnected = m_callerDisconnected || !taken;
-    co_return taken;
+    const bool written = co_await m_exchange.writeChunk(events);
+    m_callerDisconnected = m_callerDisconnected || !written;
+    co_return written;
 }
 
 asio::awaitable<void> RequestHandler::startCallerStream(HttpStreamCall &call)
@@ -414,8 +415,8 @@
     }
     m_streamStarted = true;
     std::vector<HttpHeader> headers = endToEndHeaders(call.headers());
-    const bool begun = co_await m_exchange.beginStream(call.status(), "", std::move(headers));
-    m_callerDisconnected = m_callerDisconnected || !begun;
+    const bool headWritten = co_await m_exchange.beginStream(call.status(), "", std::move(headers));
+    m_callerDisconnected = m_callerDisconnected || !headWritten;
 }
 
 asio::awaitable<AttemptOutcome> RequestHandler::forwardStream(HttpStreamCall &call)
@@ -439,8 +440,8 @@
             continue;
         }
         co_await startCallerStream(call);
-        const bool taken = co_await forwardEvents(events);
-        if (!taken || m_callerDisconnected) {
+        const bool written = co_await forwardEvents(events);
+        if (!written || m_callerDisconnected) {
             call.cancel();
             co_return AttemptOutcome::CallerDisconnected;
         }
@@ -469,30 +470,30 @@
 
 asio::awaitable<void> RequestHandler::finish(AttemptOutcome outcome)
 {
-    const std::string ran = absl::StrCat(m_possibleExecutions, " of ", m_triedTargets.size(), " attempts may have run; ", m_lastError);
+    const std::string summary = absl::StrCat(m_possibleExecutions, " of ", m_triedTargets.size(), " attempts may have run; ", m_lastError);
     if (outcome == AttemptOutcome::Delivered) {
         logRequestEnd("answered", "");
         co_return;
     }
     if (outcome == AttemptOutcome::CallerDisconnected || m_callerDisconnected) {
-        logRequestEnd("caller_left", ran);
+        logRequestEnd("caller_left", summary);
         m_exchange.cut();
         co_return;
     }
     if (m_streamStarted) {
         // The caller must not take what it has for the whole stream.
-        logRequestEnd("stream_cut", ran);
+        logRequestEnd("stream_cut", summary);
         m_exchange.cut();
         co_return;
     }
     if (m_failureResponse) {
-        logRequestEnd("target_failed", ran);
+        logRequestEnd("target_failed", summary);
         co_await m_exchange.respond(
             m_failureResponse->status, "", std::move(m_failureResponse->body), std::move(m_failureResponse->headers));
         co_return;
     }
     const bool notRun = m_possibleExecutions == 0;
-    Failure failure{.kind = FailureKind::TargetLost, .detail = ran, .ran = notRun ? Ran::No : Ran::Unknown};
+    Failure failure{.kind = FailureKind::TargetLost, .detail = summary, .ran = notRun ? Ran::No : Ran::Unknown};
     if (notRun) {
         failure.kind = m_triedTargets.empty() ? FailureKind::NoTarget : FailureKind::Overloaded;
         const Instant now = steadyNow();
@@ -533,8 +534,8 @@
 
 std::optional<Duration> RequestHandler::quarantineRemaining()
 {
-    const bool known = m_gateway.m_guard.mayKnow(RequestFingerprint::addressHash(fingerprintSource()));
-    return known ? m_gateway.m_guard.heldFor(fingerprints()) : std::nullopt;
+    const bool mayBeQuarantined = m_gateway.m_guard.mayKnow(RequestFingerprint::addressHash(fingerprintSource()));
+    return mayBeQuarantined ? m_gateway.m_guard.heldFor(fingerprints()) : std::nullopt;
 }
 
 absl::Status RequestHandler::checkQuarantine()
@@ -559,9 +560,9 @@
     }
     // A caller that leaves before the first byte leaves nothing behind whose end would tell of a crash, so the target is asked then, too.
     // Not by a host that is short of time: its callers leave because of that, many a second, and the questions would take what time it has.
-    const bool inTime = m_gateway.m_shedder.refusedShare() == 0;
-    const bool leftEarly = inTime && outcome == AttemptOutcome::CallerDisconnected && !m_firstByteAt;
-    if (leftEarly || (m_connectionLost && outcome != AttemptOutcome::NotRun && outcome != AttemptOutcome::TimedOut)) {
+    const bool notShedding = m_gateway.m_shedder.refusedShare() == 0;
+    const bool leftBeforeFirstByte = notShedding && outcome == AttemptOutcome::CallerDisconnected && !m_firstByteAt;
+    if (leftBeforeFirstByte || (m_connectionLost && outcome != AttemptOutcome::NotRun && outcome != AttemptOutcome::TimedOut)) {
         m_gateway.m_guard.brokeOff(m_placement->incarnation, m_placement->address, fingerprints());
     } else if (outcome == AttemptOutcome::CallerDisconnected) {
         m_gateway.m_guard.left(m_placement->incarnation, m_placement->address, fingerprints());
@@ -575,27 +576,27 @@
     }
 }
 
-void RequestHandler::logRequestEnd(std::string_view outcome, std::string_view detail)
+void RequestHandler::logRequestEnd(std::string_view outcomeName, std::string_view detail)
 {
     const Instant now = steadyNow();
     const std::string route = m_route != nullptr ? m_route->name : std::string();
-    const std::array<MetricLabel, 2> byRoute{{{.name = "route", .value = route}, {.name = "outcome", .value = outcome}}};
+    const std::array<MetricLabel, 2> byRoute{{{.name = "route", .value = route}, {.name = "outcome", .value = outcomeName}}};
     m_gateway.m_metrics.count("requests_total", byRoute);
-    const std::array<MetricLabel, 2> byTeam{{{.name = "team", .value = m_team}, {.name = "outcome", .value = outcome}}};
+    const std::array<MetricLabel, 2> byTeam{{{.name = "team", .value = m_team}, {.name = "outcome", .value = outcomeName}}};
     m_gateway.m_metrics.count("team_requests_total", byTeam);
     if (m_firstByteAt) {
         m_gateway.m_metrics.observe("first_byte_seconds", {.name = "route", .value = route}, seconds(*m_firstByteAt - m_arrived));
     }
-    const bool well = outcome == "answered" && m_firstByteAt && *m_firstByteAt - m_arrived <= m_route->objective;
-    static std::uint64_t s_successes = 0;
-    if (well && ++s_successes % s_sampledSuccess != 0) {
+    const bool withinObjective = outcomeName == "answered" && m_firstByteAt && *m_firstByteAt - m_arrived <= m_route->objective;
+    static std::uint64_t s_timelySuccesses = 0;
+    if (withinObjective && ++s_timelySuccesses % s_successLogInterval != 0) {
         return;
     }
     logLine(Severity::Info,
             "request.ended",
             {{"request", m_metadata.requestId},
              {"fingerprint", fingerprints().front().text()},
-             {"outcome", outcome},
+             {"outcome", outcomeName},
              {"detail", detail},
              {"route", route},
              {"team", m_team},
--- a/src/gateway/requesthandler.h
+++ b/src/gateway/requesthandler.h
@@ -68,7 +68,7 @@
     void recordAttemptOutcome(AttemptOutcome outcome);
     void recordFirstByte();
     void settle(AttemptOutcome outcome);
-    void logRequestEnd(std::string_view outcome, std::string_view detail);
+    void logRequestEnd(std::string_view outcomeName, std::string_view detail);
     /// What tells this request from others that come again. Made when it is first needed: a digest of a long body takes a small host
     /// milliseconds.
     const FingerprintPair &fingerprints();
