--- a/src/gateway/requesthandler.cpp
+++ b/src/gateway/requesthandler.cpp
@@ -15,28 +15,29 @@
 
 namespace {
 
-/// Targets that one request is offered to at most, whatever they answer.
+/// The most targets that one request is sent to, whatever they respond.
 constexpr std::size_t s_maxTargetsTried = 5;
-/// Opening a connection takes a few milliseconds; a host that has not accepted by then is without power or cut off, and another target
-/// still serves the caller within most objectives.
+/// Opening a connection takes a few milliseconds. A host that has not accepted by then has lost power or is unreachable, and another target
+/// can still serve the caller within most objectives.
 constexpr Duration s_connectTimeout = std::chrono::milliseconds(250);
-/// Less time than this is not worth another attempt: a target could not answer within it.
+/// With less time left no retry is made, because no target could respond in time.
 constexpr Duration s_minAttemptTime = std::chrono::milliseconds(30);
-/// A target that has started again since it was sent a request knows nothing of it. Where its host lost power or is cut off, no reset says
-/// so, and the caller would wait half of its time or more for nothing. What still comes from a former life is passed on; after this
-/// silence, as long as the pause that callers expect of a stream at most, the request goes elsewhere.
+/// A target that restarted after a request was sent to it knows nothing of that request. If its host lost power or is unreachable, no TCP
+/// reset arrives, and the caller would wait for half of its timeout or more in vain. Data that still arrives from the former process is
+/// forwarded. After this silence, which is no longer than the pause that callers accept in a stream, the request is sent to another target.
 constexpr Duration s_restartedTargetSilence = std::chrono::milliseconds(400);
-/// An answer up to this size is held until it is whole, so that a broken one can be replaced; longer ones would delay their callers.
+/// A response up to this size is buffered until it is complete, so that an incomplete one can be replaced. Buffering longer ones would
+/// delay their callers.
 constexpr std::size_t s_maxBufferedBytes = 256 * 1024;
-/// Told to callers of a router that ends: it is back about this long after its end, and another one usually sooner.
+/// Sent to callers of a router that is shutting down: it is back about this long after its shutdown, and another router usually sooner.
 constexpr std::int64_t s_retryAfterDrainMs = 1000;
-/// Told to callers when no target has room; queues there drain within about this time.
+/// Sent to callers when no target has capacity; the queues of the targets drain within about this time.
 constexpr std::int64_t s_retryAfterOverloadMs = 1000;
-/// Told to callers of an overloaded router whose next attempt reaches another one, or is most likely let in.
+/// Minimum sent to callers of an overloaded router, whose next attempt then reaches another router or is most likely admitted.
 constexpr Duration s_minRedirectDelay = std::chrono::milliseconds(50);
-/// Told to callers while this router does not know its plan yet.
+/// Sent to callers while this router has no routing plan yet.
 constexpr std::int64_t s_retryAfterStartupMs = 700;
-/// One in this many requests that went well is logged; every other one is.
+/// One in this many requests that were answered within their objective is logged, and all others.
 constexpr std::uint64_t s_successLogInterval = 32;
 constexpr unsigned s_minSuccessStatus = 200;
 constexpr unsigned s_minRedirectStatus = 300;
@@ -81,7 +82,8 @@
     }
     m_exchange.onHangUp([this] {
         m_callerDisconnected = true;
-        // A request that must not run twice is left to its target: cancelling it midway would leave its effect unknown to everyone.
+        // A request that must not run twice is left to finish at its target: if it were cancelled midway, nobody would know what it has
+        // changed.
         if (m_activeCall != nullptr && m_route->repeatability != Repeatability::AtMostOnce) {
             m_activeCall->cancel();
         }
@@ -102,7 +104,7 @@
     }
     m_metadata = *std::move(metadata);
     if (!m_plan) {
-        // Whether the route or the key exists cannot be told without a plan; saying "no such route" could be false.
+        // Without a plan it is unknown whether the route or the key exists, so "no such route" could be wrong.
         return toStatus({.kind = FailureKind::Draining, .detail = "no configuration known yet", .retryAfterMs = s_retryAfterStartupMs});
     }
     m_route = m_plan->routeFor(m_exchange.header("Host"), m_exchange.path());
@@ -222,7 +224,7 @@
         ++m_possibleExecutions;
     }
     reportInterruption(outcome);
-    // A failure that a target answers may come before it begins to run the request: it proves nothing.
+    // An error response proves nothing, because the target may have sent it before it began to run the request.
     if (outcome == AttemptOutcome::Delivered && m_hasSuccessStatus) {
         reportSuccess();
     }
@@ -288,7 +290,8 @@
                             .timeout = attemptFirstByteTimeout(now),
                             .connectTimeout = s_connectTimeout,
                             .sendBefore = placement.sendBefore};
-    // A loop that is late hears of a caller's end long after the kernel did, and a call that must not run twice is not cancelled by it.
+    // A delayed event loop learns that a caller has disconnected long after the kernel, and a call that must not run twice is not cancelled
+    // by the disconnect. So the connection is checked right before sending.
     options.wanted = [this] {
         m_callerDisconnected = m_callerDisconnected || m_exchange.hungUp();
         return !m_callerDisconnected;
@@ -481,7 +484,7 @@
         co_return;
     }
     if (m_streamStarted) {
-        // The caller must not take what it has for the whole stream.
+        // Closes the connection without the final chunk, so that the caller does not take the stream for complete.
         logRequestEnd("stream_cut", summary);
         m_exchange.cut();
         co_return;
@@ -540,8 +543,8 @@
 
 absl::Status RequestHandler::checkQuarantine()
 {
-    // A request that crashes every target that begins it comes again and again; sent on, each copy takes a target and all that runs there
-    // with it. This router or its peers have seen it do so.
+    // A request that crashes every target that begins to run it is sent again and again by its caller. Each copy that is forwarded takes
+    // down a target together with all other requests there. This router or its peers have seen it do so.
     const std::optional<Duration> held = quarantineRemaining();
     if (!held) {
         return absl::OkStatus();
@@ -558,8 +561,9 @@
     if (!m_gateway.m_options.quarantines) {
         return;
     }
-    // A caller that leaves before the first byte leaves nothing behind whose end would tell of a crash, so the target is asked then, too.
-    // Not by a host that is short of time: its callers leave because of that, many a second, and the questions would take what time it has.
+    // If a caller disconnects before the first byte, no interrupted response will show whether the target crashed, so the target is probed
+    // in this case, too. A host that sheds load does not do this: many of its callers disconnect each second because of the overload, and
+    // the probes would use up the rest of its processor time.
     const bool notShedding = m_gateway.m_shedder.refusedShare() == 0;
     const bool leftBeforeFirstByte = notShedding && outcome == AttemptOutcome::CallerDisconnected && !m_firstByteAt;
     if (leftBeforeFirstByte || (m_connectionLost && outcome != AttemptOutcome::NotRun && outcome != AttemptOutcome::TimedOut)) {
--- a/src/gateway/requesthandler.h
+++ b/src/gateway/requesthandler.h
@@ -12,29 +12,29 @@
 
 namespace bamboohold {
 
-/// One request on its way: from its headers to its answer, over as many attempts as its route allows.
+/// Handles one request, from its headers to the end of its response, in as many attempts as its route allows.
 ///
-/// What it may say to the caller follows from what is known: "not run" only while every attempt was declined by its target or never reached
-/// one. An answer is taken as whole only with the target's seal and its last byte.
+/// What the caller is told depends on what is certain: "not run" only if every attempt was declined by its target or never reached one. A
+/// response counts as complete only with the target's seal and its last byte.
 class RequestHandler
 {
 public:
-    /// `arrived`: when the whole request had been read.
+    /// `arrived` is when the whole request had been read.
     RequestHandler(Gateway &gateway, HttpExchange &exchange, std::shared_ptr<const RoutingPlan> plan, Instant arrived);
     ~RequestHandler();
 
     RequestHandler(const RequestHandler &) = delete;
     RequestHandler &operator=(const RequestHandler &) = delete;
 
-    /// Serves the request to its end.
+    /// Serves the request until its response has been sent.
     asio::awaitable<void> serve();
 
-    /// Ends an attempt that waits in silence for a target which has started again since; a request that may not run twice is left to its
-    /// time, as its answer may be on the way. Call now and then.
+    /// Cancels an attempt that has received nothing for a while from a target that has restarted since, so that the request is retried
+    /// elsewhere. A request that may not run twice keeps waiting until its deadline, as its response may still arrive. Call regularly.
     void abandonRestartedTarget(Instant now);
 
 private:
-    /// A whole answer that waits to be passed on.
+    /// A complete response that is held in memory.
     struct BufferedResponse {
         unsigned status = 0;
         std::vector<HttpHeader> headers;
@@ -43,11 +43,11 @@
 
     absl::Status admit();
     FingerprintSource fingerprintSource() const;
-    /// How long until the request may be tried, if targets have crashed under it.
+    /// How long the request remains quarantined because targets crashed while they ran it; none if it is not.
     std::optional<Duration> quarantineRemaining();
-    /// The refusal of a request that is held back; OK for any other one, and for a copy on trial.
+    /// Fails with Quarantined if the request is quarantined. Succeeds for any other request, and for a copy that is let through as a trial.
     absl::Status checkQuarantine();
-    /// Tells what may have been under way when a target crashed.
+    /// Reports an interrupted attempt, which a crash of its target may have caused, to the quarantine.
     void reportInterruption(AttemptOutcome outcome);
     void reportSuccess();
     asio::awaitable<absl::Status> reserve();
@@ -69,8 +69,8 @@
     void recordFirstByte();
     void settle(AttemptOutcome outcome);
     void logRequestEnd(std::string_view outcomeName, std::string_view detail);
-    /// What tells this request from others that come again. Made when it is first needed: a digest of a long body takes a small host
-    /// milliseconds.
+    /// Fingerprints that identify copies of the same request. Computed on first use, because hashing a long body takes milliseconds on a
+    /// small host.
     const FingerprintPair &fingerprints();
 
     Gateway &m_gateway;
@@ -88,33 +88,33 @@
     std::optional<FingerprintPair> m_fingerprints;
 
     std::vector<std::string> m_triedTargets;
-    /// Attempts whose target may have run the request.
+    /// Attempts in which a target may have run the request.
     unsigned m_possibleExecutions = 0;
     unsigned m_attemptsSent = 0;
-    /// An attempt other than the last broke off, so that nobody counted what it delivered.
+    /// An attempt other than the last one was interrupted, so the tokens that it delivered were not counted.
     bool m_hasUncountedAttempt = false;
     bool m_callerDisconnected = false;
     HttpStreamCall *m_activeCall = nullptr;
 
     EventStreamParser m_eventParser;
     bool m_streamStarted = false;
-    /// Counted among the gateway's streams.
+    /// Whether the request is counted in the gateway's number of streams.
     bool m_countedStream = false;
     std::optional<BufferedResponse> m_failureResponse;
     std::string m_lastError;
-    /// The running attempt: its target, when it was sent, and whether its first byte has come.
+    /// The current attempt: its target, when it was sent, and whether its first byte has arrived.
     std::optional<Placement> m_placement;
     Instant m_attemptSentAt{};
     bool m_firstByteReceived = false;
-    /// When the running attempt was sent, or the last bytes of it came.
+    /// When the current attempt was sent, or when its latest bytes arrived.
     Instant m_lastReceivedAt{};
-    /// Held back, and let through to see whether it still crashes targets.
+    /// The request is quarantined and was let through as a trial, to see whether it still crashes targets.
     bool m_onTrial = false;
-    /// The running attempt's answer says that the request was served.
+    /// The response of the current attempt has a success status.
     bool m_hasSuccessStatus = false;
-    /// The running attempt lost its connection before its answer was whole.
+    /// The current attempt lost its connection before its response was complete.
     bool m_connectionLost = false;
-    /// What the last attempt tells of its target.
+    /// What the last attempt shows about the health of its target.
     TargetSign m_targetSign = TargetSign::Neutral;
     std::optional<Instant> m_firstByteAt;
 };
