--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -14,7 +14,7 @@
     , m_metrics(metrics)
     , m_board(m_options.board)
     , m_chooser(m_board, m_metrics, m_options.chooser)
-    , m_retries(m_options.retries)
+    , m_retryBudget(m_options.retryBudget)
     , m_guard(m_executor, m_metrics)
     , m_becameReady(m_executor)
     , m_random(m_options.seed)
@@ -37,9 +37,9 @@
 
 asio::awaitable<void> Gateway::waitUntilReady()
 {
-    const Instant giveUp = steadyNow() + m_options.startPatience;
-    while (!ready() && steadyNow() < giveUp) {
-        co_await m_becameReady.wait(giveUp - steadyNow());
+    const Instant deadline = steadyNow() + m_options.startupWait;
+    while (!ready() && steadyNow() < deadline) {
+        co_await m_becameReady.wait(deadline - steadyNow());
     }
 }
 
@@ -58,9 +58,9 @@
     return true;
 }
 
-void Gateway::noteDelay(Duration delay)
+void Gateway::recordHostDelay(Duration delay)
 {
-    if (!m_options.sheds) {
+    if (!m_options.shedsLoad) {
         return;
     }
     m_shedder.recordDelay(delay, steadyNow());
@@ -79,7 +79,7 @@
     return m_shedder.overloaded(steadyNow());
 }
 
-std::shared_ptr<HttpClient> Gateway::client(const Placement &placement)
+std::shared_ptr<HttpClient> Gateway::clientFor(const Placement &placement)
 {
     auto &client = m_clients[placement.incarnation];
     if (!client) {
@@ -89,7 +89,7 @@
     return client;
 }
 
-void Gateway::prune()
+void Gateway::dropStaleTargets()
 {
     const Instant now = steadyNow();
     for (RequestHandler *request : m_activeRequests) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -33,17 +33,17 @@
         CallerCodec codec;
         TargetBoard::Options board;
         TargetChooser::Options chooser;
-        RetryBudget::Options retries;
+        RetryBudget::Options retryBudget;
         /// Routers that share the retry budget, this one included.
         std::function<std::size_t()> routers;
         /// A router that has just started has its configuration and targets within tens of milliseconds, and all callers that could not
         /// connect before come at once: refused in those moments, they would be late when they come back. They wait for this long at most;
         /// longer, and the store is most likely away.
-        Duration startPatience = std::chrono::milliseconds(300);
+        Duration startupWait = std::chrono::milliseconds(300);
         /// Whether an overloaded router refuses what it has no time for.
-        bool sheds = true;
+        bool shedsLoad = true;
         /// Whether requests that crash targets are held back.
-        bool quarantines = true;
+        bool quarantinesRequests = true;
         /// Seeds the choice among the services of a split route.
         std::uint64_t seed = 1;
     };
@@ -75,13 +75,13 @@
     }
 
     /// The process ends then. New requests are served if they are certainly over before, and refused otherwise.
-    void endAt(Instant end)
+    void setShutdownTime(Instant shutdownTime)
     {
-        m_end = end;
+        m_shutdownTime = shutdownTime;
     }
 
     /// Targets became known: requests may have waited for the first ones.
-    void targetsKnown()
+    void notifyTargetsKnown()
     {
         m_becameReady.notify();
     }
@@ -105,13 +105,13 @@
     }
 
     /// How late the loop runs, or a datagram comes back, measured every `LoadShedder::s_tick`.
-    void noteDelay(Duration delay);
+    void recordHostDelay(Duration delay);
 
     /// Whether callers are better served by other routers.
     bool overloaded() const;
 
     /// Lets the connections to targets that are gone go, and ends attempts at former lives of targets. Call now and then.
-    void prune();
+    void dropStaleTargets();
 
 private:
     friend class RequestHandler;
@@ -124,7 +124,7 @@
     asio::awaitable<void> waitUntilReady();
     /// The connections to one target. A process that has taken over an address gets connections of its own: one that its predecessor left
     /// half open would swallow a request.
-    std::shared_ptr<HttpClient> client(const Placement &placement);
+    std::shared_ptr<HttpClient> clientFor(const Placement &placement);
     const std::string &chooseService(const Route &route);
 
     asio::any_io_executor m_executor;
@@ -135,7 +135,7 @@
     TargetChooser m_chooser;
     LoadShedder m_shedder;
     bool m_shedding = false;
-    RetryBudget m_retries;
+    RetryBudget m_retryBudget;
     PoisonGuard m_guard;
     std::shared_ptr<const RoutingPlan> m_plan;
     /// The first plan or the first targets came.
@@ -145,7 +145,7 @@
     std::mt19937_64 m_random;
     std::set<RequestHandler *> m_activeRequests;
     std::size_t m_streamsInFlight = 0;
-    std::optional<Instant> m_end;
+    std::optional<Instant> m_shutdownTime;
 };
 
 }
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -185,10 +185,10 @@
             options.holdings.ampleSpan = s_never;
         }
         if (!on.startPatience) {
-            options.gateway.startPatience = Duration::zero();
+            options.gateway.startupWait = Duration::zero();
         }
-        options.gateway.sheds = on.shedding;
-        options.gateway.quarantines = on.quarantine;
+        options.gateway.shedsLoad = on.shedding;
+        options.gateway.quarantinesRequests = on.quarantine;
         options.gateway.chooser.admissions = on.admissions;
         if (!on.silence) {
             options.gateway.board.patience = s_never;
@@ -382,7 +382,7 @@
                     [this](const std::vector<StoredRow> &rows) {
                         m_targetsKnown = true;
                         m_targetFollower.all(rows, steadyNow());
-                        m_gateway.targetsKnown();
+                        m_gateway.notifyTargetsKnown();
                     },
                 .onChange =
                     [this](const StoredRow &row) {
@@ -399,7 +399,7 @@
         for (unsigned round = 0;; ++round) {
             co_await pause(s_expiryPause);
             m_gateway.board().expire(steadyNow());
-            m_gateway.prune();
+            m_gateway.dropStaleTargets();
             if (round % s_roundsPerRenewal == 0) {
                 m_gateway.chooser().renewLoads();
                 m_gateway.guard().expire();
@@ -418,7 +418,7 @@
             co_await pause(LoadShedder::s_measurementInterval);
             const Instant now = steadyNow();
             const Duration roundTrip = m_loads.takeShortestRoundTrip().value_or(Duration::zero());
-            m_gateway.noteDelay(std::max({Duration::zero(), now - due, roundTrip}));
+            m_gateway.recordHostDelay(std::max({Duration::zero(), now - due, roundTrip}));
             overloadedSince = m_gateway.overloaded() ? overloadedSince : now;
             m_callers.setLastAnswers(m_draining || now - overloadedSince > s_rotationTime);
         }
@@ -431,7 +431,7 @@
         const Instant begun = steadyNow();
         const Instant lastWork = begun + m_options.grace - s_closeTime;
         logLine(Severity::Info, "router.draining", {{"in_flight", static_cast<std::int64_t>(m_gateway.inFlight())}});
-        m_gateway.endAt(lastWork);
+        m_gateway.setShutdownTime(lastWork);
         m_callers.setLastAnswers(true);
         co_await pause(s_rotationTime);
         while (m_gateway.streamsInFlight() > 0 && steadyNow() < lastWork) {
--- a/src/gateway/requesthandler.cpp
+++ b/src/gateway/requesthandler.cpp
@@ -120,7 +120,8 @@
         m_team = team->name;
         m_priority = team->priority.value_or(m_priority);
     }
-    if (m_gateway.m_end && m_arrived + drainAllowance(*m_route, m_metadata, *m_gateway.m_end - m_arrived) > *m_gateway.m_end) {
+    if (m_gateway.m_shutdownTime
+        && m_arrived + drainAllowance(*m_route, m_metadata, *m_gateway.m_shutdownTime - m_arrived) > *m_gateway.m_shutdownTime) {
         return toStatus(
             {.kind = FailureKind::Draining, .detail = "this router ends before the request would", .retryAfterMs = s_retryAfterDrainMs});
     }
@@ -138,7 +139,7 @@
     m_serviceName = m_gateway.chooseService(*m_route);
     m_service = m_plan->service(m_serviceName);
     m_deadline = m_arrived + std::min(m_metadata.callerTimeout, m_route->timeout);
-    m_gateway.m_retries.recordRequest(m_serviceName, m_arrived);
+    m_gateway.m_retryBudget.recordRequest(m_serviceName, m_arrived);
     return absl::OkStatus();
 }
 
@@ -257,7 +258,7 @@
         m_lastError.append("; targets crashed under this request");
         return false;
     }
-    if (m_attemptsSent > 0 && !m_gateway.m_retries.tryAcquireRetry(m_serviceName, m_gateway.m_options.routers(), now)) {
+    if (m_attemptsSent > 0 && !m_gateway.m_retryBudget.tryAcquireRetry(m_serviceName, m_gateway.m_options.routers(), now)) {
         m_lastError.append("; retry budget used up");
         return false;
     }
@@ -317,7 +318,7 @@
 asio::awaitable<AttemptOutcome> RequestHandler::runAttempt(const Placement &placement)
 {
     HttpCallOptions options = callOptions(placement, m_attemptSentAt);
-    const std::shared_ptr<HttpClient> client = m_gateway.client(placement);
+    const std::shared_ptr<HttpClient> client = m_gateway.clientFor(placement);
     HttpStreamCall call(*client, std::move(options));
     m_activeCall = &call;
     const absl::Status started = co_await call.start();
@@ -558,7 +559,7 @@
 
 void RequestHandler::reportInterruption(AttemptOutcome outcome)
 {
-    if (!m_gateway.m_options.quarantines) {
+    if (!m_gateway.m_options.quarantinesRequests) {
         return;
     }
     // If a caller disconnects before the first byte, no interrupted response will show whether the target crashed, so the target is probed
--- a/src/tests/gatewayscene.cpp
+++ b/src/tests/gatewayscene.cpp
@@ -84,8 +84,8 @@
     return std::make_shared<const RoutingPlan>(std::move(content));
 }
 
-GatewayScene::GatewayScene(std::vector<std::vector<PeerAction>> scripts, bool withPlan, Duration startPatience)
-    : m_startPatience(startPatience)
+GatewayScene::GatewayScene(std::vector<std::vector<PeerAction>> scripts, bool withPlan, Duration startupWait)
+    : m_startupWait(startupWait)
     , m_pool(1)
     , m_ledger(m_pool.mainLoop().get_executor(), {.holder = "router", .incarnation = "router~1"})
     , m_gateway(m_pool.mainLoop().get_executor(), options(), m_ledger, m_metrics)
@@ -159,7 +159,7 @@
                                      steadyNow());
             while (true) {
                 co_await pause(std::chrono::milliseconds(20));
-                m_gateway.prune();
+                m_gateway.dropStaleTargets();
             }
         },
         asio::detached);
@@ -191,7 +191,7 @@
     Gateway::Options options;
     options.codec = testCodec();
     options.board.failureDomain = "here";
-    options.startPatience = m_startPatience;
+    options.startupWait = m_startupWait;
     options.routers = [] {
         return std::size_t(1);
     };
--- a/src/tests/gatewayscene.h
+++ b/src/tests/gatewayscene.h
@@ -22,7 +22,7 @@
 public:
     explicit GatewayScene(std::vector<std::vector<PeerAction>> scripts,
                           bool withPlan = true,
-                          Duration startPatience = std::chrono::milliseconds(20));
+                          Duration startupWait = std::chrono::milliseconds(20));
 
     /// Sends the bytes and returns what came back.
     std::string exchange(std::string request, std::optional<Duration> leaveAfter = std::nullopt);
@@ -53,7 +53,7 @@
 
     asio::awaitable<void> call(std::string request, std::string &answer, std::optional<Duration> leaveAfter);
 
-    Duration m_startPatience;
+    Duration m_startupWait;
     WorkerPool m_pool;
     Metrics m_metrics;
     TeamLedger m_ledger;
