--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -30,7 +30,7 @@
     if (!ready()) {
         co_await waitUntilReady();
     }
-    // The request keeps the plan it came under, also when a newer one arrives while it runs.
+    // A request keeps the plan with which it began, even if a newer plan arrives in the meantime.
     RequestHandler request(*this, exchange, m_plan, arrived);
     co_await request.serve();
 }
@@ -83,7 +83,7 @@
 {
     auto &client = m_clients[placement.incarnation];
     if (!client) {
-        // Every connection to an address that is none fails, as to one where nobody listens.
+        // If the address cannot be parsed, every connection fails as if nobody listened there.
         client = std::make_shared<HttpClient>(m_executor, endpointFrom(placement.address).value_or(asio::ip::tcp::endpoint()));
     }
     return client;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -24,8 +24,8 @@
 
 class RequestHandler;
 
-/// Serves callers straight from the targets: finds route and team, reserves tokens, chooses a target, passes the answer on, settles. Lives
-/// on one event loop.
+/// Serves callers from the targets: finds the route and the team, reserves tokens, chooses a target, forwards its response and settles the
+/// reservation. Bound to one event loop.
 class Gateway
 {
 public:
@@ -34,83 +34,85 @@
         TargetBoard::Options board;
         TargetChooser::Options chooser;
         RetryBudget::Options retryBudget;
-        /// Routers that share the retry budget, this one included.
+        /// The number of routers that share the retry budget, including this one.
         std::function<std::size_t()> routers;
-        /// A router that has just started has its configuration and targets within tens of milliseconds, and all callers that could not
-        /// connect before come at once: refused in those moments, they would be late when they come back. They wait for this long at most;
-        /// longer, and the store is most likely away.
+        /// How long requests wait at most for the first configuration and targets. A router that has just started has them within tens of
+        /// milliseconds, and all callers that could not connect before arrive at once; if they were refused then, their retries would be
+        /// late. A longer wait would not help, since the store is then most likely unreachable.
         Duration startupWait = std::chrono::milliseconds(300);
-        /// Whether an overloaded router refuses what it has no time for.
+        /// Whether an overloaded router refuses requests that it has no time for.
         bool shedsLoad = true;
-        /// Whether requests that crash targets are held back.
+        /// Whether requests that crash targets are quarantined.
         bool quarantinesRequests = true;
-        /// Seeds the choice among the services of a split route.
+        /// Seed of the random choice among the services of a split route.
         std::uint64_t seed = 1;
     };
 
     Gateway(asio::any_io_executor executor, Options options, TeamLedger &ledger, Metrics &metrics);
 
-    /// Answers one request. The exchange's handler for HttpServer.
+    /// Serves one request. This is the handler for HttpServer.
     asio::awaitable<void> handle(HttpExchange &exchange);
 
-    /// A newer plan is in force from now on; an older one is ignored. Returns whether it was newer.
+    /// Replaces the plan in force by a newer one; an older one is ignored. Returns whether the plan was newer.
     bool setPlan(std::shared_ptr<const RoutingPlan> plan);
 
-    /// The plan in force; null before the first.
+    /// The plan in force; null before the first one.
     std::shared_ptr<const RoutingPlan> plan() const
     {
         return m_plan;
     }
 
-    /// Requests under way.
+    /// The number of requests in progress.
     std::size_t inFlight() const
     {
         return m_activeRequests.size();
     }
 
-    /// Streams under way: what a process that ends has to wait for.
+    /// The number of streams in progress, for which a process that is shutting down has to wait.
     std::size_t streamsInFlight() const
     {
         return m_streamsInFlight;
     }
 
-    /// The process ends then. New requests are served if they are certainly over before, and refused otherwise.
+    /// Announces the shutdown of the process at this time. From now on new requests are served only if they are expected to finish before
+    /// it, and refused otherwise.
     void setShutdownTime(Instant shutdownTime)
     {
         m_shutdownTime = shutdownTime;
     }
 
-    /// Targets became known: requests may have waited for the first ones.
+    /// Wakes requests that wait for the first targets.
     void notifyTargetsKnown()
     {
         m_becameReady.notify();
     }
 
-    /// What is known of the targets.
+    /// The state of the targets.
     TargetBoard &board()
     {
         return m_board;
     }
 
-    /// Requests that crash targets, and are held back.
+    /// The quarantine for requests that crash targets.
     PoisonGuard &guard()
     {
         return m_guard;
     }
 
-    /// Chooses targets for requests.
+    /// The component that chooses targets for requests.
     TargetChooser &chooser()
     {
         return m_chooser;
     }
 
-    /// How late the loop runs, or a datagram comes back, measured every `LoadShedder::s_tick`.
+    /// Records the delay of the event loop or the round trip of a datagram, whichever is longer. Call every
+    /// `LoadShedder::s_measurementInterval`.
     void recordHostDelay(Duration delay);
 
     /// Whether callers are better served by other routers.
     bool overloaded() const;
 
-    /// Lets the connections to targets that are gone go, and ends attempts at former lives of targets. Call now and then.
+    /// Closes the connections to targets that were removed, and cancels attempts that wait for targets that have restarted. Call regularly.
     void dropStaleTargets();
 
 private:
@@ -122,8 +124,8 @@
     }
 
     asio::awaitable<void> waitUntilReady();
-    /// The connections to one target. A process that has taken over an address gets connections of its own: one that its predecessor left
-    /// half open would swallow a request.
+    /// The client that holds the connections to one target. A process that has taken over an address gets new connections, because one that
+    /// its predecessor left half open would swallow a request.
     std::shared_ptr<HttpClient> clientFor(const Placement &placement);
     const std::string &chooseService(const Route &route);
 
@@ -138,9 +140,9 @@
     RetryBudget m_retryBudget;
     PoisonGuard m_guard;
     std::shared_ptr<const RoutingPlan> m_plan;
-    /// The first plan or the first targets came.
+    /// Notified when the first plan or the first targets arrive.
     Signal m_becameReady;
-    /// By incarnation.
+    /// Clients by incarnation of their target.
     std::map<std::string, std::shared_ptr<HttpClient>> m_clients;
     std::mt19937_64 m_random;
     std::set<RequestHandler *> m_activeRequests;
