--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -45,19 +45,19 @@
         std::string readinessPath = "/";
         std::string incarnation;
         /// True when all routers start together for the first time.
-        bool together = false;
+        bool firstStart = false;
         /// The process is killed this long after it was asked to end.
-        Duration grace = std::chrono::seconds(8);
+        Duration gracePeriod = std::chrono::seconds(8);
         Gateway::Options gateway;
         HoldingPolicy holdings;
         /// The table and key of the configuration, and the table of targets.
         std::string planTable;
         std::string planKey;
         std::string targetTable;
-        std::function<absl::StatusOr<RoutingPlan::Content>(const StoredRow &)> planFrom;
-        std::function<absl::StatusOr<TargetListing>(const StoredRow &)> listingFrom;
+        std::function<absl::StatusOr<RoutingPlan::Content>(const StoredRow &)> decodePlan;
+        std::function<absl::StatusOr<TargetListing>(const StoredRow &)> decodeTarget;
         /// Orders to evacuate failure domains stand in the configuration's table; see EvacuationFollower.
-        std::function<absl::StatusOr<std::optional<std::string>>(const StoredRow &)> evacuationFrom = [](const StoredRow &) {
+        std::function<absl::StatusOr<std::optional<std::string>>(const StoredRow &)> decodeEvacuation = [](const StoredRow &) {
             return std::optional<std::string>();
         };
         /// Opens the store by way of a relay beside a target; empty where no relays run.
@@ -68,13 +68,14 @@
     GatewayDaemon(WorkerPool &pool, Store &store, Options options)
         : m_pool(pool)
         , m_executor(pool.mainLoop().get_executor())
-        , m_options(applied(std::move(options)))
-        , m_link(m_executor, {.self = text(m_options.link), .seeds = m_options.seeds})
-        , m_detours({.self = text(m_options.link), .failureDomain = m_options.gateway.board.failureDomain})
+        , m_options(withMechanismsApplied(std::move(options)))
+        , m_link(m_executor, {.self = addressText(m_options.link), .seeds = m_options.seeds})
+        , m_detours({.self = addressText(m_options.link), .failureDomain = m_options.gateway.board.failureDomain})
         , m_store(store, m_link, relayedOptions())
         , m_registry(m_store, registryOptions())
-        , m_ledger(m_executor,
-                   {.holder = holder(), .incarnation = m_options.incarnation, .policy = m_options.holdings, .link = text(m_options.link)})
+        , m_ledger(
+              m_executor,
+              {.holder = holder(), .incarnation = m_options.incarnation, .policy = m_options.holdings, .link = addressText(m_options.link)})
         , m_checkpoints(m_store, m_ledger)
         , m_keeper(m_executor, m_store, m_ledger, {.routers = countedRouters()})
         , m_gateway(m_executor, gatewayOptions(), m_ledger, m_metrics)
@@ -82,12 +83,12 @@
         , m_loadServer(m_executor, {asio::ip::make_address(m_options.link.address), m_options.link.port})
         , m_loads(m_executor, {.incarnation = m_options.incarnation, .address = m_options.link.address})
         , m_evacuations(m_gateway.board(), m_metrics, evacuationOptions())
-        , m_help(m_link, m_store, m_ledger, m_gateway, m_evacuations, documentTaker())
+        , m_help(m_link, m_store, m_ledger, m_gateway, m_evacuations, planDocumentHandler())
         , m_quarantine(m_store, m_gateway.guard())
         , m_targetFollower(
-              m_gateway.board(), m_detours, m_metrics, {.listingFrom = m_options.listingFrom, .host = m_options.callers.address})
-        , m_plans(m_store, planWatch())
-        , m_targets(m_store, targetWatch())
+              m_gateway.board(), m_detours, m_metrics, {.listingFrom = m_options.decodeTarget, .host = m_options.callers.address})
+        , m_plans(m_store, planWatcherOptions())
+        , m_targets(m_store, targetWatcherOptions())
         , m_callers(pool, callerOptions(), callerHandler())
         , m_readiness(pool, {.address = m_options.readiness.address, .port = m_options.readiness.port}, readinessHandler())
         , m_metricsServer(pool, {.address = m_options.metrics.address, .port = m_options.metrics.port}, metricsHandler())
@@ -125,19 +126,19 @@
             return opened;
         }
         asio::co_spawn(m_executor, m_checkpoints.run(), asio::detached);
-        asio::co_spawn(m_executor, m_registry.run(m_options.together), asio::detached);
+        asio::co_spawn(m_executor, m_registry.run(m_options.firstStart), asio::detached);
         asio::co_spawn(m_executor, m_plans.run(), asio::detached);
-        if (!m_options.together) {
+        if (!m_options.firstStart) {
             asio::co_spawn(m_executor, m_help.seekFirstPlan(), asio::detached);
         }
         asio::co_spawn(m_executor, m_targets.run(), asio::detached);
         if (m_options.mechanisms.quarantine) {
             asio::co_spawn(m_executor, m_quarantine.run(), asio::detached);
-            if (!m_options.together) {
+            if (!m_options.firstStart) {
                 asio::co_spawn(m_executor, m_help.learnCrashes(), asio::detached);
             }
         }
-        asio::co_spawn(m_executor, expireTargets(), asio::detached);
+        asio::co_spawn(m_executor, runMaintenance(), asio::detached);
         asio::co_spawn(m_executor, measureDelay(), asio::detached);
         logLine(Severity::Info, "router.started", {{"incarnation", m_options.incarnation}, {"callers", holder()}});
         return absl::OkStatus();
@@ -153,7 +154,7 @@
     }
 
     /// Counts a call to the store by what it was for: calls that grow with routers times teams are seen here first.
-    void noteStoreCall(const StoreCall &call)
+    void countStoreCall(const StoreCall &call)
     {
         const std::array<MetricLabel, 2> labels{
             {{.name = "table", .value = call.table}, {.name = "call", .value = storeCallName(call.kind)}}};
@@ -166,31 +167,31 @@
     /// A balancer that asks once a second takes a host out after two misses; until then connections still arrive and are served.
     static constexpr Duration s_rotationTime = std::chrono::milliseconds(2600);
     /// Kept from the grace time for giving budgets back and ending.
-    static constexpr Duration s_closeTime = std::chrono::milliseconds(600);
+    static constexpr Duration s_shutdownReserve = std::chrono::milliseconds(600);
     /// Targets and connections that are gone are looked for this often, and loads told again every so many times.
-    static constexpr Duration s_expiryPause = std::chrono::milliseconds(250);
-    static constexpr unsigned s_roundsPerRenewal = 4;
-    static constexpr Duration s_poll = std::chrono::milliseconds(50);
-    static constexpr Duration s_shortPoll = std::chrono::milliseconds(10);
+    static constexpr Duration s_maintenanceInterval = std::chrono::milliseconds(250);
+    static constexpr unsigned s_roundsPerLoadRenewal = 4;
+    static constexpr Duration s_drainPollInterval = std::chrono::milliseconds(50);
+    static constexpr Duration s_shutdownPollInterval = std::chrono::milliseconds(10);
 
     /// The options without what the mechanisms leave out.
-    static Options applied(Options options)
+    static Options withMechanismsApplied(Options options)
     {
-        const Mechanisms &on = options.mechanisms;
-        options.holdings.fewKeepers = on.keepers;
-        options.holdings.loans = on.loans;
-        options.gateway.board.favourites = on.favourites;
-        options.gateway.board.ejects = on.ejection;
-        if (!on.ampleBudgets) {
+        const Mechanisms &enabled = options.mechanisms;
+        options.holdings.fewKeepers = enabled.keepers;
+        options.holdings.loans = enabled.loans;
+        options.gateway.board.favourites = enabled.favourites;
+        options.gateway.board.ejects = enabled.ejection;
+        if (!enabled.ampleBudgets) {
             options.holdings.ampleSpan = s_never;
         }
-        if (!on.startPatience) {
+        if (!enabled.startPatience) {
             options.gateway.startupWait = Duration::zero();
         }
-        options.gateway.shedsLoad = on.shedding;
-        options.gateway.quarantinesRequests = on.quarantine;
-        options.gateway.chooser.admissions = on.admissions;
-        if (!on.silence) {
+        options.gateway.shedsLoad = enabled.shedding;
+        options.gateway.quarantinesRequests = enabled.quarantine;
+        options.gateway.chooser.admissions = enabled.admissions;
+        if (!enabled.silence) {
             options.gateway.board.patience = s_never;
         }
         return options;
@@ -199,7 +200,7 @@
     /// Longer than any process lives.
     static constexpr Duration s_never = std::chrono::hours(24 * 365);
 
-    static std::string text(const Address &address)
+    static std::string addressText(const Address &address)
     {
         return absl::StrCat(address.address, ":", address.port);
     }
@@ -215,12 +216,12 @@
 
     std::string holder() const
     {
-        return text(m_options.callers);
+        return addressText(m_options.callers);
     }
 
     typename RouterRegistry<Relayed>::Options registryOptions()
     {
-        return {.router = text(m_options.link), .onCounted = [this](const std::vector<std::string> &routers) {
+        return {.router = addressText(m_options.link), .onCounted = [this](const std::vector<std::string> &routers) {
                     m_link.setPeers(routers);
                     m_ledger.setRouters(routers);
                     m_gateway.chooser().setRouters(routers);
@@ -245,7 +246,7 @@
     {
         Gateway::Options options = m_options.gateway;
         options.routers = routerCount();
-        options.chooser.self = text(m_options.link);
+        options.chooser.self = addressText(m_options.link);
         return options;
     }
 
@@ -272,9 +273,9 @@
     HttpHandler readinessHandler()
     {
         return [this](HttpExchange &exchange) -> asio::awaitable<void> {
-            const bool known = exchange.path() == m_options.readinessPath;
-            const unsigned status = known ? (ready() ? 200 : 503) : 404;
-            std::string body = known ? readinessText() : std::string();
+            const bool pathMatches = exchange.path() == m_options.readinessPath;
+            const unsigned status = pathMatches ? (ready() ? 200 : 503) : 404;
+            std::string body = pathMatches ? readinessText() : std::string();
             co_await exchange.respond(status, "text/plain", std::move(body));
         };
     }
@@ -297,9 +298,9 @@
     HttpHandler metricsHandler()
     {
         return [this](HttpExchange &exchange) -> asio::awaitable<void> {
-            const bool known = exchange.path() == m_options.metricsPath;
-            std::string body = known ? m_metrics.text() : std::string();
-            co_await exchange.respond(known ? 200 : 404, "text/plain; version=0.0.4", std::move(body));
+            const bool pathMatches = exchange.path() == m_options.metricsPath;
+            std::string body = pathMatches ? m_metrics.text() : std::string();
+            co_await exchange.respond(pathMatches ? 200 : 404, "text/plain; version=0.0.4", std::move(body));
         };
     }
 
@@ -308,20 +309,20 @@
         return readinessText().empty();
     }
 
-    typename TableWatcher<Relayed>::Options planWatch()
+    typename TableWatcher<Relayed>::Options planWatcherOptions()
     {
         return {.table = m_options.planTable,
                 .onAll =
                     [this](const std::vector<StoredRow> &rows) {
                         m_evacuations.all(rows);
                         for (const StoredRow &row : rows) {
-                            takePlan(row);
+                            applyPlanRow(row);
                         }
                     },
                 .onChange =
                     [this](const StoredRow &row) {
                         m_evacuations.changed(row);
-                        takePlan(row);
+                        applyPlanRow(row);
                     },
                 .onReachable = [](bool) {},
                 .onVersion =
@@ -332,7 +333,7 @@
 
     EvacuationFollower::Options evacuationOptions()
     {
-        return {.domainFrom = m_options.evacuationFrom,
+        return {.domainFrom = m_options.decodeEvacuation,
                 .announce =
                     [this](const Evacuations::State &state) {
                         m_link.announceEvacuations(toWire(state));
@@ -340,24 +341,24 @@
                 .host = m_options.callers.address};
     }
 
-    void takePlan(const StoredRow &row)
+    void applyPlanRow(const StoredRow &row)
     {
         if (row.address.key == m_options.planKey && row.version != 0) {
-            takeDocument(row);
+            applyPlanDocument(row);
         }
     }
 
-    std::function<void(const std::string &)> documentTaker()
+    std::function<void(const std::string &)> planDocumentHandler()
     {
         return [this](const std::string &document) {
             const StoredRow row{.value = document};
-            takeDocument(row);
+            applyPlanDocument(row);
         };
     }
 
-    void takeDocument(const StoredRow &row)
+    void applyPlanDocument(const StoredRow &row)
     {
-        absl::StatusOr<RoutingPlan::Content> content = m_options.planFrom(row);
+        absl::StatusOr<RoutingPlan::Content> content = m_options.decodePlan(row);
         if (!content.ok()) {
             // The store takes valid documents only; whatever spoilt this one, the version in force stays.
             logLine(Severity::Error, "plan.unreadable", {{"detail", toFailure(content.status()).detail}});
@@ -375,7 +376,7 @@
         }
     }
 
-    typename TableWatcher<Relayed>::Options targetWatch()
+    typename TableWatcher<Relayed>::Options targetWatcherOptions()
     {
         return {.table = m_options.targetTable,
                 .onAll =
@@ -394,13 +395,13 @@
                     }};
     }
 
-    asio::awaitable<void> expireTargets()
+    asio::awaitable<void> runMaintenance()
     {
         for (unsigned round = 0;; ++round) {
-            co_await pause(s_expiryPause);
+            co_await pause(s_maintenanceInterval);
             m_gateway.board().expire(steadyNow());
             m_gateway.dropStaleTargets();
-            if (round % s_roundsPerRenewal == 0) {
+            if (round % s_roundsPerLoadRenewal == 0) {
                 m_gateway.chooser().renewLoads();
                 m_gateway.guard().expire();
             }
@@ -414,11 +415,11 @@
     {
         Instant overloadedSince{};
         while (true) {
-            const Instant due = steadyNow() + LoadShedder::s_measurementInterval;
+            const Instant expectedWakeup = steadyNow() + LoadShedder::s_measurementInterval;
             co_await pause(LoadShedder::s_measurementInterval);
             const Instant now = steadyNow();
             const Duration roundTrip = m_loads.takeShortestRoundTrip().value_or(Duration::zero());
-            m_gateway.recordHostDelay(std::max({Duration::zero(), now - due, roundTrip}));
+            m_gateway.recordHostDelay(std::max({Duration::zero(), now - expectedWakeup, roundTrip}));
             overloadedSince = m_gateway.overloaded() ? overloadedSince : now;
             m_callers.setLastAnswers(m_draining || now - overloadedSince > s_rotationTime);
         }
@@ -428,26 +429,26 @@
     /// sends callers here all the same, and a refused connection serves nobody.
     asio::awaitable<void> drainAndStop()
     {
-        const Instant begun = steadyNow();
-        const Instant lastWork = begun + m_options.grace - s_closeTime;
+        const Instant drainStart = steadyNow();
+        const Instant workDeadline = drainStart + m_options.gracePeriod - s_shutdownReserve;
         logLine(Severity::Info, "router.draining", {{"in_flight", static_cast<std::int64_t>(m_gateway.inFlight())}});
-        m_gateway.setShutdownTime(lastWork);
+        m_gateway.setShutdownTime(workDeadline);
         m_callers.setLastAnswers(true);
         co_await pause(s_rotationTime);
-        while (m_gateway.streamsInFlight() > 0 && steadyNow() < lastWork) {
-            co_await pause(s_poll);
+        while (m_gateway.streamsInFlight() > 0 && steadyNow() < workDeadline) {
+            co_await pause(s_drainPollInterval);
         }
         m_callers.close();
         m_callers.closeIdle();
-        while (m_gateway.inFlight() > 0 && steadyNow() < lastWork) {
-            co_await pause(s_shortPoll);
+        while (m_gateway.inFlight() > 0 && steadyNow() < workDeadline) {
+            co_await pause(s_shutdownPollInterval);
             m_callers.closeIdle();
         }
         m_ledger.beginClose();
         co_await m_registry.leave();
-        const Instant lastClose = begun + m_options.grace - s_closeTime / 3;
-        while (!m_ledger.closed() && steadyNow() < lastClose) {
-            co_await pause(s_shortPoll);
+        const Instant closeDeadline = drainStart + m_options.gracePeriod - s_shutdownReserve / 3;
+        while (!m_ledger.closed() && steadyNow() < closeDeadline) {
+            co_await pause(s_shutdownPollInterval);
         }
         logLine(Severity::Info,
                 "router.stopped",
