--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -20,8 +20,8 @@
 
 namespace bamboohold {
 
-/// A router without sidecars, as one process: listeners, followers of the store, budgets, and its orderly end. Takes the store and the
-/// decoders of its rows from whoever adapts a platform.
+/// A router without sidecars, as one process: its servers, the watchers of the store's tables, the budgets, and a graceful shutdown. The
+/// store and the decoders of its rows are supplied by the code that adapts a platform.
 template<RowStore Store>
 class GatewayDaemon
 {
@@ -36,17 +36,17 @@
     struct Options {
         Address callers;
         Address readiness;
-        /// Where this router's link listens for peers, and the links of some that may live already.
+        /// The address at which this router's link accepts peers, and the link addresses of routers that may be running already.
         Address link;
         std::vector<std::string> seeds;
-        /// Port 0: no metrics are served.
+        /// With port 0, no metrics are served.
         Address metrics;
         std::string metricsPath = "/metrics";
         std::string readinessPath = "/";
         std::string incarnation;
-        /// True when all routers start together for the first time.
+        /// True if all routers start together for the first time.
         bool firstStart = false;
-        /// The process is killed this long after it was asked to end.
+        /// The process is killed this long after it was asked to stop.
         Duration gracePeriod = std::chrono::seconds(8);
         Gateway::Options gateway;
         HoldingPolicy holdings;
@@ -56,11 +56,11 @@
         std::string targetTable;
         std::function<absl::StatusOr<RoutingPlan::Content>(const StoredRow &)> decodePlan;
         std::function<absl::StatusOr<TargetListing>(const StoredRow &)> decodeTarget;
-        /// Orders to evacuate failure domains stand in the configuration's table; see EvacuationFollower.
+        /// Decodes an evacuation of a failure domain from a row of the configuration's table; see EvacuationFollower.
         std::function<absl::StatusOr<std::optional<std::string>>(const StoredRow &)> decodeEvacuation = [](const StoredRow &) {
             return std::optional<std::string>();
         };
-        /// Opens the store by way of a relay beside a target; empty where no relays run.
+        /// Opens the store through a relay beside a target; empty if there are no relays.
         typename Relayed::OpenDetour openDetour;
         Mechanisms mechanisms;
     };
@@ -79,7 +79,7 @@
         , m_checkpoints(m_store, m_ledger)
         , m_keeper(m_executor, m_store, m_ledger, {.routers = countedRouters()})
         , m_gateway(m_executor, gatewayOptions(), m_ledger, m_metrics)
-        // Datagrams and the link's connections share a port's number without touching each other.
+        // The UDP socket for loads and the TCP socket of the link can use the same port number.
         , m_loadServer(m_executor, {asio::ip::make_address(m_options.link.address), m_options.link.port})
         , m_loads(m_executor, {.incarnation = m_options.incarnation, .address = m_options.link.address})
         , m_evacuations(m_gateway.board(), m_metrics, evacuationOptions())
@@ -101,11 +101,11 @@
         }
     }
 
-    /// Listens and begins to follow the store.
+    /// Opens the servers and starts to follow the store. Fails if one of the ports cannot be opened.
     absl::Status open()
     {
-        // The callers' port comes first: holding it alone is the proof that an earlier process at this address is gone, on which the
-        // recovery of its budgets rests.
+        // The callers' port is opened first: as it is opened exclusively, success proves that no earlier process runs at this address any
+        // more, which the recovery of its budgets relies on.
         for (HttpServer *server : {&m_callers, &m_readiness, &m_metricsServer}) {
             if (server == &m_metricsServer && m_options.metrics.port == 0) {
                 continue;
@@ -144,7 +144,8 @@
         return absl::OkStatus();
     }
 
-    /// Ends in good order: leaves the balancer's rotation, serves what comes until then, finishes what runs, gives back what it holds.
+    /// Shuts down gracefully: asks the load balancer to stop sending callers, serves requests until it has done so, finishes requests in
+    /// progress, and returns the tokens that this router holds.
     void drain()
     {
         if (!m_draining) {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Counts a call to the store by what it was for: calls that grow with routers times teams are seen here first.
+    /// Counts a call to the store by table and kind. Calls whose number grows with routers times teams show up here first.
     void countStoreCall(const StoreCall &call)
     {
         const std::array<MetricLabel, 2> labels{
@@ -164,17 +165,19 @@
     }
 
 private:
-    /// A balancer that asks once a second takes a host out after two misses; until then connections still arrive and are served.
+    /// A load balancer that checks once a second removes a host after two failed checks; until then connections still arrive and are
+    /// served.
     static constexpr Duration s_rotationTime = std::chrono::milliseconds(2600);
-    /// Kept from the grace time for giving budgets back and ending.
+    /// The part of the grace period that is reserved for returning budgets and stopping.
     static constexpr Duration s_shutdownReserve = std::chrono::milliseconds(600);
-    /// Targets and connections that are gone are looked for this often, and loads told again every so many times.
+    /// The interval at which removed targets and stale connections are looked for, and the number of such rounds after which the loads are
+    /// announced again.
     static constexpr Duration s_maintenanceInterval = std::chrono::milliseconds(250);
     static constexpr unsigned s_roundsPerLoadRenewal = 4;
     static constexpr Duration s_drainPollInterval = std::chrono::milliseconds(50);
     static constexpr Duration s_shutdownPollInterval = std::chrono::milliseconds(10);
 
-    /// The options without what the mechanisms leave out.
+    /// Returns the options with the disabled mechanisms switched off.
     static Options withMechanismsApplied(Options options)
     {
         const Mechanisms &enabled = options.mechanisms;
@@ -197,7 +200,7 @@
         return options;
     }
 
-    /// Longer than any process lives.
+    /// Longer than any process runs.
     static constexpr Duration s_never = std::chrono::hours(24 * 365);
 
     static std::string addressText(const Address &address)
@@ -280,7 +283,7 @@
         };
     }
 
-    /// What keeps this router from being ready, a line each.
+    /// The reasons why this router is not ready, one per line; empty if it is.
     std::string readinessText() const
     {
         std::string text;
@@ -360,7 +363,7 @@
     {
         absl::StatusOr<RoutingPlan::Content> content = m_options.decodePlan(row);
         if (!content.ok()) {
-            // The store takes valid documents only; whatever spoilt this one, the version in force stays.
+            // The store accepts only valid documents. However this one became unreadable, the plan in force stays.
             logLine(Severity::Error, "plan.unreadable", {{"detail", toFailure(content.status()).detail}});
             m_metrics.count("plans_unreadable_total", {.name = "host", .value = m_options.callers.address});
             return;
@@ -408,9 +411,9 @@
         }
     }
 
-    /// Tells the gateway how late timers fire, which is how long anything that is ready waits for its turn, and how long datagrams take.
-    /// While the host is overloaded the balancer is told so, and once it sends new connections elsewhere the open ones end with their
-    /// next answer, since an open connection stays where it is.
+    /// Reports to the gateway how late timers fire, which is how long any ready task waits for its turn, and how long datagrams take. An
+    /// overloaded host fails the load balancer's checks. Once the balancer sends new connections to other hosts, open connections are
+    /// closed after their next response, because callers would otherwise keep using them.
     asio::awaitable<void> measureDelay()
     {
         Instant overloadedSince{};
@@ -425,8 +428,8 @@
         }
     }
 
-    /// Goes on serving until the streams under way have ended: where all routers of a failure domain are restarted together, the balancer
-    /// sends callers here all the same, and a refused connection serves nobody.
+    /// Keeps accepting requests until the streams in progress have ended: if all routers of a failure domain are restarted together, the
+    /// load balancer keeps sending callers here, and a refused connection serves nobody.
     asio::awaitable<void> drainAndStop()
     {
         const Instant drainStart = steadyNow();
