--- a/src/tests/eventstreamtest.cpp
+++ b/src/tests/eventstreamtest.cpp
@@ -7,10 +7,10 @@
 
 BOOST_AUTO_TEST_SUITE(EventStreamTest)
 
-// However a stream is cut into packets, the whole events come out in order and complete, and a torn one stays back.
+// However a stream is split into packets, the complete events are returned in order, and an incomplete one is held back.
 BOOST_AUTO_TEST_CASE(packetBoundariesDoNotChangeTheEvents)
 {
-    BOOST_TEST(rc::check("any cutting gives the same events", [] {
+    BOOST_TEST(rc::check("any split into packets gives the same events", [] {
         std::string text;
         const auto events = *rc::gen::inRange(0, 12);
         for (int id = 1; id <= events; ++id) {
--- a/src/tests/loadsheddertest.cpp
+++ b/src/tests/loadsheddertest.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// A host that serves so many requests in a tick, and gets more; what it does not get done waits.
+/// Simulates a host that serves a fixed number of requests per tick; the rest is queued.
 struct SimulatedHost {
-    /// Returns the share of the last second's requests that were let in, and leaves the delay.
+    /// Returns the share of requests admitted during the last 20 ticks (one second). Requests that are still queued delay those of the next
+    /// call.
     double simulate(LoadShedder &shedder, double capacityPerTick, double arrivalsPerTick, int ticks)
     {
         double admittedTotal = 0;
@@ -36,8 +37,8 @@
 
 BOOST_AUTO_TEST_SUITE(LoadShedderTest)
 
-// One caller sends six times what its router has time for. Without refusals each request waits longer than the one before, until all
-// callers of that router leave unserved; the routers beside it idle.
+// One caller sends six times what its router can serve. Without refusals each request would wait longer than the one before, until all
+// callers of this router give up while the routers beside it are idle.
 BOOST_AUTO_TEST_CASE(overloadedHostKeepsWhatItCanServe)
 {
     LoadShedder shedder;
@@ -45,11 +46,11 @@
     const double admittedShare = host.simulate(shedder, 10, 60, 400);
     BOOST_TEST(admittedShare > 0.08);
     BOOST_TEST(admittedShare < 0.22);
-    // In the time of a few ticks, which is well within what callers wait.
+    // The queue stays as short as a few ticks, in milliseconds, which is well within the callers' timeouts.
     BOOST_TEST(host.queued / 10 * 50 < 400);
 }
 
-// An eighth more arrives than the host has time for. About as much is refused, not nearly everything.
+// The load is an eighth above the capacity. About that share is refused, not nearly everything.
 BOOST_AUTO_TEST_CASE(slightOverloadRefusesLittle)
 {
     LoadShedder shedder;
@@ -57,8 +58,8 @@
     BOOST_TEST(host.simulate(shedder, 40, 45, 400) > 0.7);
 }
 
-// The balancer moves the caller away, and back once the host says that it has time. Each move costs refusals, so that the host stays away
-// for longer when it happens again.
+// The load balancer moves the caller to another host, and back once this host reports that it is no longer overloaded. Each move causes
+// refusals, so a host that is overloaded again soon must stay out of rotation for longer.
 BOOST_AUTO_TEST_CASE(repeatedOverloadLastsLonger)
 {
     LoadShedder shedder;
@@ -79,7 +80,7 @@
     BOOST_TEST((second >= first + std::chrono::seconds(7)));
 }
 
-// Guards against callers that are told to come back before the balancer sends them to another host, and are refused twice.
+// Guards against callers that are told to retry before the load balancer sends them to another host, and are refused twice.
 BOOST_AUTO_TEST_CASE(callersRetryOnceConnectionsAreRedirected)
 {
     LoadShedder shedder;
@@ -98,14 +99,14 @@
     LoadShedder shedder;
     SimulatedHost host;
     BOOST_TEST(host.simulate(shedder, 10, 8, 200) == 1.0);
-    // A single late tick, as after a pause of the whole host, is no overload.
+    // A single late measurement, for example after a pause of the whole host, is no overload.
     host.now += std::chrono::milliseconds(100);
     shedder.recordDelay(std::chrono::milliseconds(50), host.now);
     BOOST_TEST(shedder.refusedShare() == 0.0);
     BOOST_TEST(!shedder.overloaded(host.now));
 }
 
-// The caller goes back to its usual. Two seconds later nothing is refused any more.
+// The load returns to normal. Refusals must end within a few seconds.
 BOOST_AUTO_TEST_CASE(refusalsEndWithTheOverload)
 {
     LoadShedder shedder;
--- a/src/tests/requestcosttest.cpp
+++ b/src/tests/requestcosttest.cpp
@@ -38,7 +38,8 @@
     }
 }
 
-// A caller leaves in the middle of a stream. The target goes on for a moment: what it generates unseen was generated for the team.
+// Guards against undercharging when a caller disconnects in the middle of a stream: the target goes on for a moment, and what it generates
+// then is charged to the team.
 BOOST_AUTO_TEST_CASE(whatWasGeneratedUnseenCounts)
 {
     const RequestUsage left{
--- a/src/tests/requesttimestest.cpp
+++ b/src/tests/requesttimestest.cpp
@@ -22,7 +22,7 @@
     BOOST_TEST((maxExpectedDuration(s_stream, {.callerTimeout = s_second, .promptTokens = 9000, .maxOutputTokens = 1000}) == s_second));
 }
 
-// A router was asked to end. Late in its time only what is certainly over before is still taken.
+// Late in a drain, a router must accept only requests that finish before the shutdown even if they are slow.
 BOOST_AUTO_TEST_CASE(anEndingRouterReckonsWithMoreLateInItsTime)
 {
     const RequestMetadata metadata{.callerTimeout = 15 * s_second, .promptTokens = 500, .maxOutputTokens = 100};
@@ -30,12 +30,12 @@
     BOOST_TEST((drainAllowance(s_stream, metadata, 2 * s_second) == 2 * maxExpectedDuration(s_stream, metadata)));
 }
 
-// Where another attempt is allowed, the first one must not use up all of the time.
+// If a retry is allowed, the first attempt must not use up all of the time.
 BOOST_AUTO_TEST_CASE(theFirstAttemptLeavesTimeForAnother)
 {
     BOOST_TEST((firstByteTimeout(s_stream, 6 * s_second, true) == 3 * s_second));
     BOOST_TEST((firstByteTimeout(s_stream, 6 * s_second, false) == 6 * s_second));
-    // But no attempt is given less than what callers expect of a whole request.
+    // No attempt gets less time than callers expect a whole request to take.
     BOOST_TEST((firstByteTimeout(s_stream, 2 * s_second, true) == std::chrono::milliseconds(1300)));
     BOOST_TEST((firstByteTimeout(s_stream, Duration::zero(), false) > Duration::zero()));
 }
--- a/src/tests/retrybudgettest.cpp
+++ b/src/tests/retrybudgettest.cpp
@@ -6,8 +6,8 @@
 
 BOOST_AUTO_TEST_SUITE(RetryBudgetTest)
 
-// Every target of a service fails. Second attempts stay within the ratio and slack that all routers share, however many fail, and flow
-// again once the window has passed.
+// Every target of a service fails. The retries must stay within the ratio and slack that all routers share, and be allowed again once the
+// window has passed.
 BOOST_AUTO_TEST_CASE(staysWithinTheSharedBound)
 {
     constexpr std::size_t s_routers = 5;
