--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -3,7 +3,7 @@
 #include "ownaddress.h"
 #include "routing/limitadmissions.h"
 #include "routing/loadserver.h"
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include <absl/strings/str_cat.h>
 #include <boost/asio/as_tuple.hpp>
@@ -163,7 +163,7 @@
         for (std::size_t router = 0; router < s_routers; ++router) {
             co_await fleet.serves(router);
         }
-        fleet.target().answerWith({sound()});
+        fleet.target().answerWith({sealedResponse()});
         // Only a fleet that never hears of it plays all rounds.
         for (int round = 0; round < mostRounds && free < s_routers; ++round) {
             free = 0;
--- a/src/tests/gatewayscene.cpp
+++ b/src/tests/gatewayfixture.cpp
@@ -1,4 +1,4 @@
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include "clock/steadytime.h"
 #include "net/pause.h"
@@ -84,7 +84,7 @@
     return std::make_shared<const RoutingPlan>(std::move(content));
 }
 
-GatewayScene::GatewayScene(std::vector<std::vector<PeerAction>> scripts, bool withPlan, Duration startupWait)
+GatewayFixture::GatewayFixture(std::vector<std::vector<PeerAction>> scripts, bool withPlan, Duration startupWait)
     : m_startupWait(startupWait)
     , m_pool(1)
     , m_ledger(m_pool.mainLoop().get_executor(), {.holder = "router", .incarnation = "router~1"})
@@ -108,7 +108,7 @@
     BOOST_REQUIRE(m_server.open().ok());
 }
 
-std::string GatewayScene::exchange(std::string request, std::optional<Duration> leaveAfter)
+std::string GatewayFixture::exchange(std::string request, std::optional<Duration> leaveAfter)
 {
     std::string answer;
     asio::co_spawn(m_pool.mainLoop(), call(std::move(request), answer, leaveAfter), [this](const std::exception_ptr &) {
@@ -119,7 +119,7 @@
     return answer;
 }
 
-void GatewayScene::bringPlanLate()
+void GatewayFixture::setPlanAfterDelay()
 {
     asio::co_spawn(
         m_pool.mainLoop(),
@@ -131,18 +131,18 @@
         asio::detached);
 }
 
-void GatewayScene::listFirstTargetAgain()
+void GatewayFixture::listFirstTargetAgain()
 {
     m_gateway.board().listed(
         {.incarnation = "target-1", .service = "service", .address = m_targets.front()->address(), .failureDomain = "here"}, steadyNow());
 }
 
-void GatewayScene::removeSecondTarget()
+void GatewayFixture::removeSecondTarget()
 {
     m_gateway.board().unlisted("target-2", Instant{});
 }
 
-void GatewayScene::rebirthFirstTarget()
+void GatewayFixture::restartFirstTarget()
 {
     asio::co_spawn(
         m_pool.mainLoop(),
@@ -165,19 +165,19 @@
         asio::detached);
 }
 
-void GatewayScene::replaceFirstTarget()
+void GatewayFixture::replaceFirstTarget()
 {
     const TargetListing next{.incarnation = "next", .service = "service", .address = m_targets.front()->address(), .failureDomain = "here"};
     m_gateway.board().unlisted("target-1", Instant{});
     m_gateway.board().listed(next, Instant{});
 }
 
-const ScriptedPeer &GatewayScene::target(std::size_t index) const
+const ScriptedPeer &GatewayFixture::target(std::size_t index) const
 {
     return *m_targets.at(index);
 }
 
-std::size_t GatewayScene::runs() const
+std::size_t GatewayFixture::receivedRequests() const
 {
     std::size_t sum = 0;
     for (const auto &target : m_targets) {
@@ -186,7 +186,7 @@
     return sum;
 }
 
-Gateway::Options GatewayScene::options()
+Gateway::Options GatewayFixture::options()
 {
     Gateway::Options options;
     options.codec = testCodec();
@@ -198,7 +198,7 @@
     return options;
 }
 
-asio::awaitable<void> GatewayScene::call(std::string request, std::string &answer, std::optional<Duration> leaveAfter)
+asio::awaitable<void> GatewayFixture::call(std::string request, std::string &answer, std::optional<Duration> leaveAfter)
 {
     asio::ip::tcp::socket socket(m_pool.mainLoop());
     const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(ownAddress()), s_port);
@@ -223,7 +223,7 @@
         "POST ", path, "1 HTTP/1.1\r\nHost: app.example\r\nX-Id: r1\r\nConnection: close\r\n", headers, "Content-Length: 4\r\n\r\nbody");
 }
 
-PeerAction sound()
+PeerAction sealedResponse()
 {
     return {.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\n", "answer")};
 }
--- a/src/tests/gatewayscene.h
+++ b/src/tests/gatewayfixture.h
@@ -17,18 +17,18 @@
 std::shared_ptr<const RoutingPlan> testPlan();
 
 /// One router with scripted targets, and a caller that sends bytes and reads all that comes back until the router closes.
-class GatewayScene
+class GatewayFixture
 {
 public:
-    explicit GatewayScene(std::vector<std::vector<PeerAction>> scripts,
-                          bool withPlan = true,
-                          Duration startupWait = std::chrono::milliseconds(20));
+    explicit GatewayFixture(std::vector<std::vector<PeerAction>> scripts,
+                            bool withPlan = true,
+                            Duration startupWait = std::chrono::milliseconds(20));
 
     /// Sends the bytes and returns what came back.
     std::string exchange(std::string request, std::optional<Duration> leaveAfter = std::nullopt);
 
     /// The configuration comes once a request waits for it.
-    void bringPlanLate();
+    void setPlanAfterDelay();
 
     /// A record of the first target as it was at the beginning, read once more.
     void listFirstTargetAgain();
@@ -37,14 +37,14 @@
     void removeSecondTarget();
 
     /// The first target starts again under its name, at another address: that of the second script, which no list shows.
-    void rebirthFirstTarget();
+    void restartFirstTarget();
 
     /// The first target's address goes over to another process.
     void replaceFirstTarget();
 
     const ScriptedPeer &target(std::size_t index) const;
 
-    std::size_t runs() const;
+    std::size_t receivedRequests() const;
 
 private:
     static constexpr std::uint16_t s_port = 17611;
@@ -66,7 +66,7 @@
 std::string request(const std::string &path, const std::string &headers = "X-Key: key\r\n");
 
 /// A whole answer that its target vouches for.
-PeerAction sound();
+PeerAction sealedResponse();
 
 bool contains(const std::string &text, const std::string &part);
 
--- a/src/tests/gatewaytest.cpp
+++ b/src/tests/gatewaytest.cpp
@@ -1,5 +1,5 @@
 #include "clock/steadytime.h"
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include <absl/strings/str_cat.h>
 #include <boost/test/unit_test.hpp>
@@ -32,13 +32,13 @@
 
 BOOST_AUTO_TEST_CASE(passesAnswerOn)
 {
-    GatewayScene scene({{sound()}});
-    const std::string answer = scene.exchange(request("/once/", "X-Key: key\r\nKeep-Alive: 9\r\nX-Other: kept\r\n"));
+    GatewayFixture fixture({{sealedResponse()}});
+    const std::string answer = fixture.exchange(request("/once/", "X-Key: key\r\nKeep-Alive: 9\r\nX-Other: kept\r\n"));
     BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
     BOOST_TEST(contains(answer, "X-Seal: s\r\n"));
     BOOST_TEST(answer.ends_with("\r\n\r\nanswer"));
-    BOOST_REQUIRE(scene.target(0).requests().size() == 1U);
-    const std::string sent = scene.target(0).requests().front();
+    BOOST_REQUIRE(fixture.target(0).requests().size() == 1U);
+    const std::string sent = fixture.target(0).requests().front();
     BOOST_TEST(sent.starts_with("POST /once/1 HTTP/1.1\r\n"));
     BOOST_TEST(contains(sent, "X-Team: team\r\n"));
     BOOST_TEST(contains(sent, "X-Other: kept\r\n"));
@@ -55,17 +55,17 @@
         std::string status;
     };
     for (const Case &item : {Case{"/once/", "X-Key: wrong\r\n", "401"}, Case{"/nowhere/", "X-Key: key\r\n", "404"}}) {
-        GatewayScene scene({{sound()}});
-        BOOST_TEST(scene.exchange(request(item.path, item.headers)).starts_with("HTTP/1.1 " + item.status));
-        BOOST_TEST(scene.runs() == 0U);
+        GatewayFixture fixture({{sealedResponse()}});
+        BOOST_TEST(fixture.exchange(request(item.path, item.headers)).starts_with("HTTP/1.1 " + item.status));
+        BOOST_TEST(fixture.receivedRequests() == 0U);
     }
 }
 
 // A router that has just started knows no configuration. "No such route" or "no such key" could be false, and callers would not try again.
 BOOST_AUTO_TEST_CASE(withoutPlanSaysComeBack)
 {
-    GatewayScene scene({{sound()}}, false);
-    const std::string answer = scene.exchange(request("/once/"));
+    GatewayFixture fixture({{sealedResponse()}}, false);
+    const std::string answer = fixture.exchange(request("/once/"));
     BOOST_TEST(answer.starts_with("HTTP/1.1 503 "));
     BOOST_TEST(contains(answer, "X-Retry-Ms: "));
 }
@@ -74,24 +74,24 @@
 // They were refused and late when they came back; now they are served.
 BOOST_AUTO_TEST_CASE(requestsWaitForTheFirstPlan)
 {
-    GatewayScene scene({{sound()}}, false, std::chrono::seconds(30));
-    scene.bringPlanLate();
-    BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
-    BOOST_TEST(scene.runs() == 1U);
+    GatewayFixture fixture({{sealedResponse()}}, false, std::chrono::seconds(30));
+    fixture.setPlanAfterDelay();
+    BOOST_TEST(fixture.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(fixture.receivedRequests() == 1U);
 }
 
 // A target declines; the request has not run and goes elsewhere, also when it must not run twice.
 BOOST_AUTO_TEST_CASE(declinedGoesElsewhere)
 {
-    GatewayScene scene({{declined()}, {sound()}});
-    BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
+    GatewayFixture fixture({{declined()}, {sealedResponse()}});
+    BOOST_TEST(fixture.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
 }
 
 // All targets decline: the caller hears "not run", with a time to come back.
 BOOST_AUTO_TEST_CASE(declinedByAllIsNotRun)
 {
-    GatewayScene scene({{declined()}, {declined()}});
-    const std::string answer = scene.exchange(request("/once/"));
+    GatewayFixture fixture({{declined()}, {declined()}});
+    const std::string answer = fixture.exchange(request("/once/"));
     BOOST_TEST(answer.starts_with("HTTP/1.1 503 "));
     BOOST_TEST(contains(answer, "X-Retry-Ms: "));
 }
@@ -100,29 +100,29 @@
 // run.
 BOOST_AUTO_TEST_CASE(lostAnswerIsNotRepeated)
 {
-    GatewayScene scene({{{.bytes = "", .ending = PeerEnding::Reset}}, {{.bytes = "", .ending = PeerEnding::Reset}}});
-    const std::string answer = scene.exchange(request("/once/"));
+    GatewayFixture fixture({{{.bytes = "", .ending = PeerEnding::Reset}}, {{.bytes = "", .ending = PeerEnding::Reset}}});
+    const std::string answer = fixture.exchange(request("/once/"));
     BOOST_TEST(answer.starts_with("HTTP/1.1 502 "));
-    BOOST_TEST(scene.runs() == 1U);
+    BOOST_TEST(fixture.receivedRequests() == 1U);
 }
 
 // The same for a request that may run again: the other target serves it.
 BOOST_AUTO_TEST_CASE(lostAnswerOfIdempotentIsRepeated)
 {
-    GatewayScene scene({{{.bytes = "", .ending = PeerEnding::Reset}}, {sound()}});
-    BOOST_TEST(scene.exchange(request("/again/")).starts_with("HTTP/1.1 200 "));
-    BOOST_TEST(scene.runs() == 2U);
+    GatewayFixture fixture({{{.bytes = "", .ending = PeerEnding::Reset}}, {sealedResponse()}});
+    BOOST_TEST(fixture.exchange(request("/again/")).starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(fixture.receivedRequests() == 2U);
 }
 
 // A target runs a repeatable request and fails it; the second one does too, and its failure is passed on as it stands.
 BOOST_AUTO_TEST_CASE(failureOfTargetIsPassedOn)
 {
     const PeerAction failing{.bytes = wholeAnswer(500, "X-Id: r1\r\nX-Seal: f\r\n", "broken")};
-    GatewayScene scene({{failing}, {failing}, {sound()}});
-    const std::string answer = scene.exchange(request("/again/"));
+    GatewayFixture fixture({{failing}, {failing}, {sealedResponse()}});
+    const std::string answer = fixture.exchange(request("/again/"));
     BOOST_TEST(answer.starts_with("HTTP/1.1 500 "));
     BOOST_TEST(answer.ends_with("broken"));
-    BOOST_TEST(scene.runs() == 2U);
+    BOOST_TEST(fixture.receivedRequests() == 2U);
 }
 
 // Answers that are not the target's whole answer must not reach the caller as a success.
@@ -135,8 +135,8 @@
         {.bytes = "rubbish\r\n\r\n", .ending = PeerEnding::Close},
     };
     for (const PeerAction &action : spoiled) {
-        GatewayScene scene({{action}});
-        const std::string answer = scene.exchange(request("/once/"));
+        GatewayFixture fixture({{action}});
+        const std::string answer = fixture.exchange(request("/once/"));
         BOOST_TEST(answer.starts_with("HTTP/1.1 502 "), answer);
         BOOST_TEST(!contains(answer, "X-Seal"));
     }
@@ -146,8 +146,8 @@
 BOOST_AUTO_TEST_CASE(foreignAnswerIsSkipped)
 {
     const std::string foreign = wholeAnswer(200, "X-Id: r0\r\nX-Seal: s0\r\n", "not yours");
-    GatewayScene scene({{{.bytes = foreign + sound().bytes}}});
-    const std::string answer = scene.exchange(request("/once/"));
+    GatewayFixture fixture({{{.bytes = foreign + sealedResponse().bytes}}});
+    const std::string answer = fixture.exchange(request("/once/"));
     BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
     BOOST_TEST(!contains(answer, "not yours"));
     BOOST_TEST(answer.ends_with("answer"));
@@ -156,51 +156,54 @@
 // A target sends bytes behind a complete answer: they belong to nobody, and the connection is not used again.
 BOOST_AUTO_TEST_CASE(extraBytesBelongToNobody)
 {
-    GatewayScene scene({{{.bytes = sound().bytes + "HTTP/1.1 200 OK\r\nX-Seal: late\r\nContent-Length: 3\r\n\r\nxyz"}, sound()}});
-    BOOST_TEST(scene.exchange(request("/once/")).ends_with("\r\n\r\nanswer"));
-    BOOST_TEST(scene.exchange(request("/once/")).ends_with("\r\n\r\nanswer"));
-    BOOST_TEST(scene.target(0).closedByCaller() >= 1U);
+    GatewayFixture fixture(
+        {{{.bytes = sealedResponse().bytes + "HTTP/1.1 200 OK\r\nX-Seal: late\r\nContent-Length: 3\r\n\r\nxyz"}, sealedResponse()}});
+    BOOST_TEST(fixture.exchange(request("/once/")).ends_with("\r\n\r\nanswer"));
+    BOOST_TEST(fixture.exchange(request("/once/")).ends_with("\r\n\r\nanswer"));
+    BOOST_TEST(fixture.target(0).closedByCaller() >= 1U);
 }
 
 // A target vanishes without closing its connections, and its address goes over to another process. A connection that was kept to the first
 // one would swallow a request for the second, which then could not be repeated.
 BOOST_AUTO_TEST_CASE(nextProcessGetsConnectionsOfItsOwn)
 {
-    GatewayScene scene({{sound()}});
-    BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
-    BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
-    BOOST_TEST(scene.target(0).connections() == 1U);
-    scene.replaceFirstTarget();
-    BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
-    BOOST_TEST(scene.target(0).connections() == 2U);
+    GatewayFixture fixture({{sealedResponse()}});
+    BOOST_TEST(fixture.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(fixture.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(fixture.target(0).connections() == 1U);
+    fixture.replaceFirstTarget();
+    BOOST_TEST(fixture.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(fixture.target(0).connections() == 2U);
 }
 
 // A target's host loses power with a request on its way and starts again under its name; no reset comes. The caller waited to its
 // deadline, although the list showed the new life, which knew nothing of the request and had room for it.
 BOOST_AUTO_TEST_CASE(aRequestLeavesASilentFormerLife)
 {
-    GatewayScene scene({{{.bytes = "", .ending = PeerEnding::Silent}}, {{.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\n", "ok")}}});
-    scene.removeSecondTarget();
-    scene.rebirthFirstTarget();
-    BOOST_TEST(scene.exchange(request("/patient/")).starts_with("HTTP/1.1 200 "));
-    BOOST_TEST(scene.target(0).requests().size() == 1U);
-    BOOST_TEST(scene.target(1).requests().size() == 1U);
+    GatewayFixture fixture(
+        {{{.bytes = "", .ending = PeerEnding::Silent}}, {{.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\n", "ok")}}});
+    fixture.removeSecondTarget();
+    fixture.restartFirstTarget();
+    BOOST_TEST(fixture.exchange(request("/patient/")).starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(fixture.target(0).requests().size() == 1U);
+    BOOST_TEST(fixture.target(1).requests().size() == 1U);
 }
 
 // The same with a request that may not run twice: it is not sent again.
 BOOST_AUTO_TEST_CASE(aRequestThatMayNotRunTwiceStaysWithAFormerLife)
 {
-    GatewayScene scene({{{.bytes = "", .ending = PeerEnding::Silent}}, {{.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\n", "ok")}}});
-    scene.removeSecondTarget();
-    scene.rebirthFirstTarget();
-    BOOST_TEST(!scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
-    BOOST_TEST(scene.target(1).requests().empty());
+    GatewayFixture fixture(
+        {{{.bytes = "", .ending = PeerEnding::Silent}}, {{.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\n", "ok")}}});
+    fixture.removeSecondTarget();
+    fixture.restartFirstTarget();
+    BOOST_TEST(!fixture.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(fixture.target(1).requests().empty());
 }
 
 BOOST_AUTO_TEST_CASE(passesStreamOn)
 {
-    GatewayScene scene({{{.bytes = streamHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)) + chunk(event(2)) + chunk("")}}});
-    const std::string answer = scene.exchange(request("/stream/"));
+    GatewayFixture fixture({{{.bytes = streamHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)) + chunk(event(2)) + chunk("")}}});
+    const std::string answer = fixture.exchange(request("/stream/"));
     BOOST_TEST(contains(answer, "piece1"));
     BOOST_TEST(contains(answer, "piece2"));
     BOOST_TEST(wholeStream(answer));
@@ -209,12 +212,12 @@
 // A stream that cannot be resumed breaks off midway: what the caller has must not look complete, and no torn event is passed on.
 BOOST_AUTO_TEST_CASE(brokenStreamDoesNotLookWhole)
 {
-    GatewayScene scene(
+    GatewayFixture fixture(
         {{{.bytes = streamHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)) + chunk("id: 2\ndata: pie"), .ending = PeerEnding::Reset}}});
-    const std::string answer = scene.exchange(request("/stream/"));
+    const std::string answer = fixture.exchange(request("/stream/"));
     BOOST_TEST(!wholeStream(answer));
     BOOST_TEST(!contains(answer, "id: 2"));
-    BOOST_TEST(scene.runs() == 1U);
+    BOOST_TEST(fixture.receivedRequests() == 1U);
 }
 
 // A resumable stream breaks off within an event; another target goes on after the last whole one, within the same answer.
@@ -223,8 +226,8 @@
     const PeerAction first{.bytes = streamHead("X-Id: r1\r\nX-Seal: s1\r\n") + chunk(event(1)) + chunk("id: 2\nda"),
                            .ending = PeerEnding::Close};
     const PeerAction second{.bytes = streamHead("X-Id: r1\r\nX-Seal: s2\r\n") + chunk(event(2)) + chunk(event(3)) + chunk("")};
-    GatewayScene scene({{first}, {second}});
-    const std::string answer = scene.exchange(request("/resume/"));
+    GatewayFixture fixture({{first}, {second}});
+    const std::string answer = fixture.exchange(request("/resume/"));
     BOOST_TEST(wholeStream(answer));
     for (int id = 1; id <= 3; ++id) {
         const std::string piece = absl::StrCat("data: piece", id, "\n");
@@ -233,16 +236,16 @@
     }
     BOOST_TEST(contains(answer, "X-Seal: s1\r\n"));
     BOOST_TEST(!contains(answer, "X-Seal: s2\r\n"));
-    BOOST_TEST(contains(scene.target(1).requests().back(), "X-Resume: 1\r\n"));
+    BOOST_TEST(contains(fixture.target(1).requests().back(), "X-Resume: 1\r\n"));
 }
 
 // The caller leaves while its stream runs: the target's connection is closed, so that it stops working on an answer nobody wants.
 BOOST_AUTO_TEST_CASE(callerLeavingStopsTarget)
 {
-    GatewayScene scene({{{.bytes = streamHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)), .ending = PeerEnding::Silent}}});
-    scene.exchange(request("/stream/"), std::chrono::milliseconds(50));
-    BOOST_TEST(scene.runs() == 1U);
-    BOOST_TEST(scene.target(0).closedByCaller() == 1U);
+    GatewayFixture fixture({{{.bytes = streamHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)), .ending = PeerEnding::Silent}}});
+    fixture.exchange(request("/stream/"), std::chrono::milliseconds(50));
+    BOOST_TEST(fixture.receivedRequests() == 1U);
+    BOOST_TEST(fixture.target(0).closedByCaller() == 1U);
 }
 
 // A router that is short of processor time reads requests late, some after their callers have given up. Work that nobody waits for would
@@ -250,9 +253,9 @@
 BOOST_AUTO_TEST_CASE(requestOfGoneCallerIsNotSentOn)
 {
     for (const char *path : {"/once/", "/again/", "/stream/"}) {
-        GatewayScene scene({{sound()}});
-        scene.exchange(request(path), Duration::zero());
-        BOOST_TEST(scene.runs() == 0U, path);
+        GatewayFixture fixture({{sealedResponse()}});
+        fixture.exchange(request(path), Duration::zero());
+        BOOST_TEST(fixture.receivedRequests() == 0U, path);
     }
 }
 
@@ -268,10 +271,10 @@
         "GARBAGE\r\n\r\n",
     };
     for (const std::string &bytes : hostile) {
-        GatewayScene scene({{sound()}});
-        const std::string answer = scene.exchange(bytes);
+        GatewayFixture fixture({{sealedResponse()}});
+        const std::string answer = fixture.exchange(bytes);
         BOOST_TEST(answer.starts_with("HTTP/1.1 400 "), bytes);
-        BOOST_TEST(scene.runs() == 0U);
+        BOOST_TEST(fixture.receivedRequests() == 0U);
     }
 }
 
--- a/src/tests/poisonrequesttest.cpp
+++ b/src/tests/poisonrequesttest.cpp
@@ -2,7 +2,7 @@
 #include "ownaddress.h"
 
 #include "net/pause.h"
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 #include "tests/scriptedpeer.h"
 #include "tests/sharedrows.h"
 
--- a/src/tests/targetleavingtest.cpp
+++ b/src/tests/targetleavingtest.cpp
@@ -1,4 +1,4 @@
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -20,7 +20,7 @@
 // Guards against requests to a target that leaves while the store, whose list would say so, is out of reach.
 BOOST_AUTO_TEST_CASE(whatAnAnswerSaysOfLeavingHolds)
 {
-    GatewayScene scene({{leaving()}, {sound()}});
+    GatewayFixture scene({{leaving()}, {sealedResponse()}});
     for (int sent = 0; sent < s_requests; ++sent) {
         BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
     }
@@ -30,7 +30,7 @@
 // Guards against an older record of the list that brings a target back which has said that it leaves.
 BOOST_AUTO_TEST_CASE(noRecordBringsItBack)
 {
-    GatewayScene scene({{leaving()}});
+    GatewayFixture scene({{leaving()}});
     BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
     for (int sent = 0; sent < s_requests; ++sent) {
         scene.listFirstTargetAgain();
--- a/src/tests/targetlimittest.cpp
+++ b/src/tests/targetlimittest.cpp
@@ -1,5 +1,5 @@
 #include "clock/steadytime.h"
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -29,7 +29,7 @@
 BOOST_AUTO_TEST_CASE(aTargetGetsNoMoreThanItTakes)
 {
     constexpr int requests = 40;
-    GatewayScene scene({{limited("1")}});
+    GatewayFixture scene({{limited("1")}});
     const Instant begun = steadyNow();
     int refused = 0;
     for (int sent = 0; sent < requests; ++sent) {
@@ -45,7 +45,7 @@
 BOOST_AUTO_TEST_CASE(whatALimitedTargetDoesNotTakeGoesElsewhere)
 {
     constexpr int requests = 40;
-    GatewayScene scene({{limited("1")}, {sound()}});
+    GatewayFixture scene({{limited("1")}, {sealedResponse()}});
     const Instant begun = steadyNow();
     for (int sent = 0; sent < requests; ++sent) {
         BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
--- a/src/tests/targetresttest.cpp
+++ b/src/tests/targetresttest.cpp
@@ -1,4 +1,4 @@
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -24,7 +24,7 @@
 // Guards against a target that is asked again and again although it has asked for rest.
 BOOST_AUTO_TEST_CASE(aTargetGetsTheRestItAsksFor)
 {
-    GatewayScene scene({{restingForMinutes()}, {sound()}});
+    GatewayFixture scene({{restingForMinutes()}, {sealedResponse()}});
     for (int sent = 0; sent < s_requests; ++sent) {
         BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
         std::this_thread::sleep_for(s_between);
@@ -35,7 +35,7 @@
 // Guards against rest that is broken for want of another target: callers are refused at once, with the time at which the rest ends.
 BOOST_AUTO_TEST_CASE(whereAllRestCallersAreToldWhenToComeBack)
 {
-    GatewayScene scene({{restingForMinutes()}});
+    GatewayFixture scene({{restingForMinutes()}});
     for (int sent = 0; sent < s_requests; ++sent) {
         const std::string answer = scene.exchange(request("/once/"));
         BOOST_TEST(answer.starts_with("HTTP/1.1 503 "));
