--- a/src/tests/gatewayfixture.cpp
+++ b/src/tests/gatewayfixture.cpp
@@ -70,7 +70,7 @@
                      .maxAttempts = attempts,
                      .resumable = resumable};
     };
-    // Whoever expects an answer this late only gets no second attempt by time alone.
+    // The objective equals the timeout, so an attempt is not cut short to leave time for a retry.
     Route patient = route("/patient/", Repeatability::Idempotent, 2, false);
     patient.objective = patient.timeout;
     RoutingPlan::Content content{.version = 5,
@@ -147,7 +147,7 @@
     asio::co_spawn(
         m_pool.mainLoop(),
         [this]() -> asio::awaitable<void> {
-            // Until the request has reached the former life.
+            // Waits until the request has reached the former process.
             while (m_targets.front()->requests().empty()) {
                 co_await pause(std::chrono::milliseconds(5));
             }
--- a/src/tests/gatewayfixture.h
+++ b/src/tests/gatewayfixture.h
@@ -10,13 +10,13 @@
 
 namespace bamboohold {
 
-/// A caller's interface with headers of this test's own.
+/// A codec for a caller interface with header names of its own (X-Id, X-Key and others).
 CallerCodec testCodec();
 
-/// Routes under `app.example` that differ in what may be repeated, one service, and a team with the key `key`.
+/// A plan with routes under `app.example` that differ in their repeatability, one service, and a team with the API key `key`.
 std::shared_ptr<const RoutingPlan> testPlan();
 
-/// One router with scripted targets, and a caller that sends bytes and reads all that comes back until the router closes.
+/// One router with scripted targets, and a caller that sends bytes and reads the response until the router closes the connection.
 class GatewayFixture
 {
 public:
@@ -24,22 +24,23 @@
                             bool withPlan = true,
                             Duration startupWait = std::chrono::milliseconds(20));
 
-    /// Sends the bytes and returns what came back.
+    /// Sends the bytes and returns the response. With `leaveAfter`, the caller disconnects after that time and the result is empty.
     std::string exchange(std::string request, std::optional<Duration> leaveAfter = std::nullopt);
 
-    /// The configuration comes once a request waits for it.
+    /// Sets the plan 50 ms after the event loop starts, when a request already waits for it.
     void setPlanAfterDelay();
 
-    /// A record of the first target as it was at the beginning, read once more.
+    /// Lists the first target again, with its original record.
     void listFirstTargetAgain();
 
-    /// The list shows the second target no longer.
+    /// Removes the second target from the list.
     void removeSecondTarget();
 
-    /// The first target starts again under its name, at another address: that of the second script, which no list shows.
+    /// Once the first target has received a request, lists a new incarnation of it, at the address of the last scripted peer. From then on
+    /// calls `dropStaleTargets` regularly.
     void restartFirstTarget();
 
-    /// The first target's address goes over to another process.
+    /// Replaces the first target by another process at the same address.
     void replaceFirstTarget();
 
     const ScriptedPeer &target(std::size_t index) const;
@@ -62,10 +63,10 @@
     HttpServer m_server;
 };
 
-/// A request of the test's interface, to a path under the given prefix.
+/// A POST request of the test's caller interface, to a path under the given prefix.
 std::string request(const std::string &path, const std::string &headers = "X-Key: key\r\n");
 
-/// A whole answer that its target vouches for.
+/// A complete response with the target's seal.
 PeerAction sealedResponse();
 
 bool contains(const std::string &text, const std::string &part);
