--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -75,7 +75,7 @@
 
 PeerAction limited()
 {
-    return {.bytes = wholeAnswer(200, absl::StrCat("X-Id: r1\r\nX-Seal: s\r\nX-Limit: ", s_perSecond, "\r\n"), "answer")};
+    return {.bytes = completeResponse(200, absl::StrCat("X-Id: r1\r\nX-Seal: s\r\nX-Limit: ", s_perSecond, "\r\n"), "answer")};
 }
 
 /// Routers before one plain service that limits what it takes.
@@ -163,7 +163,7 @@
         for (std::size_t router = 0; router < s_routers; ++router) {
             co_await fleet.serves(router);
         }
-        fleet.target().answerWith({sealedResponse()});
+        fleet.target().setScript({sealedResponse()});
         // Only a fleet that never hears of it plays all rounds.
         for (int round = 0; round < mostRounds && free < s_routers; ++round) {
             free = 0;
--- a/src/tests/gatewayfixture.cpp
+++ b/src/tests/gatewayfixture.cpp
@@ -225,7 +225,7 @@
 
 PeerAction sealedResponse()
 {
-    return {.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\n", "answer")};
+    return {.bytes = completeResponse(200, "X-Id: r1\r\nX-Seal: s\r\n", "answer")};
 }
 
 bool contains(const std::string &text, const std::string &part)
--- a/src/tests/gatewaytest.cpp
+++ b/src/tests/gatewaytest.cpp
@@ -12,7 +12,7 @@
 
 PeerAction declined()
 {
-    return {.bytes = wholeAnswer(503, "X-Not-Run: 1\r\n", "")};
+    return {.bytes = completeResponse(503, "X-Not-Run: 1\r\n", "")};
 }
 
 std::string event(int id)
@@ -117,7 +117,7 @@
 // A target runs a repeatable request and fails it; the second one does too, and its failure is passed on as it stands.
 BOOST_AUTO_TEST_CASE(failureOfTargetIsPassedOn)
 {
-    const PeerAction failing{.bytes = wholeAnswer(500, "X-Id: r1\r\nX-Seal: f\r\n", "broken")};
+    const PeerAction failing{.bytes = completeResponse(500, "X-Id: r1\r\nX-Seal: f\r\n", "broken")};
     GatewayFixture fixture({{failing}, {failing}, {sealedResponse()}});
     const std::string answer = fixture.exchange(request("/again/"));
     BOOST_TEST(answer.starts_with("HTTP/1.1 500 "));
@@ -129,7 +129,7 @@
 BOOST_AUTO_TEST_CASE(spoiledAnswersAreNotPassedOn)
 {
     const std::vector<PeerAction> spoiled{
-        {.bytes = wholeAnswer(200, "X-Id: r1\r\n", "answer")},
+        {.bytes = completeResponse(200, "X-Id: r1\r\n", "answer")},
         {.bytes = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Seal: s\r\nContent-Length: 60\r\n\r\nans", .ending = PeerEnding::Close},
         {.bytes = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Seal: s\r\n\r\nans", .ending = PeerEnding::Reset},
         {.bytes = "rubbish\r\n\r\n", .ending = PeerEnding::Close},
@@ -145,7 +145,7 @@
 // The answer to an earlier request comes a second time, where the answer to this one is expected.
 BOOST_AUTO_TEST_CASE(foreignAnswerIsSkipped)
 {
-    const std::string foreign = wholeAnswer(200, "X-Id: r0\r\nX-Seal: s0\r\n", "not yours");
+    const std::string foreign = completeResponse(200, "X-Id: r0\r\nX-Seal: s0\r\n", "not yours");
     GatewayFixture fixture({{{.bytes = foreign + sealedResponse().bytes}}});
     const std::string answer = fixture.exchange(request("/once/"));
     BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
@@ -181,7 +181,7 @@
 BOOST_AUTO_TEST_CASE(aRequestLeavesASilentFormerLife)
 {
     GatewayFixture fixture(
-        {{{.bytes = "", .ending = PeerEnding::Silent}}, {{.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\n", "ok")}}});
+        {{{.bytes = "", .ending = PeerEnding::Silent}}, {{.bytes = completeResponse(200, "X-Id: r1\r\nX-Seal: s\r\n", "ok")}}});
     fixture.removeSecondTarget();
     fixture.restartFirstTarget();
     BOOST_TEST(fixture.exchange(request("/patient/")).starts_with("HTTP/1.1 200 "));
@@ -193,7 +193,7 @@
 BOOST_AUTO_TEST_CASE(aRequestThatMayNotRunTwiceStaysWithAFormerLife)
 {
     GatewayFixture fixture(
-        {{{.bytes = "", .ending = PeerEnding::Silent}}, {{.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\n", "ok")}}});
+        {{{.bytes = "", .ending = PeerEnding::Silent}}, {{.bytes = completeResponse(200, "X-Id: r1\r\nX-Seal: s\r\n", "ok")}}});
     fixture.removeSecondTarget();
     fixture.restartFirstTarget();
     BOOST_TEST(!fixture.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
@@ -202,7 +202,7 @@
 
 BOOST_AUTO_TEST_CASE(passesStreamOn)
 {
-    GatewayFixture fixture({{{.bytes = streamHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)) + chunk(event(2)) + chunk("")}}});
+    GatewayFixture fixture({{{.bytes = streamResponseHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)) + chunk(event(2)) + chunk("")}}});
     const std::string answer = fixture.exchange(request("/stream/"));
     BOOST_TEST(contains(answer, "piece1"));
     BOOST_TEST(contains(answer, "piece2"));
@@ -212,8 +212,8 @@
 // A stream that cannot be resumed breaks off midway: what the caller has must not look complete, and no torn event is passed on.
 BOOST_AUTO_TEST_CASE(brokenStreamDoesNotLookWhole)
 {
-    GatewayFixture fixture(
-        {{{.bytes = streamHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)) + chunk("id: 2\ndata: pie"), .ending = PeerEnding::Reset}}});
+    GatewayFixture fixture({{{.bytes = streamResponseHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)) + chunk("id: 2\ndata: pie"),
+                              .ending = PeerEnding::Reset}}});
     const std::string answer = fixture.exchange(request("/stream/"));
     BOOST_TEST(!wholeStream(answer));
     BOOST_TEST(!contains(answer, "id: 2"));
@@ -223,9 +223,9 @@
 // A resumable stream breaks off within an event; another target goes on after the last whole one, within the same answer.
 BOOST_AUTO_TEST_CASE(resumableStreamGoesOn)
 {
-    const PeerAction first{.bytes = streamHead("X-Id: r1\r\nX-Seal: s1\r\n") + chunk(event(1)) + chunk("id: 2\nda"),
+    const PeerAction first{.bytes = streamResponseHead("X-Id: r1\r\nX-Seal: s1\r\n") + chunk(event(1)) + chunk("id: 2\nda"),
                            .ending = PeerEnding::Close};
-    const PeerAction second{.bytes = streamHead("X-Id: r1\r\nX-Seal: s2\r\n") + chunk(event(2)) + chunk(event(3)) + chunk("")};
+    const PeerAction second{.bytes = streamResponseHead("X-Id: r1\r\nX-Seal: s2\r\n") + chunk(event(2)) + chunk(event(3)) + chunk("")};
     GatewayFixture fixture({{first}, {second}});
     const std::string answer = fixture.exchange(request("/resume/"));
     BOOST_TEST(wholeStream(answer));
@@ -242,7 +242,7 @@
 // The caller leaves while its stream runs: the target's connection is closed, so that it stops working on an answer nobody wants.
 BOOST_AUTO_TEST_CASE(callerLeavingStopsTarget)
 {
-    GatewayFixture fixture({{{.bytes = streamHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)), .ending = PeerEnding::Silent}}});
+    GatewayFixture fixture({{{.bytes = streamResponseHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)), .ending = PeerEnding::Silent}}});
     fixture.exchange(request("/stream/"), std::chrono::milliseconds(50));
     BOOST_TEST(fixture.receivedRequests() == 1U);
     BOOST_TEST(fixture.target(0).closedByCaller() == 1U);
--- a/src/tests/httpclienttest.cpp
+++ b/src/tests/httpclienttest.cpp
@@ -13,7 +13,7 @@
 BOOST_AUTO_TEST_CASE(whatNobodyWaitsForIsNotSent)
 {
     WorkerPool pool(1);
-    ScriptedPeer peer(pool, {{.bytes = wholeAnswer(200, "", "{}")}});
+    ScriptedPeer peer(pool, {{.bytes = completeResponse(200, "", "{}")}});
     HttpClient client(pool.mainLoop().get_executor(), *endpointFrom(peer.address()));
     const auto callWith = [&](bool wanted) {
         HttpStreamCall call(client, {.wanted = [wanted] {
--- a/src/tests/poisonrequesttest.cpp
+++ b/src/tests/poisonrequesttest.cpp
@@ -110,7 +110,7 @@
     Scene()
         : m_pool(1)
     {
-        const std::string stream = streamHead("X-Seal: s\r\n") + chunk("id: 1\ndata: piece\n\n") + chunk("");
+        const std::string stream = streamResponseHead("X-Seal: s\r\n") + chunk("id: 1\ndata: piece\n\n") + chunk("");
         for (std::size_t number = 0; number < s_targets; ++number) {
             m_targets.push_back(std::make_unique<ScriptedPeer>(m_pool, std::vector<PeerAction>{{.bytes = stream}}));
             m_targets.back()->crashOn(std::string(s_poison));
@@ -166,7 +166,7 @@
     void answerAllWith(const std::string &bytes)
     {
         for (const auto &target : m_targets) {
-            target->answerWith({{.bytes = bytes}});
+            target->setScript({{.bytes = bytes}});
         }
     }
 
@@ -319,7 +319,7 @@
         co_await pause(s_spreadTime);
         for (std::size_t copy = 0; copy < s_mostCrashed; ++copy) {
             co_await scene.send(copy, draftRequest(absl::StrCat("early-", copy), s_poison));
-            scene.answerAllWith(wholeAnswer(409, "X-Seal: s\r\n", "not now"));
+            scene.answerAllWith(completeResponse(409, "X-Seal: s\r\n", "not now"));
             scene.crashNextOn("nothing");
             co_await pause(s_spreadTime / 5);
             const std::string answer = co_await scene.send(copy, draftRequest(absl::StrCat("declined-", copy), s_poison));
--- a/src/tests/scriptedpeer.cpp
+++ b/src/tests/scriptedpeer.cpp
@@ -105,7 +105,7 @@
         const PeerAction action = m_script.at(std::min(m_requests.size(), m_script.size() - 1));
         m_requests.push_back(bytes.substr(0, size));
         bytes.erase(0, size);
-        if (!m_lethalText.empty() && m_requests.back().find(m_lethalText) != std::string::npos) {
+        if (!m_crashText.empty() && m_requests.back().find(m_crashText) != std::string::npos) {
             crash(m_lingering);
             co_return;
         }
@@ -121,12 +121,12 @@
     }
 }
 
-std::string wholeAnswer(unsigned status, const std::string &headers, const std::string &body)
+std::string completeResponse(unsigned status, const std::string &headers, const std::string &body)
 {
     return absl::StrCat("HTTP/1.1 ", status, " X\r\n", headers, "Content-Length: ", body.size(), "\r\n\r\n", body);
 }
 
-std::string streamHead(const std::string &headers)
+std::string streamResponseHead(const std::string &headers)
 {
     return absl::StrCat("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n", headers, "Transfer-Encoding: chunked\r\n\r\n");
 }
--- a/src/tests/scriptedpeer.h
+++ b/src/tests/scriptedpeer.h
@@ -43,7 +43,7 @@
     std::string address() const;
 
     /// Another script from now on.
-    void answerWith(std::vector<PeerAction> script)
+    void setScript(std::vector<PeerAction> script)
     {
         m_script = std::move(script);
     }
@@ -51,7 +51,7 @@
     /// A request with this text in it crashes the peer as soon as it has come.
     void crashOn(std::string text)
     {
-        m_lethalText = std::move(text);
+        m_crashText = std::move(text);
     }
 
     /// Ends: every connection is closed, and new ones are refused, at once or after a while in which the system still takes them.
@@ -93,7 +93,7 @@
 
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::string m_address;
-    std::string m_lethalText;
+    std::string m_crashText;
     bool m_crashed = false;
     Duration m_lingering{};
     /// Those that are open. Shared, because the loop may end its coroutines after the peer is gone.
@@ -105,10 +105,10 @@
 };
 
 /// An answer with a length.
-std::string wholeAnswer(unsigned status, const std::string &headers, const std::string &body);
+std::string completeResponse(unsigned status, const std::string &headers, const std::string &body);
 
 /// The head of a chunked answer.
-std::string streamHead(const std::string &headers);
+std::string streamResponseHead(const std::string &headers);
 
 /// One chunk; an empty one ends the answer.
 std::string chunk(const std::string &data);
--- a/src/tests/targetleavingtest.cpp
+++ b/src/tests/targetleavingtest.cpp
@@ -10,7 +10,7 @@
 
 PeerAction leaving()
 {
-    return {.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\nX-Leaving: 1\r\n", "answer")};
+    return {.bytes = completeResponse(200, "X-Id: r1\r\nX-Seal: s\r\nX-Leaving: 1\r\n", "answer")};
 }
 
 }
--- a/src/tests/targetlimittest.cpp
+++ b/src/tests/targetlimittest.cpp
@@ -18,7 +18,7 @@
 
 PeerAction limited(const std::string &perSecond)
 {
-    return {.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\nX-Limit: " + perSecond + "\r\n", "answer")};
+    return {.bytes = completeResponse(200, "X-Id: r1\r\nX-Seal: s\r\nX-Limit: " + perSecond + "\r\n", "answer")};
 }
 
 }
--- a/src/tests/targetresttest.cpp
+++ b/src/tests/targetresttest.cpp
@@ -14,7 +14,7 @@
 
 PeerAction restingForMinutes()
 {
-    return {.bytes = wholeAnswer(503, "X-Id: r1\r\nX-Not-Run: 1\r\nX-Rest: 600\r\n", "")};
+    return {.bytes = completeResponse(503, "X-Id: r1\r\nX-Not-Run: 1\r\nX-Rest: 600\r\n", "")};
 }
 
 }
