--- a/src/tests/scriptedpeer.cpp
+++ b/src/tests/scriptedpeer.cpp
@@ -22,7 +22,7 @@
 constexpr auto s_tuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view s_lengthHeader = "Content-Length: ";
 
-/// Length of the first whole request in the bytes; 0 while it is not whole.
+/// Length in bytes of the first complete request; 0 while it is incomplete.
 std::size_t requestSize(const std::string &bytes)
 {
     const std::size_t headEnd = bytes.find("\r\n\r\n");
--- a/src/tests/scriptedpeer.h
+++ b/src/tests/scriptedpeer.h
@@ -14,74 +14,75 @@
 
 namespace bamboohold {
 
-/// How a scripted peer ends an answer.
+/// What a scripted peer does with the connection after a response.
 enum class PeerEnding {
-    /// Keeps the connection for the next request.
+    /// Keeps the connection open for the next request.
     Keep,
-    /// Closes it in good order.
+    /// Closes the connection gracefully.
     Close,
-    /// Resets it.
+    /// Resets the connection.
     Reset,
-    /// Says nothing further and keeps it open.
+    /// Sends nothing more and keeps the connection open.
     Silent,
 };
 
-/// What a scripted peer does with one request: bytes as they stand on the wire, well-formed or not.
+/// What a scripted peer sends in response to one request, as raw bytes that need not be well-formed HTTP, and what it does with the
+/// connection then.
 struct PeerAction {
     std::string bytes;
     PeerEnding ending = PeerEnding::Keep;
 };
 
-/// A server on loopback that answers each request, in the order of arrival, with the next action of a script; the last one repeats. Records
-/// what it was sent. For one event loop.
+/// A server on a loopback address that responds to each request, in order of arrival, with the next action of a script; the last action
+/// repeats. Records the requests that it receives. Bound to one event loop.
 class ScriptedPeer
 {
 public:
     ScriptedPeer(WorkerPool &pool, std::vector<PeerAction> script);
 
-    /// Its address as ADDRESS:PORT.
+    /// The address as ADDRESS:PORT.
     std::string address() const;
 
-    /// Another script from now on.
+    /// Replaces the script. Actions are still counted from the first request that the peer received.
     void setScript(std::vector<PeerAction> script)
     {
         m_script = std::move(script);
     }
 
-    /// A request with this text in it crashes the peer as soon as it has come.
+    /// Makes the peer crash as soon as it has received a request that contains this text.
     void crashOn(std::string text)
     {
         m_crashText = std::move(text);
     }
 
-    /// Ends: every connection is closed, and new ones are refused, at once or after a while in which the system still takes them.
+    /// Crashes: closes every connection, and refuses new ones either immediately or after a time in which the system still accepts them.
     void crash(Duration lingering = Duration::zero());
 
-    /// Crashes refuse new connections only after this long.
+    /// Sets the time after a crash during which the system still accepts new connections. Applies to crashes caused by a request.
     void lingerAfterCrash(Duration lingering)
     {
         m_lingering = lingering;
     }
 
-    /// True after a crash.
+    /// Whether the peer has crashed.
     bool crashed() const
     {
         return m_crashed;
     }
 
-    /// Requests so far: head and body as they came.
+    /// The requests received so far, head and body as they arrived.
     const std::vector<std::string> &requests() const
     {
         return m_requests;
     }
 
-    /// Connections that were opened.
+    /// The number of connections accepted.
     std::size_t connections() const
     {
         return m_connections;
     }
 
-    /// Connections that the caller closed or reset.
+    /// The number of connections that the caller closed or reset.
     std::size_t closedByCaller() const
     {
         return m_closedByCaller;
@@ -96,7 +97,7 @@
     std::string m_crashText;
     bool m_crashed = false;
     Duration m_lingering{};
-    /// Those that are open. Shared, because the loop may end its coroutines after the peer is gone.
+    /// The open connections. Shared, because the event loop may end its coroutines after the peer was destroyed.
     std::shared_ptr<std::set<boost::asio::ip::tcp::socket *>> m_sockets = std::make_shared<std::set<boost::asio::ip::tcp::socket *>>();
     std::vector<PeerAction> m_script;
     std::vector<std::string> m_requests;
@@ -104,13 +105,13 @@
     std::size_t m_closedByCaller = 0;
 };
 
-/// An answer with a length.
+/// A response with a Content-Length header.
 std::string completeResponse(unsigned status, const std::string &headers, const std::string &body);
 
-/// The head of a chunked answer.
+/// The head of a chunked response.
 std::string streamResponseHead(const std::string &headers);
 
-/// One chunk; an empty one ends the answer.
+/// One chunk; an empty one ends the response.
 std::string chunk(const std::string &data);
 
 }
