--- a/src/tests/mechanismstest.cpp
+++ b/src/tests/mechanismstest.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(MechanismsTest)
 
-BOOST_AUTO_TEST_CASE(namedOnesAreLeftOut)
+BOOST_AUTO_TEST_CASE(namedMechanismsAreDisabled)
 {
     const Mechanisms all = mechanismsWithout("").value();
     BOOST_TEST((all.relays && all.carriedCalls && all.keepers && all.loans && all.ampleBudgets));
--- a/src/tests/requestcosttest.cpp
+++ b/src/tests/requestcosttest.cpp
@@ -13,7 +13,7 @@
 
 BOOST_AUTO_TEST_SUITE(RequestCostTest)
 
-BOOST_AUTO_TEST_CASE(countsWhatIsKnownAndTheWorstCaseOtherwise)
+BOOST_AUTO_TEST_CASE(countsKnownUsageAndTheWorstCaseOtherwise)
 {
     struct Case {
         RequestUsage use;
@@ -40,7 +40,7 @@
 
 // Guards against undercharging when a caller disconnects in the middle of a stream: the target goes on for a moment, and what it generates
 // then is charged to the team.
-BOOST_AUTO_TEST_CASE(whatWasGeneratedUnseenCounts)
+BOOST_AUTO_TEST_CASE(undeliveredOutputIsCounted)
 {
     const RequestUsage left{
         .outcome = AttemptOutcome::CallerDisconnected, .possibleExecutions = 1, .streamed = true, .events = 10, .tokensPerEvent = 2};
--- a/src/tests/requesttimestest.cpp
+++ b/src/tests/requesttimestest.cpp
@@ -13,7 +13,7 @@
 
 BOOST_AUTO_TEST_SUITE(RequestTimesTest)
 
-BOOST_AUTO_TEST_CASE(aStreamTakesByItsTokens)
+BOOST_AUTO_TEST_CASE(streamDurationDependsOnTokens)
 {
     const RequestMetadata small{.callerTimeout = 15 * s_second, .promptTokens = 500, .maxOutputTokens = 100};
     const RequestMetadata large{.callerTimeout = 15 * s_second, .promptTokens = 9000, .maxOutputTokens = 1000};
@@ -23,7 +23,7 @@
 }
 
 // Late in a drain, a router must accept only requests that finish before the shutdown even if they are slow.
-BOOST_AUTO_TEST_CASE(anEndingRouterReckonsWithMoreLateInItsTime)
+BOOST_AUTO_TEST_CASE(drainAllowanceGrowsLateInTheDrain)
 {
     const RequestMetadata metadata{.callerTimeout = 15 * s_second, .promptTokens = 500, .maxOutputTokens = 100};
     BOOST_TEST((drainAllowance(s_stream, metadata, 7 * s_second) == maxExpectedDuration(s_stream, metadata)));
@@ -31,7 +31,7 @@
 }
 
 // If a retry is allowed, the first attempt must not use up all of the time.
-BOOST_AUTO_TEST_CASE(theFirstAttemptLeavesTimeForAnother)
+BOOST_AUTO_TEST_CASE(firstAttemptLeavesTimeForARetry)
 {
     BOOST_TEST((firstByteTimeout(s_stream, 6 * s_second, true) == 3 * s_second));
     BOOST_TEST((firstByteTimeout(s_stream, 6 * s_second, false) == 6 * s_second));
@@ -40,7 +40,7 @@
     BOOST_TEST((firstByteTimeout(s_stream, Duration::zero(), false) > Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(aStreamThatCanGoOnElsewhereWaitsLess)
+BOOST_AUTO_TEST_CASE(resumableStreamHasShorterStallTimeout)
 {
     Route resumable = s_stream;
     resumable.resumable = true;
