--- a/src/tests/gatewaytest.cpp
+++ b/src/tests/gatewaytest.cpp
@@ -20,7 +20,7 @@
     return absl::StrCat("id: ", id, "\ndata: piece", id, "\n\n");
 }
 
-/// The body of a chunked answer is whole only with its last chunk.
+/// A chunked response is complete only with its last chunk.
 bool isCompleteStream(const std::string &answer)
 {
     return answer.ends_with("0\r\n\r\n");
@@ -46,7 +46,7 @@
     BOOST_TEST(sent.ends_with("body"));
 }
 
-// Refusals that a router makes itself; no target is bothered.
+// The router itself refuses these requests and contacts no target.
 BOOST_AUTO_TEST_CASE(refusesWithoutContactingTargets)
 {
     struct Case {
@@ -61,7 +61,8 @@
     }
 }
 
-// A router that has just started knows no configuration. "No such route" or "no such key" could be false, and callers would not try again.
+// A router that has just started has no plan. If it answered "no such route" or "no such key", which could be wrong, callers would not
+// retry.
 BOOST_AUTO_TEST_CASE(withoutPlanAsksCallersToRetry)
 {
     GatewayFixture fixture({{sealedResponse()}}, false);
@@ -70,8 +71,8 @@
     BOOST_TEST(contains(answer, "X-Retry-Ms: "));
 }
 
-// All routers restart, and every caller that could not connect meanwhile comes at once, some milliseconds before the first configuration.
-// They were refused and late when they came back; now they are served.
+// After a restart of all routers, every caller that could not connect meanwhile arrives some milliseconds before the first plan. Guards
+// against refusing them, since their retries would come too late: they must wait for the plan and be served.
 BOOST_AUTO_TEST_CASE(requestsWaitForTheFirstPlan)
 {
     GatewayFixture fixture({{sealedResponse()}}, false, std::chrono::seconds(30));
@@ -80,14 +81,14 @@
     BOOST_TEST(fixture.receivedRequests() == 1U);
 }
 
-// A target declines; the request has not run and goes elsewhere, also when it must not run twice.
+// A target declines a request, so it has not run and is sent to another target, even if it must not run twice.
 BOOST_AUTO_TEST_CASE(declinedRequestIsSentToAnotherTarget)
 {
     GatewayFixture fixture({{declined()}, {sealedResponse()}});
     BOOST_TEST(fixture.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
 }
 
-// All targets decline: the caller hears "not run", with a time to come back.
+// If all targets decline, the caller is told that the request did not run and when to retry.
 BOOST_AUTO_TEST_CASE(declinedByAllIsReportedAsNotRun)
 {
     GatewayFixture fixture({{declined()}, {declined()}});
@@ -96,8 +97,8 @@
     BOOST_TEST(contains(answer, "X-Retry-Ms: "));
 }
 
-// A target takes a submission and its connection is reset: it may have run. The router must neither send it again nor say that it was not
-// run.
+// A target receives a request and its connection is reset, so the request may have run. The router must neither send it again nor report
+// that it did not run.
 BOOST_AUTO_TEST_CASE(lostAnswerIsNotRepeated)
 {
     GatewayFixture fixture({{{.bytes = "", .ending = PeerEnding::Reset}}, {{.bytes = "", .ending = PeerEnding::Reset}}});
@@ -106,7 +107,7 @@
     BOOST_TEST(fixture.receivedRequests() == 1U);
 }
 
-// The same for a request that may run again: the other target serves it.
+// An idempotent request is retried at the other target in the same situation.
 BOOST_AUTO_TEST_CASE(lostResponseOfIdempotentRequestIsRetried)
 {
     GatewayFixture fixture({{{.bytes = "", .ending = PeerEnding::Reset}}, {sealedResponse()}});
@@ -114,7 +115,7 @@
     BOOST_TEST(fixture.receivedRequests() == 2U);
 }
 
-// A target runs a repeatable request and fails it; the second one does too, and its failure is passed on as it stands.
+// Two targets run an idempotent request and fail. The second failure is forwarded unchanged.
 BOOST_AUTO_TEST_CASE(failureOfTargetIsForwarded)
 {
     const PeerAction failing{.bytes = completeResponse(500, "X-Id: r1\r\nX-Seal: f\r\n", "broken")};
@@ -125,7 +126,7 @@
     BOOST_TEST(fixture.receivedRequests() == 2U);
 }
 
-// Answers that are not the target's whole answer must not reach the caller as a success.
+// Responses that are unsealed, incomplete or malformed must not reach the caller as a success.
 BOOST_AUTO_TEST_CASE(invalidResponsesAreNotForwarded)
 {
     const std::vector<PeerAction> invalidResponses{
@@ -142,7 +143,7 @@
     }
 }
 
-// The answer to an earlier request comes a second time, where the answer to this one is expected.
+// The response to an earlier request arrives a second time, in place of the response to this one.
 BOOST_AUTO_TEST_CASE(responseToAnotherRequestIsSkipped)
 {
     const std::string foreign = completeResponse(200, "X-Id: r0\r\nX-Seal: s0\r\n", "not yours");
@@ -153,7 +154,7 @@
     BOOST_TEST(answer.ends_with("answer"));
 }
 
-// A target sends bytes behind a complete answer: they belong to nobody, and the connection is not used again.
+// A target sends bytes after a complete response. They are discarded, and the connection is not reused.
 BOOST_AUTO_TEST_CASE(extraBytesAreDiscarded)
 {
     GatewayFixture fixture(
@@ -163,8 +164,8 @@
     BOOST_TEST(fixture.target(0).closedByCaller() >= 1U);
 }
 
-// A target vanishes without closing its connections, and its address goes over to another process. A connection that was kept to the first
-// one would swallow a request for the second, which then could not be repeated.
+// A target disappears without closing its connections, and another process takes over its address. A request sent on an old connection
+// would be lost, and could not be retried.
 BOOST_AUTO_TEST_CASE(newProcessGetsNewConnections)
 {
     GatewayFixture fixture({{sealedResponse()}});
@@ -176,8 +177,8 @@
     BOOST_TEST(fixture.target(0).connections() == 2U);
 }
 
-// A target's host loses power with a request on its way and starts again under its name; no reset comes. The caller waited to its
-// deadline, although the list showed the new life, which knew nothing of the request and had room for it.
+// A target's host loses power with a request in progress, and the target restarts under its name; no TCP reset arrives. Guards against a
+// caller that waits until its deadline although the list shows the new process, which knows nothing of the request and has capacity for it.
 BOOST_AUTO_TEST_CASE(idempotentRequestLeavesARestartedTarget)
 {
     GatewayFixture fixture(
@@ -189,7 +190,7 @@
     BOOST_TEST(fixture.target(1).requests().size() == 1U);
 }
 
-// The same with a request that may not run twice: it is not sent again.
+// A request that may not run twice is not sent again in the same situation.
 BOOST_AUTO_TEST_CASE(nonIdempotentRequestStaysWithARestartedTarget)
 {
     GatewayFixture fixture(
@@ -209,7 +210,7 @@
     BOOST_TEST(isCompleteStream(answer));
 }
 
-// A stream that cannot be resumed breaks off midway: what the caller has must not look complete, and no torn event is passed on.
+// A stream that cannot be resumed is interrupted. What the caller received must not look complete, and no incomplete event is forwarded.
 BOOST_AUTO_TEST_CASE(interruptedStreamDoesNotLookComplete)
 {
     GatewayFixture fixture({{{.bytes = streamResponseHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)) + chunk("id: 2\ndata: pie"),
@@ -220,7 +221,7 @@
     BOOST_TEST(fixture.receivedRequests() == 1U);
 }
 
-// A resumable stream breaks off within an event; another target goes on after the last whole one, within the same answer.
+// A resumable stream is interrupted within an event. Another target continues after the last complete event, within the same response.
 BOOST_AUTO_TEST_CASE(resumableStreamContinuesAtAnotherTarget)
 {
     const PeerAction first{.bytes = streamResponseHead("X-Id: r1\r\nX-Seal: s1\r\n") + chunk(event(1)) + chunk("id: 2\nda"),
@@ -239,7 +240,8 @@
     BOOST_TEST(contains(fixture.target(1).requests().back(), "X-Resume: 1\r\n"));
 }
 
-// The caller leaves while its stream runs: the target's connection is closed, so that it stops working on an answer nobody wants.
+// The caller disconnects during its stream. The connection to the target is closed, so that it stops working on a response that nobody
+// reads.
 BOOST_AUTO_TEST_CASE(disconnectedCallerStopsTarget)
 {
     GatewayFixture fixture({{{.bytes = streamResponseHead("X-Id: r1\r\nX-Seal: s\r\n") + chunk(event(1)), .ending = PeerEnding::Silent}}});
@@ -248,8 +250,8 @@
     BOOST_TEST(fixture.target(0).closedByCaller() == 1U);
 }
 
-// A router that is short of processor time reads requests late, some after their callers have given up. Work that nobody waits for would
-// take the targets' time from those who do.
+// A router that is short of processor time reads some requests only after their callers have given up. Forwarding them would take capacity
+// of the targets from callers that still wait.
 BOOST_AUTO_TEST_CASE(requestOfDisconnectedCallerIsNotForwarded)
 {
     for (const char *path : {"/once/", "/again/", "/stream/"}) {
@@ -259,7 +261,7 @@
     }
 }
 
-// Requests whose end is unclear, or which hide another one: refused, and nothing reaches a target.
+// Requests with an ambiguous end, or that could hide a second request (request smuggling), are refused, and nothing reaches a target.
 BOOST_AUTO_TEST_CASE(ambiguousFramingIsRefused)
 {
     const std::string head = "POST /once/1 HTTP/1.1\r\nHost: app.example\r\nX-Id: r1\r\nX-Key: key\r\n";
