--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,7 +1,7 @@
 #include "gateway/gateway.h"
 
 #include "clock/steadytime.h"
-#include "gateway/requestrun.h"
+#include "gateway/requesthandler.h"
 #include "net/endpoint.h"
 #include "operations/log.h"
 
@@ -14,7 +14,7 @@
     , m_metrics(metrics)
     , m_board(m_options.board)
     , m_chooser(m_board, m_metrics, m_options.chooser)
-    , m_retries(m_options.retries)
+    , m_retryBudget(m_options.retryBudget)
     , m_guard(m_executor, m_metrics)
     , m_becameReady(m_executor)
     , m_random(m_options.seed)
@@ -30,16 +30,16 @@
     if (!ready()) {
         co_await waitUntilReady();
     }
-    // The request keeps the plan it came under, also when a newer one arrives while it runs.
-    RequestRun run(*this, exchange, m_plan, arrived);
-    co_await run.serve();
+    // A request keeps the plan with which it began, even if a newer plan arrives in the meantime.
+    RequestHandler request(*this, exchange, m_plan, arrived);
+    co_await request.serve();
 }
 
 asio::awaitable<void> Gateway::waitUntilReady()
 {
-    const Instant giveUp = steadyNow() + m_options.startPatience;
-    while (!ready() && steadyNow() < giveUp) {
-        co_await m_becameReady.wait(giveUp - steadyNow());
+    const Instant deadline = steadyNow() + m_options.startupWait;
+    while (!ready() && steadyNow() < deadline) {
+        co_await m_becameReady.wait(deadline - steadyNow());
     }
 }
 
@@ -58,18 +58,18 @@
     return true;
 }
 
-void Gateway::noteDelay(Duration delay)
+void Gateway::recordHostDelay(Duration delay)
 {
-    if (!m_options.sheds) {
+    if (!m_options.shedsLoad) {
         return;
     }
-    m_shedder.measured(delay, steadyNow());
-    const bool shedding = m_shedder.share() > 0;
+    m_shedder.recordDelay(delay, steadyNow());
+    const bool shedding = m_shedder.refusedShare() > 0;
     if (shedding != m_shedding) {
         logLine(shedding ? Severity::Warning : Severity::Info,
                 shedding ? "router.overloaded" : "router.overload_over",
                 {{"delay_ms", std::chrono::duration_cast<std::chrono::milliseconds>(delay).count()},
-                 {"in_flight", static_cast<std::int64_t>(m_runs.size())}});
+                 {"in_flight", static_cast<std::int64_t>(m_activeRequests.size())}});
     }
     m_shedding = shedding;
 }
@@ -79,21 +79,21 @@
     return m_shedder.overloaded(steadyNow());
 }
 
-std::shared_ptr<HttpClient> Gateway::client(const Placement &placement)
+std::shared_ptr<HttpClient> Gateway::clientFor(const Placement &placement)
 {
     auto &client = m_clients[placement.incarnation];
     if (!client) {
-        // Every connection to an address that is none fails, as to one where nobody listens.
+        // If the address cannot be parsed, every connection fails as if nobody listened there.
         client = std::make_shared<HttpClient>(m_executor, endpointFrom(placement.address).value_or(asio::ip::tcp::endpoint()));
     }
     return client;
 }
 
-void Gateway::prune()
+void Gateway::dropStaleTargets()
 {
     const Instant now = steadyNow();
-    for (RequestRun *run : m_runs) {
-        run->leaveFormerLife(now);
+    for (RequestHandler *request : m_activeRequests) {
+        request->abandonRestartedTarget(now);
     }
     std::erase_if(m_clients, [this](const auto &entry) {
         return !m_board.isKnown(entry.first);
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -20,8 +20,8 @@
 
 namespace bamboohold {
 
-/// A router without sidecars, as one process: listeners, followers of the store, budgets, and its orderly end. Takes the store and the
-/// decoders of its rows from whoever adapts a platform.
+/// A router without sidecars, as one process: its servers, the watchers of the store's tables, the budgets, and a graceful shutdown. The
+/// store and the decoders of its rows are supplied by the code that adapts a platform.
 template<RowStore Store>
 class GatewayDaemon
 {
@@ -36,31 +36,31 @@
     struct Options {
         Address callers;
         Address readiness;
-        /// Where this router's link listens for peers, and the links of some that may live already.
+        /// The address at which this router's link accepts peers, and the link addresses of routers that may be running already.
         Address link;
         std::vector<std::string> seeds;
-        /// Port 0: no metrics are served.
+        /// With port 0, no metrics are served.
         Address metrics;
         std::string metricsPath = "/metrics";
         std::string readinessPath = "/";
         std::string incarnation;
-        /// True when all routers start together for the first time.
-        bool together = false;
-        /// The process is killed this long after it was asked to end.
-        Duration grace = std::chrono::seconds(8);
+        /// True if all routers start together for the first time.
+        bool firstStart = false;
+        /// The process is killed this long after it was asked to stop.
+        Duration gracePeriod = std::chrono::seconds(8);
         Gateway::Options gateway;
         HoldingPolicy holdings;
         /// The table and key of the configuration, and the table of targets.
         std::string planTable;
         std::string planKey;
         std::string targetTable;
-        std::function<absl::StatusOr<RoutingPlan::Content>(const StoredRow &)> planFrom;
-        std::function<absl::StatusOr<TargetListing>(const StoredRow &)> listingFrom;
-        /// Orders to evacuate failure domains stand in the configuration's table; see EvacuationFollower.
-        std::function<absl::StatusOr<std::optional<std::string>>(const StoredRow &)> evacuationFrom = [](const StoredRow &) {
+        std::function<absl::StatusOr<RoutingPlan::Content>(const StoredRow &)> decodePlan;
+        std::function<absl::StatusOr<TargetListing>(const StoredRow &)> decodeTarget;
+        /// Decodes an evacuation of a failure domain from a row of the configuration's table; see EvacuationFollower.
+        std::function<absl::StatusOr<std::optional<std::string>>(const StoredRow &)> decodeEvacuation = [](const StoredRow &) {
             return std::optional<std::string>();
         };
-        /// Opens the store by way of a relay beside a target; empty where no relays run.
+        /// Opens the store through a relay beside a target; empty if there are no relays.
         typename Relayed::OpenDetour openDetour;
         Mechanisms mechanisms;
     };
@@ -68,27 +68,29 @@
     GatewayDaemon(WorkerPool &pool, Store &store, Options options)
         : m_pool(pool)
         , m_executor(pool.mainLoop().get_executor())
-        , m_options(applied(std::move(options)))
-        , m_link(m_executor, {.self = text(m_options.link), .seeds = m_options.seeds})
-        , m_detours({.self = text(m_options.link), .failureDomain = m_options.gateway.board.failureDomain})
+        , m_options(withMechanismsApplied(std::move(options)))
+        , m_link(m_executor, {.self = addressText(m_options.link), .seeds = m_options.seeds})
+        , m_detours({.self = addressText(m_options.link), .failureDomain = m_options.gateway.board.failureDomain})
         , m_store(store, m_link, relayedOptions())
         , m_registry(m_store, registryOptions())
-        , m_ledger(
-              m_executor,
-              {.holder = holder(), .incarnation = m_options.incarnation, .policy = m_options.holdings, .linkAddress = text(m_options.link)})
+        , m_ledger(m_executor,
+                   {.holder = holder(),
+                    .incarnation = m_options.incarnation,
+                    .policy = m_options.holdings,
+                    .linkAddress = addressText(m_options.link)})
         , m_checkpoints(m_store, m_ledger)
         , m_keeper(m_executor, m_store, m_ledger, {.routers = countedRouters()})
         , m_gateway(m_executor, gatewayOptions(), m_ledger, m_metrics)
-        // Datagrams and the link's connections share a port's number without touching each other.
+        // The UDP socket for loads and the TCP socket of the link can use the same port number.
         , m_loadServer(m_executor, {asio::ip::make_address(m_options.link.address), m_options.link.port})
         , m_loads(m_executor, {.incarnation = m_options.incarnation, .address = m_options.link.address})
         , m_evacuations(m_gateway.board(), m_metrics, evacuationOptions())
-        , m_help(m_link, m_store, m_ledger, m_gateway, m_evacuations, documentTaker())
+        , m_help(m_link, m_store, m_ledger, m_gateway, m_evacuations, planDocumentHandler())
         , m_quarantine(m_store, m_gateway.guard())
         , m_targetFollower(
-              m_gateway.board(), m_detours, m_metrics, {.decodeListing = m_options.listingFrom, .host = m_options.callers.address})
-        , m_plans(m_store, planWatch())
-        , m_targets(m_store, targetWatch())
+              m_gateway.board(), m_detours, m_metrics, {.decodeListing = m_options.decodeTarget, .host = m_options.callers.address})
+        , m_plans(m_store, planWatcherOptions())
+        , m_targets(m_store, targetWatcherOptions())
         , m_callers(pool, callerOptions(), callerHandler())
         , m_readiness(pool, {.address = m_options.readiness.address, .port = m_options.readiness.port}, readinessHandler())
         , m_metricsServer(pool, {.address = m_options.metrics.address, .port = m_options.metrics.port}, metricsHandler())
@@ -101,11 +103,11 @@
         }
     }
 
-    /// Listens and begins to follow the store.
+    /// Opens the servers and starts to follow the store. Fails if one of the ports cannot be opened.
     absl::Status open()
     {
-        // The callers' port comes first: holding it alone is the proof that an earlier process at this address is gone, on which the
-        // recovery of its budgets rests.
+        // The callers' port is opened first: as it is opened exclusively, success proves that no earlier process runs at this address any
+        // more, which the recovery of its budgets relies on.
         for (HttpServer *server : {&m_callers, &m_readiness, &m_metricsServer}) {
             if (server == &m_metricsServer && m_options.metrics.port == 0) {
                 continue;
@@ -126,25 +128,26 @@
             return opened;
         }
         asio::co_spawn(m_executor, m_checkpoints.run(), asio::detached);
-        asio::co_spawn(m_executor, m_registry.run(m_options.together), asio::detached);
+        asio::co_spawn(m_executor, m_registry.run(m_options.firstStart), asio::detached);
         asio::co_spawn(m_executor, m_plans.run(), asio::detached);
-        if (!m_options.together) {
+        if (!m_options.firstStart) {
             asio::co_spawn(m_executor, m_help.fetchInitialPlan(), asio::detached);
         }
         asio::co_spawn(m_executor, m_targets.run(), asio::detached);
         if (m_options.mechanisms.quarantine) {
             asio::co_spawn(m_executor, m_quarantine.run(), asio::detached);
-            if (!m_options.together) {
+            if (!m_options.firstStart) {
                 asio::co_spawn(m_executor, m_help.fetchKnownCrashes(), asio::detached);
             }
         }
-        asio::co_spawn(m_executor, expireTargets(), asio::detached);
+        asio::co_spawn(m_executor, runMaintenance(), asio::detached);
         asio::co_spawn(m_executor, measureDelay(), asio::detached);
         logLine(Severity::Info, "router.started", {{"incarnation", m_options.incarnation}, {"callers", holder()}});
         return absl::OkStatus();
     }
 
-    /// Ends in good order: leaves the balancer's rotation, serves what comes until then, finishes what runs, gives back what it holds.
+    /// Shuts down gracefully: asks the load balancer to stop sending callers, serves requests until it has done so, finishes requests in
+    /// progress, and returns the tokens that this router holds.
     void drain()
     {
         if (!m_draining) {
@@ -153,8 +156,8 @@
         }
     }
 
-    /// Counts a call to the store by what it was for: calls that grow with routers times teams are seen here first.
-    void noteStoreCall(const StoreCall &call)
+    /// Counts a call to the store by table and kind. Calls whose number grows with routers times teams show up here first.
+    void countStoreCall(const StoreCall &call)
     {
         const std::array<MetricLabel, 2> labels{
             {{.name = "table", .value = call.table}, {.name = "call", .value = storeCallName(call.kind)}}};
@@ -164,43 +167,45 @@
     }
 
 private:
-    /// A balancer that asks once a second takes a host out after two misses; until then connections still arrive and are served.
+    /// A load balancer that checks once a second removes a host after two failed checks; until then connections still arrive and are
+    /// served.
     static constexpr Duration s_rotationTime = std::chrono::milliseconds(2600);
-    /// Kept from the grace time for giving budgets back and ending.
-    static constexpr Duration s_closeTime = std::chrono::milliseconds(600);
-    /// Targets and connections that are gone are looked for this often, and loads told again every so many times.
-    static constexpr Duration s_expiryPause = std::chrono::milliseconds(250);
-    static constexpr unsigned s_roundsPerRenewal = 4;
-    static constexpr Duration s_poll = std::chrono::milliseconds(50);
-    static constexpr Duration s_shortPoll = std::chrono::milliseconds(10);
-
-    /// The options without what the mechanisms leave out.
-    static Options applied(Options options)
+    /// The part of the grace period that is reserved for returning budgets and stopping.
+    static constexpr Duration s_shutdownReserve = std::chrono::milliseconds(600);
+    /// The interval at which removed targets and stale connections are looked for, and the number of such rounds after which the loads are
+    /// announced again.
+    static constexpr Duration s_maintenanceInterval = std::chrono::milliseconds(250);
+    static constexpr unsigned s_roundsPerLoadRenewal = 4;
+    static constexpr Duration s_drainPollInterval = std::chrono::milliseconds(50);
+    static constexpr Duration s_shutdownPollInterval = std::chrono::milliseconds(10);
+
+    /// Returns the options with the disabled mechanisms switched off.
+    static Options withMechanismsApplied(Options options)
     {
-        const Mechanisms &on = options.mechanisms;
-        options.holdings.limitHolders = on.keepers;
-        options.holdings.loans = on.loans;
-        options.gateway.board.prefixAffinity = on.favourites;
-        options.gateway.board.outlierEjection = on.ejection;
-        if (!on.ampleBudgets) {
+        const Mechanisms &enabled = options.mechanisms;
+        options.holdings.limitHolders = enabled.keepers;
+        options.holdings.loans = enabled.loans;
+        options.gateway.board.prefixAffinity = enabled.favourites;
+        options.gateway.board.outlierEjection = enabled.ejection;
+        if (!enabled.ampleBudgets) {
             options.holdings.ampleSpan = s_never;
         }
-        if (!on.startPatience) {
-            options.gateway.startPatience = Duration::zero();
+        if (!enabled.startPatience) {
+            options.gateway.startupWait = Duration::zero();
         }
-        options.gateway.sheds = on.shedding;
-        options.gateway.quarantines = on.quarantine;
-        options.gateway.chooser.centralAdmission = on.admissions;
-        if (!on.silence) {
+        options.gateway.shedsLoad = enabled.shedding;
+        options.gateway.quarantinesRequests = enabled.quarantine;
+        options.gateway.chooser.centralAdmission = enabled.admissions;
+        if (!enabled.silence) {
             options.gateway.board.firstByteAllowance = s_never;
         }
         return options;
     }
 
-    /// Longer than any process lives.
+    /// Longer than any process runs.
     static constexpr Duration s_never = std::chrono::hours(24 * 365);
 
-    static std::string text(const Address &address)
+    static std::string addressText(const Address &address)
     {
         return absl::StrCat(address.address, ":", address.port);
     }
@@ -216,12 +221,12 @@
 
     std::string holder() const
     {
-        return text(m_options.callers);
+        return addressText(m_options.callers);
     }
 
     typename RouterRegistry<Relayed>::Options registryOptions()
     {
-        return {.router = text(m_options.link), .onCounted = [this](const std::vector<std::string> &routers) {
+        return {.router = addressText(m_options.link), .onCounted = [this](const std::vector<std::string> &routers) {
                     m_link.setPeers(routers);
                     m_ledger.setRouters(routers);
                     m_gateway.chooser().setRouters(routers);
@@ -246,7 +251,7 @@
     {
         Gateway::Options options = m_options.gateway;
         options.routers = routerCount();
-        options.chooser.self = text(m_options.link);
+        options.chooser.self = addressText(m_options.link);
         return options;
     }
 
@@ -273,14 +278,14 @@
     HttpHandler readinessHandler()
     {
         return [this](HttpExchange &exchange) -> asio::awaitable<void> {
-            const bool known = exchange.path() == m_options.readinessPath;
-            const unsigned status = known ? (ready() ? 200 : 503) : 404;
-            std::string body = known ? readinessText() : std::string();
+            const bool pathMatches = exchange.path() == m_options.readinessPath;
+            const unsigned status = pathMatches ? (ready() ? 200 : 503) : 404;
+            std::string body = pathMatches ? readinessText() : std::string();
             co_await exchange.respond(status, "text/plain", std::move(body));
         };
     }
 
-    /// What keeps this router from being ready, a line each.
+    /// The reasons why this router is not ready, one per line; empty if it is.
     std::string readinessText() const
     {
         std::string text;
@@ -298,9 +303,9 @@
     HttpHandler metricsHandler()
     {
         return [this](HttpExchange &exchange) -> asio::awaitable<void> {
-            const bool known = exchange.path() == m_options.metricsPath;
-            std::string body = known ? m_metrics.text() : std::string();
-            co_await exchange.respond(known ? 200 : 404, "text/plain; version=0.0.4", std::move(body));
+            const bool pathMatches = exchange.path() == m_options.metricsPath;
+            std::string body = pathMatches ? m_metrics.text() : std::string();
+            co_await exchange.respond(pathMatches ? 200 : 404, "text/plain; version=0.0.4", std::move(body));
         };
     }
 
@@ -309,20 +314,20 @@
         return readinessText().empty();
     }
 
-    typename TableWatcher<Relayed>::Options planWatch()
+    typename TableWatcher<Relayed>::Options planWatcherOptions()
     {
         return {.table = m_options.planTable,
                 .onAll =
                     [this](const std::vector<StoredRow> &rows) {
                         m_evacuations.applyTable(rows);
                         for (const StoredRow &row : rows) {
-                            takePlan(row);
+                            applyPlanRow(row);
                         }
                     },
                 .onChange =
                     [this](const StoredRow &row) {
                         m_evacuations.applyChange(row);
-                        takePlan(row);
+                        applyPlanRow(row);
                     },
                 .onReachable = [](bool) {},
                 .onVersion =
@@ -333,7 +338,7 @@
 
     EvacuationFollower::Options evacuationOptions()
     {
-        return {.decodeDomain = m_options.evacuationFrom,
+        return {.decodeDomain = m_options.decodeEvacuation,
                 .announce =
                     [this](const Evacuations::State &state) {
                         m_link.announceEvacuations(toWire(state));
@@ -341,26 +346,26 @@
                 .host = m_options.callers.address};
     }
 
-    void takePlan(const StoredRow &row)
+    void applyPlanRow(const StoredRow &row)
     {
         if (row.address.key == m_options.planKey && row.version != 0) {
-            takeDocument(row);
+            applyPlanDocument(row);
         }
     }
 
-    std::function<void(const std::string &)> documentTaker()
+    std::function<void(const std::string &)> planDocumentHandler()
     {
         return [this](const std::string &document) {
             const StoredRow row{.value = document};
-            takeDocument(row);
+            applyPlanDocument(row);
         };
     }
 
-    void takeDocument(const StoredRow &row)
+    void applyPlanDocument(const StoredRow &row)
     {
-        absl::StatusOr<RoutingPlan::Content> content = m_options.planFrom(row);
+        absl::StatusOr<RoutingPlan::Content> content = m_options.decodePlan(row);
         if (!content.ok()) {
-            // The store takes valid documents only; whatever spoilt this one, the version in force stays.
+            // The store accepts only valid documents. However this one became unreadable, the plan in force stays.
             logLine(Severity::Error, "plan.unreadable", {{"detail", toFailure(content.status()).detail}});
             m_metrics.count("plans_unreadable_total", {.name = "host", .value = m_options.callers.address});
             return;
@@ -376,14 +381,14 @@
         }
     }
 
-    typename TableWatcher<Relayed>::Options targetWatch()
+    typename TableWatcher<Relayed>::Options targetWatcherOptions()
     {
         return {.table = m_options.targetTable,
                 .onAll =
                     [this](const std::vector<StoredRow> &rows) {
                         m_targetsKnown = true;
                         m_targetFollower.applyTable(rows, steadyNow());
-                        m_gateway.targetsKnown();
+                        m_gateway.notifyTargetsKnown();
                     },
                 .onChange =
                     [this](const StoredRow &row) {
@@ -395,60 +400,60 @@
                     }};
     }
 
-    asio::awaitable<void> expireTargets()
+    asio::awaitable<void> runMaintenance()
     {
         for (unsigned round = 0;; ++round) {
-            co_await pause(s_expiryPause);
+            co_await pause(s_maintenanceInterval);
             m_gateway.board().removeExpired(steadyNow());
-            m_gateway.prune();
-            if (round % s_roundsPerRenewal == 0) {
+            m_gateway.dropStaleTargets();
+            if (round % s_roundsPerLoadRenewal == 0) {
                 m_gateway.chooser().refreshLoads();
                 m_gateway.guard().expire();
             }
         }
     }
 
-    /// Tells the gateway how late timers fire, which is how long anything that is ready waits for its turn, and how long datagrams take.
-    /// While the host is overloaded the balancer is told so, and once it sends new connections elsewhere the open ones end with their
-    /// next answer, since an open connection stays where it is.
+    /// Reports to the gateway how late timers fire, which is how long any ready task waits for its turn, and how long datagrams take. An
+    /// overloaded host fails the load balancer's checks. Once the balancer sends new connections to other hosts, open connections are
+    /// closed after their next response, because callers would otherwise keep using them.
     asio::awaitable<void> measureDelay()
     {
         Instant overloadedSince{};
         while (true) {
-            const Instant due = steadyNow() + LoadShedder::s_tick;
-            co_await pause(LoadShedder::s_tick);
+            const Instant expectedWakeup = steadyNow() + LoadShedder::s_measurementInterval;
+            co_await pause(LoadShedder::s_measurementInterval);
             const Instant now = steadyNow();
             const Duration roundTrip = m_loads.takeShortestRoundTrip().value_or(Duration::zero());
-            m_gateway.noteDelay(std::max({Duration::zero(), now - due, roundTrip}));
+            m_gateway.recordHostDelay(std::max({Duration::zero(), now - expectedWakeup, roundTrip}));
             overloadedSince = m_gateway.overloaded() ? overloadedSince : now;
             m_callers.setLastAnswers(m_draining || now - overloadedSince > s_rotationTime);
         }
     }
 
-    /// Goes on serving until the streams under way have ended: where all routers of a failure domain are restarted together, the balancer
-    /// sends callers here all the same, and a refused connection serves nobody.
+    /// Keeps accepting requests until the streams in progress have ended: if all routers of a failure domain are restarted together, the
+    /// load balancer keeps sending callers here, and a refused connection serves nobody.
     asio::awaitable<void> drainAndStop()
     {
-        const Instant begun = steadyNow();
-        const Instant lastWork = begun + m_options.grace - s_closeTime;
+        const Instant drainStart = steadyNow();
+        const Instant workDeadline = drainStart + m_options.gracePeriod - s_shutdownReserve;
         logLine(Severity::Info, "router.draining", {{"in_flight", static_cast<std::int64_t>(m_gateway.inFlight())}});
-        m_gateway.endAt(lastWork);
+        m_gateway.setShutdownTime(workDeadline);
         m_callers.setLastAnswers(true);
         co_await pause(s_rotationTime);
-        while (m_gateway.streamsInFlight() > 0 && steadyNow() < lastWork) {
-            co_await pause(s_poll);
+        while (m_gateway.streamsInFlight() > 0 && steadyNow() < workDeadline) {
+            co_await pause(s_drainPollInterval);
         }
         m_callers.close();
         m_callers.closeIdle();
-        while (m_gateway.inFlight() > 0 && steadyNow() < lastWork) {
-            co_await pause(s_shortPoll);
+        while (m_gateway.inFlight() > 0 && steadyNow() < workDeadline) {
+            co_await pause(s_shutdownPollInterval);
             m_callers.closeIdle();
         }
         m_ledger.beginClose();
         co_await m_registry.leave();
-        const Instant lastClose = begun + m_options.grace - s_closeTime / 3;
-        while (!m_ledger.closed() && steadyNow() < lastClose) {
-            co_await pause(s_shortPoll);
+        const Instant closeDeadline = drainStart + m_options.gracePeriod - s_shutdownReserve / 3;
+        while (!m_ledger.closed() && steadyNow() < closeDeadline) {
+            co_await pause(s_shutdownPollInterval);
         }
         logLine(Severity::Info,
                 "router.stopped",
--- a/src/gateway/mechanisms.cpp
+++ b/src/gateway/mechanisms.cpp
@@ -15,7 +15,7 @@
 
 struct Switch {
     std::string_view name;
-    bool Mechanisms::*on;
+    bool Mechanisms::*enabled;
 };
 
 constexpr std::array<Switch, 13> s_switches{{{"relays", &Mechanisms::relays},
@@ -41,9 +41,9 @@
     for (const std::string &name : names) {
         const auto found = std::ranges::find(s_switches, name, &Switch::name);
         if (found == s_switches.end()) {
-            return failed(FailureKind::InvalidSetting, absl::StrCat("there is no mechanism '", name, "' to leave out"));
+            return failed(FailureKind::InvalidSetting, absl::StrCat("unknown mechanism '", name, "'"));
         }
-        mechanisms.*(found->on) = false;
+        mechanisms.*(found->enabled) = false;
     }
     return mechanisms;
 }
--- a/src/gateway/requestcost.cpp
+++ b/src/gateway/requestcost.cpp
@@ -4,31 +4,31 @@
 
 namespace {
 
-/// Events that a target may have made, unseen, before it noticed that its answer was no longer wanted: half a second's worth at the fastest
-/// step, and some that were on their way.
-constexpr Tokens s_unseenEvents = 48;
+/// Events that a target may have generated, but not delivered, before it noticed that the caller had disconnected: those of half a second
+/// at the engine's highest speed, and a few that were in transit.
+constexpr Tokens s_maxUndeliveredEvents = 48;
 
 }
 
-Tokens usedTokens(const RequestTerms &terms, const RequestUse &use)
+Tokens usedTokens(const RequestMetadata &metadata, const RequestUsage &use)
 {
-    if (use.ran == 0) {
+    if (use.possibleExecutions == 0) {
         return 0;
     }
-    if (use.uncounted) {
-        return terms.bound();
+    if (use.hasUncountedAttempt) {
+        return metadata.worstCaseTokens();
     }
     const auto events = static_cast<Tokens>(use.events);
-    if (use.end == AttemptEnd::Delivered && use.streamed) {
-        return terms.promptTokens + events * use.tokensPerEvent;
+    if (use.outcome == AttemptOutcome::Delivered && use.streamed) {
+        return metadata.promptTokens + events * use.tokensPerEvent;
     }
-    if (use.end == AttemptEnd::Failed) {
-        return terms.promptTokens;
+    if (use.outcome == AttemptOutcome::Failed) {
+        return metadata.promptTokens;
     }
-    if (use.end == AttemptEnd::CallerLeft) {
-        return terms.promptTokens + (events + s_unseenEvents) * use.tokensPerEvent;
+    if (use.outcome == AttemptOutcome::CallerDisconnected) {
+        return metadata.promptTokens + (events + s_maxUndeliveredEvents) * use.tokensPerEvent;
     }
-    return terms.bound();
+    return metadata.worstCaseTokens();
 }
 
 }
--- /dev/null
+++ b/src/gateway/requesthandler.cpp
@@ -0,0 +1,618 @@
+#include "gateway/requesthandler.h"
+
+#include "clock/steadytime.h"
+#include "gateway/requestcost.h"
+#include "gateway/requesttimes.h"
+#include "operations/log.h"
+#include "routing/stablehash.h"
+
+#include <absl/strings/str_cat.h>
+
+#include <algorithm>
+#include <array>
+
+namespace bamboohold {
+
+namespace {
+
+/// The most targets that one request is sent to, whatever they respond.
+constexpr std::size_t s_maxTargetsTried = 5;
+/// Opening a connection takes a few milliseconds. A host that has not accepted by then has lost power or is unreachable, and another target
+/// can still serve the caller within most objectives.
+constexpr Duration s_connectTimeout = std::chrono::milliseconds(250);
+/// With less time left no retry is made, because no target could respond in time.
+constexpr Duration s_minAttemptTime = std::chrono::milliseconds(30);
+/// A target that restarted after a request was sent to it knows nothing of that request. If its host lost power or is unreachable, no TCP
+/// reset arrives, and the caller would wait for half of its timeout or more in vain. Data that still arrives from the former process is
+/// forwarded. After this silence, which is no longer than the pause that callers accept in a stream, the request is sent to another target.
+constexpr Duration s_restartedTargetSilence = std::chrono::milliseconds(400);
+/// A response up to this size is buffered until it is complete, so that an incomplete one can be replaced. Buffering longer ones would
+/// delay their callers.
+constexpr std::size_t s_maxBufferedBytes = 256 * 1024;
+/// Sent to callers of a router that is shutting down: it is back about this long after its shutdown, and another router usually sooner.
+constexpr std::int64_t s_retryAfterDrainMs = 1000;
+/// Sent to callers when no target has capacity; the queues of the targets drain within about this time.
+constexpr std::int64_t s_retryAfterOverloadMs = 1000;
+/// Minimum sent to callers of an overloaded router, whose next attempt then reaches another router or is most likely admitted.
+constexpr Duration s_minRedirectDelay = std::chrono::milliseconds(50);
+/// Sent to callers while this router has no routing plan yet.
+constexpr std::int64_t s_retryAfterStartupMs = 700;
+/// One in this many requests that were answered within their objective is logged, and all others.
+constexpr std::uint64_t s_successLogInterval = 32;
+constexpr unsigned s_minSuccessStatus = 200;
+constexpr unsigned s_minRedirectStatus = 300;
+constexpr unsigned s_minServerErrorStatus = 500;
+
+std::int64_t inMs(Duration duration)
+{
+    return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
+}
+
+}
+
+RequestHandler::RequestHandler(Gateway &gateway, HttpExchange &exchange, std::shared_ptr<const RoutingPlan> plan, Instant arrived)
+    : m_gateway(gateway)
+    , m_exchange(exchange)
+    , m_plan(std::move(plan))
+    , m_arrived(arrived)
+{
+    m_gateway.m_activeRequests.insert(this);
+}
+
+RequestHandler::~RequestHandler()
+{
+    m_gateway.m_activeRequests.erase(this);
+    m_gateway.m_streamsInFlight -= m_countedStream ? 1 : 0;
+}
+
+asio::awaitable<void> RequestHandler::serve()
+{
+    const absl::Status admitted = admit();
+    if (!admitted.ok()) {
+        co_await refuse(toFailure(admitted));
+        co_return;
+    }
+    const absl::Status reserved = co_await reserve();
+    if (!reserved.ok()) {
+        if (m_onTrial) {
+            m_gateway.m_guard.trialNotRun(fingerprints());
+        }
+        co_await refuse(toFailure(reserved));
+        co_return;
+    }
+    m_exchange.onHangUp([this] {
+        m_callerDisconnected = true;
+        // A request that must not run twice is left to finish at its target: if it were cancelled midway, nobody would know what it has
+        // changed.
+        if (m_activeCall != nullptr && m_route->repeatability != Repeatability::AtMostOnce) {
+            m_activeCall->cancel();
+        }
+    });
+    const AttemptOutcome outcome = co_await runAttempts();
+    settle(outcome);
+    if (m_onTrial && m_possibleExecutions == 0) {
+        m_gateway.m_guard.trialNotRun(fingerprints());
+    }
+    co_await finish(outcome);
+}
+
+absl::Status RequestHandler::admit()
+{
+    absl::StatusOr<RequestMetadata> metadata = m_gateway.m_options.codec.readRequest(m_exchange.request());
+    if (!metadata.ok()) {
+        return metadata.status();
+    }
+    m_metadata = *std::move(metadata);
+    if (!m_plan) {
+        // Without a plan it is unknown whether the route or the key exists, so "no such route" could be wrong.
+        return toStatus({.kind = FailureKind::Draining, .detail = "no configuration known yet", .retryAfterMs = s_retryAfterStartupMs});
+    }
+    m_route = m_plan->findRoute(m_exchange.header("Host"), m_exchange.path());
+    if (m_route == nullptr) {
+        return failed(FailureKind::NotFound, absl::StrCat("no route for ", std::string(m_exchange.path())));
+    }
+    m_priority = m_route->priority;
+    if (m_plan->hasTeams() && !m_route->allowsAnonymous) {
+        const TeamPlan *team = m_plan->findTeamByKey(m_metadata.apiKey);
+        if (team == nullptr) {
+            return failed(FailureKind::Unauthenticated, "no team has this key");
+        }
+        m_team = team->name;
+        m_priority = team->priority.value_or(m_priority);
+    }
+    if (m_gateway.m_shutdownTime
+        && m_arrived + drainAllowance(*m_route, m_metadata, *m_gateway.m_shutdownTime - m_arrived) > *m_gateway.m_shutdownTime) {
+        return toStatus(
+            {.kind = FailureKind::Draining, .detail = "this router ends before the request would", .retryAfterMs = s_retryAfterDrainMs});
+    }
+    if (m_gateway.m_shedder.shouldRefuse(stableHash(m_metadata.requestId))) {
+        const Duration redirectDelay = m_gateway.m_shedder.timeUntilRedirect(m_arrived).value_or(Duration::zero());
+        return toStatus({.kind = FailureKind::Overloaded,
+                         .detail = "this router is overloaded",
+                         .retryAfterMs = inMs(std::max(s_minRedirectDelay, redirectDelay))});
+    }
+    if (const absl::Status held = checkQuarantine(); !held.ok()) {
+        return held;
+    }
+    m_countedStream = m_route->repeatability == Repeatability::Stream;
+    m_gateway.m_streamsInFlight += m_countedStream ? 1 : 0;
+    m_serviceName = m_gateway.chooseService(*m_route);
+    m_service = m_plan->findService(m_serviceName);
+    m_deadline = m_arrived + std::min(m_metadata.callerTimeout, m_route->timeout);
+    m_gateway.m_retryBudget.recordRequest(m_serviceName, m_arrived);
+    return absl::OkStatus();
+}
+
+asio::awaitable<absl::Status> RequestHandler::reserve()
+{
+    if (m_team.empty() || m_metadata.worstCaseTokens() == 0) {
+        co_return absl::OkStatus();
+    }
+    const auto &teams = m_plan->teams();
+    const auto team = std::ranges::find(teams, m_team, &TeamPlan::name);
+    if (!team->prepaid) {
+        co_return absl::OkStatus();
+    }
+    const absl::StatusOr<Reservation> made = co_await m_gateway.m_ledger.reserve(m_team, m_metadata.worstCaseTokens());
+    if (made.ok()) {
+        m_reservation = *made;
+    }
+    co_return made.status();
+}
+
+asio::awaitable<AttemptOutcome> RequestHandler::runAttempts()
+{
+    AttemptOutcome outcome = AttemptOutcome::NotRun;
+    m_lastError = "no target";
+    do {
+        if (m_callerDisconnected || m_exchange.hungUp()) {
+            m_callerDisconnected = true;
+            co_return m_possibleExecutions == 0 ? AttemptOutcome::NotRun : AttemptOutcome::CallerDisconnected;
+        }
+        const PlacementRequest wish{.service = m_serviceName,
+                                    .prompt = m_metadata.prompt,
+                                    .excluded = m_triedTargets,
+                                    .seed = stableHash(m_metadata.requestId) + m_triedTargets.size()};
+        const std::optional<Placement> placement =
+            co_await m_gateway.m_chooser.place(wish, m_service != nullptr ? m_service->coldRequestsPerSecond : 0);
+        if (m_callerDisconnected) {
+            co_return m_possibleExecutions == 0 ? AttemptOutcome::NotRun : AttemptOutcome::CallerDisconnected;
+        }
+        if (!placement) {
+            co_return outcome;
+        }
+        const Instant now = steadyNow();
+        m_triedTargets.push_back(placement->incarnation);
+        m_placement = placement;
+        m_attemptSentAt = now;
+        m_firstByteReceived = false;
+        m_connectionLost = false;
+        m_lastReceivedAt = now;
+        m_targetSign = HealthSignal::Neutral;
+        m_gateway.m_board.requestSent(placement->incarnation, m_metadata.prompt, placement->uncachedTokens, now);
+        m_gateway.m_chooser.countSent(placement->incarnation);
+        m_gateway.m_chooser.reportLoad(placement->incarnation);
+        outcome = co_await runAttempt(*placement);
+        recordAttemptOutcome(outcome);
+    } while (shouldRetry(outcome, steadyNow()));
+    co_return outcome;
+}
+
+void RequestHandler::abandonRestartedTarget(Instant now)
+{
+    const bool abandonable = m_activeCall != nullptr && m_route->repeatable() && now - m_lastReceivedAt >= s_restartedTargetSilence;
+    if (abandonable && m_gateway.m_board.hasRestarted(m_placement->name, m_placement->incarnation)) {
+        m_activeCall->cancel();
+    }
+}
+
+void RequestHandler::recordFirstByte()
+{
+    m_lastReceivedAt = steadyNow();
+    if (!m_firstByteReceived) {
+        m_firstByteReceived = true;
+        m_gateway.m_board.firstByteReceived(m_placement->incarnation, m_placement->uncachedTokens, m_attemptSentAt);
+        m_gateway.m_chooser.reportLoad(m_placement->incarnation);
+    }
+}
+
+void RequestHandler::recordAttemptOutcome(AttemptOutcome outcome)
+{
+    recordFirstByte();
+    m_gateway.m_board.attemptEnded(m_placement->incarnation, m_targetSign, steadyNow());
+    m_gateway.m_chooser.reportLoad(m_placement->incarnation);
+    if (outcome != AttemptOutcome::NotRun) {
+        ++m_possibleExecutions;
+    }
+    reportInterruption(outcome);
+    // An error response proves nothing, because the target may have sent it before it began to run the request.
+    if (outcome == AttemptOutcome::Delivered && m_hasSuccessStatus) {
+        reportSuccess();
+    }
+    if (outcome != AttemptOutcome::Delivered && outcome != AttemptOutcome::CallerDisconnected) {
+        logLine(Severity::Info,
+                "attempt.ended",
+                {{"request", m_metadata.requestId},
+                 {"fingerprint", fingerprints().front().text()},
+                 {"target", m_placement->incarnation},
+                 {"may_have_run", static_cast<std::int64_t>(outcome != AttemptOutcome::NotRun)},
+                 {"problem", m_lastError},
+                 {"events", static_cast<std::int64_t>(m_eventParser.eventCount())},
+                 {"after_ms", inMs(steadyNow() - m_attemptSentAt)}});
+    }
+}
+
+bool RequestHandler::shouldRetry(AttemptOutcome outcome, Instant now)
+{
+    const bool retryableOutcome =
+        outcome == AttemptOutcome::NotRun || outcome == AttemptOutcome::Failed || outcome == AttemptOutcome::Incomplete;
+    if (!retryableOutcome || m_callerDisconnected || m_triedTargets.size() >= s_maxTargetsTried || m_deadline - now < s_minAttemptTime) {
+        return false;
+    }
+    const bool mayHaveRun = outcome != AttemptOutcome::NotRun;
+    if (mayHaveRun && (!m_route->repeatable() || m_possibleExecutions >= m_route->maxAttempts)) {
+        return false;
+    }
+    const bool trialNotStarted = m_onTrial && !mayHaveRun;
+    if (!trialNotStarted && quarantineRemaining()) {
+        m_lastError.append("; targets crashed under this request");
+        return false;
+    }
+    if (m_attemptsSent > 0 && !m_gateway.m_retryBudget.tryAcquireRetry(m_serviceName, m_gateway.m_options.routers(), now)) {
+        m_lastError.append("; retry budget used up");
+        return false;
+    }
+    if (outcome == AttemptOutcome::Incomplete) {
+        m_hasUncountedAttempt = true;
+        m_eventParser.discardIncompleteEvent();
+    }
+    return true;
+}
+
+Duration RequestHandler::attemptFirstByteTimeout(Instant now) const
+{
+    const bool retryAllowed = m_route->repeatable() && m_possibleExecutions + 1 < m_route->maxAttempts;
+    return firstByteTimeout(*m_route, m_deadline - now, retryAllowed);
+}
+
+HttpCallOptions RequestHandler::callOptions(const Placement &placement, Instant now)
+{
+    const HttpRequest &request = m_exchange.request();
+    DispatchMetadata metadata{.incarnation = placement.name, .team = m_team, .timeLeft = m_deadline - now, .priority = m_priority};
+    if (m_streamStarted) {
+        metadata.resumeAfter = m_eventParser.lastEventId();
+    }
+    HttpCallOptions options{.method = std::string(request.method_string()),
+                            .path = std::string(request.target()),
+                            .contentType = "",
+                            .body = request.body(),
+                            .headers = m_gateway.m_options.codec.dispatchHeaders(request, metadata),
+                            .host = std::string(m_exchange.header("Host")),
+                            .timeout = attemptFirstByteTimeout(now),
+                            .connectTimeout = s_connectTimeout,
+                            .sendBefore = placement.sendBefore};
+    // A delayed event loop learns that a caller has disconnected long after the kernel, and a call that must not run twice is not cancelled
+    // by the disconnect. So the connection is checked right before sending.
+    options.wanted = [this] {
+        m_callerDisconnected = m_callerDisconnected || m_exchange.hungUp();
+        return !m_callerDisconnected;
+    };
+    options.belongs = [this](const http::fields &fields) {
+        const ResponseMetadata response = m_gateway.m_options.codec.readResponse(s_minSuccessStatus, fields);
+        return response.requestId.empty() || response.requestId == m_metadata.requestId;
+    };
+    return options;
+}
+
+AttemptOutcome RequestHandler::outcomeOf(const absl::Status &status) const
+{
+    if (toFailure(status).executed == Executed::No) {
+        return AttemptOutcome::NotRun;
+    }
+    if (m_callerDisconnected) {
+        return AttemptOutcome::CallerDisconnected;
+    }
+    return steadyNow() >= m_deadline ? AttemptOutcome::TimedOut : AttemptOutcome::Incomplete;
+}
+
+asio::awaitable<AttemptOutcome> RequestHandler::runAttempt(const Placement &placement)
+{
+    HttpCallOptions options = callOptions(placement, m_attemptSentAt);
+    const std::shared_ptr<HttpClient> client = m_gateway.clientFor(placement);
+    HttpStreamCall call(*client, std::move(options));
+    m_activeCall = &call;
+    const absl::Status started = co_await call.start();
+    AttemptOutcome outcome = AttemptOutcome::Incomplete;
+    if (started.ok()) {
+        ++m_attemptsSent;
+        outcome = co_await receiveResponse(call);
+    } else {
+        outcome = outcomeOf(started);
+        m_lastError = std::string(started.message());
+        m_attemptsSent += outcome == AttemptOutcome::NotRun ? 0 : 1;
+        m_connectionLost = !call.cancelled();
+        const bool cancelledHere = m_callerDisconnected || toFailure(started).kind == FailureKind::Cancelled;
+        m_targetSign = cancelledHere ? HealthSignal::Neutral : HealthSignal::ConnectionFailure;
+    }
+    m_activeCall = nullptr;
+    co_return outcome;
+}
+
+asio::awaitable<AttemptOutcome> RequestHandler::receiveResponse(HttpStreamCall &call)
+{
+    const ResponseMetadata response = m_gateway.m_options.codec.readResponse(call.status(), call.headers());
+    const unsigned status = call.status();
+    m_gateway.m_chooser.applyAnswerTerms(m_placement->incarnation, response, m_attemptSentAt);
+    if (response.notRun) {
+        m_lastError = absl::StrCat("declined with ", status);
+        m_targetSign = response.misdirected ? HealthSignal::Neutral : HealthSignal::Declined;
+        co_return AttemptOutcome::NotRun;
+    }
+    const bool success = status >= s_minSuccessStatus && status < s_minRedirectStatus;
+    m_hasSuccessStatus = success;
+    if (response.contentEncoded || (success && !response.sealed)) {
+        m_lastError = response.contentEncoded ? "the body is encoded" : "no seal";
+        m_targetSign = HealthSignal::ErrorResponse;
+        co_return AttemptOutcome::Incomplete;
+    }
+    const bool stream = success && m_route->repeatability == Repeatability::Stream;
+    AttemptOutcome outcome = AttemptOutcome::Incomplete;
+    if (stream) {
+        outcome = co_await forwardStream(call);
+    } else {
+        outcome = co_await receiveBufferedResponse(call);
+    }
+    co_return outcome;
+}
+
+AttemptOutcome RequestHandler::handleInterruptedResponse(const absl::Status &status)
+{
+    m_lastError = std::string(status.message());
+    m_targetSign = m_callerDisconnected ? HealthSignal::Neutral : HealthSignal::ErrorResponse;
+    m_connectionLost = !m_activeCall->cancelled();
+    return outcomeOf(status);
+}
+
+asio::awaitable<AttemptOutcome> RequestHandler::receiveBufferedResponse(HttpStreamCall &call)
+{
+    BufferedResponse response{.status = call.status(), .headers = endToEndHeaders(call.headers())};
+    bool more = true;
+    while (more) {
+        call.setTimeout(clampedTimeout(m_deadline - steadyNow()));
+        absl::StatusOr<std::string> piece = co_await call.readSome();
+        if (!piece.ok()) {
+            const AttemptOutcome outcome = handleInterruptedResponse(piece.status());
+            co_return outcome;
+        }
+        recordFirstByte();
+        more = !piece->empty();
+        response.body.append(*piece);
+        if (response.body.size() > s_maxBufferedBytes && more) {
+            m_lastError = "the answer is longer than may be held";
+            co_return AttemptOutcome::Incomplete;
+        }
+    }
+    if (response.status >= s_minServerErrorStatus) {
+        m_lastError = absl::StrCat("the target answered ", response.status);
+        m_targetSign = HealthSignal::ErrorResponse;
+        m_failureResponse = std::move(response);
+        co_return AttemptOutcome::Failed;
+    }
+    m_targetSign = HealthSignal::Success;
+    m_firstByteAt = steadyNow();
+    co_await m_exchange.respond(response.status, "", std::move(response.body), std::move(response.headers));
+    co_return AttemptOutcome::Delivered;
+}
+
+asio::awaitable<bool> RequestHandler::forwardEvents(std::string_view events)
+{
+    m_firstByteAt = m_firstByteAt.value_or(steadyNow());
+    const bool written = co_await m_exchange.writeChunk(events);
+    m_callerDisconnected = m_callerDisconnected || !written;
+    co_return written;
+}
+
+asio::awaitable<void> RequestHandler::startCallerStream(HttpStreamCall &call)
+{
+    if (m_streamStarted) {
+        co_return;
+    }
+    m_streamStarted = true;
+    std::vector<HttpHeader> headers = endToEndHeaders(call.headers());
+    const bool headWritten = co_await m_exchange.beginStream(call.status(), "", std::move(headers));
+    m_callerDisconnected = m_callerDisconnected || !headWritten;
+}
+
+asio::awaitable<AttemptOutcome> RequestHandler::forwardStream(HttpStreamCall &call)
+{
+    const Duration stallTimeout = streamStallTimeout(*m_route);
+    bool more = true;
+    bool first = true;
+    while (more) {
+        const Instant now = steadyNow();
+        call.setTimeout(clampedTimeout(first ? attemptFirstByteTimeout(now) : std::min(m_deadline - now, stallTimeout)));
+        const absl::StatusOr<std::string> piece = co_await call.readSome();
+        if (!piece.ok()) {
+            const AttemptOutcome outcome = handleInterruptedResponse(piece.status());
+            co_return outcome;
+        }
+        recordFirstByte();
+        first = false;
+        more = !piece->empty();
+        const std::string events = more ? m_eventParser.feed(*piece) : std::string(m_eventParser.incompleteEvent());
+        if (events.empty()) {
+            continue;
+        }
+        co_await startCallerStream(call);
+        const bool written = co_await forwardEvents(events);
+        if (!written || m_callerDisconnected) {
+            call.cancel();
+            co_return AttemptOutcome::CallerDisconnected;
+        }
+    }
+    m_targetSign = HealthSignal::Success;
+    co_await startCallerStream(call);
+    co_await m_exchange.endStream();
+    co_return AttemptOutcome::Delivered;
+}
+
+void RequestHandler::settle(AttemptOutcome outcome)
+{
+    if (!m_reservation) {
+        return;
+    }
+    const Tokens used = usedTokens(m_metadata,
+                                   {.outcome = outcome,
+                                    .possibleExecutions = m_possibleExecutions,
+                                    .hasUncountedAttempt = m_hasUncountedAttempt,
+                                    .streamed = m_streamStarted,
+                                    .events = m_eventParser.eventCount(),
+                                    .tokensPerEvent = m_service != nullptr ? m_service->tokensPerEvent : 1});
+    m_gateway.m_ledger.settle(m_team, *m_reservation, used);
+    m_reservation.reset();
+}
+
+asio::awaitable<void> RequestHandler::finish(AttemptOutcome outcome)
+{
+    const std::string summary = absl::StrCat(m_possibleExecutions, " of ", m_triedTargets.size(), " attempts may have run; ", m_lastError);
+    if (outcome == AttemptOutcome::Delivered) {
+        logRequestEnd("answered", "");
+        co_return;
+    }
+    if (outcome == AttemptOutcome::CallerDisconnected || m_callerDisconnected) {
+        logRequestEnd("caller_left", summary);
+        m_exchange.cut();
+        co_return;
+    }
+    if (m_streamStarted) {
+        // Closes the connection without the final chunk, so that the caller does not take the stream for complete.
+        logRequestEnd("stream_cut", summary);
+        m_exchange.cut();
+        co_return;
+    }
+    if (m_failureResponse) {
+        logRequestEnd("target_failed", summary);
+        co_await m_exchange.respond(
+            m_failureResponse->status, "", std::move(m_failureResponse->body), std::move(m_failureResponse->headers));
+        co_return;
+    }
+    const bool notRun = m_possibleExecutions == 0;
+    Failure failure{.kind = FailureKind::TargetLost, .detail = summary, .executed = notRun ? Executed::No : Executed::Unknown};
+    if (notRun) {
+        failure.kind = m_triedTargets.empty() ? FailureKind::NoTarget : FailureKind::Overloaded;
+        const Instant now = steadyNow();
+        const std::optional<Instant> opens = m_gateway.m_board.nextResumption(m_serviceName, now);
+        failure.retryAfterMs = opens ? inMs(*opens - now) + 1 : s_retryAfterOverloadMs;
+        failure.detail.append(opens ? "; all targets rest, or admit no more" : "");
+    } else if (outcome == AttemptOutcome::TimedOut) {
+        failure.kind = FailureKind::DeadlineExceeded;
+    }
+    co_await refuse(failure);
+}
+
+asio::awaitable<void> RequestHandler::refuse(const Failure &failure)
+{
+    logRequestEnd(failureName(failure.kind), failure.detail);
+    FailureResponse refusal = m_gateway.m_options.codec.failureResponse(failure);
+    std::string body = errorBody(failure, m_metadata.requestId);
+    co_await m_exchange.respond(refusal.status, "application/json", std::move(body), std::move(refusal.headers));
+}
+
+FingerprintSource RequestHandler::fingerprintSource() const
+{
+    const HttpRequest &request = m_exchange.request();
+    return {.team = m_team,
+            .method = request.method_string(),
+            .host = m_exchange.header("Host"),
+            .target = request.target(),
+            .body = request.body()};
+}
+
+const FingerprintPair &RequestHandler::fingerprints()
+{
+    if (!m_fingerprints) {
+        m_fingerprints = fingerprintsOf(fingerprintSource());
+    }
+    return *m_fingerprints;
+}
+
+std::optional<Duration> RequestHandler::quarantineRemaining()
+{
+    const bool mayBeQuarantined = m_gateway.m_guard.mayContainAddress(RequestFingerprint::addressHash(fingerprintSource()));
+    return mayBeQuarantined ? m_gateway.m_guard.timeToNextTrial(fingerprints()) : std::nullopt;
+}
+
+absl::Status RequestHandler::checkQuarantine()
+{
+    // A request that crashes every target that begins to run it is sent again and again by its caller. Each copy that is forwarded takes
+    // down a target together with all other requests there. This router or its peers have seen it do so.
+    const std::optional<Duration> held = quarantineRemaining();
+    if (!held) {
+        return absl::OkStatus();
+    }
+    m_onTrial = m_gateway.m_guard.beginTrial(fingerprints());
+    if (m_onTrial) {
+        return absl::OkStatus();
+    }
+    return toStatus({.kind = FailureKind::Quarantined, .detail = "targets crashed under this request", .retryAfterMs = inMs(*held)});
+}
+
+void RequestHandler::reportInterruption(AttemptOutcome outcome)
+{
+    if (!m_gateway.m_options.quarantinesRequests) {
+        return;
+    }
+    // If a caller disconnects before the first byte, no interrupted response will show whether the target crashed, so the target is probed
+    // in this case, too. A host that sheds load does not do this: many of its callers disconnect each second because of the overload, and
+    // the probes would use up the rest of its processor time.
+    const bool notShedding = m_gateway.m_shedder.refusedShare() == 0;
+    const bool leftBeforeFirstByte = notShedding && outcome == AttemptOutcome::CallerDisconnected && !m_firstByteAt;
+    if (leftBeforeFirstByte || (m_connectionLost && outcome != AttemptOutcome::NotRun && outcome != AttemptOutcome::TimedOut)) {
+        m_gateway.m_guard.attemptInterrupted(m_placement->incarnation, m_placement->address, fingerprints());
+    } else if (outcome == AttemptOutcome::CallerDisconnected) {
+        m_gateway.m_guard.callerDisconnected(m_placement->incarnation, m_placement->address, fingerprints());
+    }
+}
+
+void RequestHandler::reportSuccess()
+{
+    if (m_gateway.m_guard.wantsAnswers(RequestFingerprint::addressHash(fingerprintSource()))) {
+        m_gateway.m_guard.requestAnswered(fingerprints());
+    }
+}
+
+void RequestHandler::logRequestEnd(std::string_view outcomeName, std::string_view detail)
+{
+    const Instant now = steadyNow();
+    const std::string route = m_route != nullptr ? m_route->name : std::string();
+    const std::array<MetricLabel, 2> byRoute{{{.name = "route", .value = route}, {.name = "outcome", .value = outcomeName}}};
+    m_gateway.m_metrics.count("requests_total", byRoute);
+    const std::array<MetricLabel, 2> byTeam{{{.name = "team", .value = m_team}, {.name = "outcome", .value = outcomeName}}};
+    m_gateway.m_metrics.count("team_requests_total", byTeam);
+    if (m_firstByteAt) {
+        m_gateway.m_metrics.observe("first_byte_seconds", {.name = "route", .value = route}, seconds(*m_firstByteAt - m_arrived));
+    }
+    const bool withinObjective = outcomeName == "answered" && m_firstByteAt && *m_firstByteAt - m_arrived <= m_route->latencyObjective;
+    static std::uint64_t s_timelySuccesses = 0;
+    if (withinObjective && ++s_timelySuccesses % s_successLogInterval != 0) {
+        return;
+    }
+    logLine(Severity::Info,
+            "request.ended",
+            {{"request", m_metadata.requestId},
+             {"fingerprint", fingerprints().front().text()},
+             {"outcome", outcomeName},
+             {"detail", detail},
+             {"route", route},
+             {"team", m_team},
+             {"plan", static_cast<std::int64_t>(m_plan ? m_plan->version() : 0)},
+             {"service", m_serviceName},
+             {"target", m_placement ? std::string_view(m_placement->incarnation) : std::string_view()},
+             {"attempts", static_cast<std::int64_t>(m_triedTargets.size())},
+             {"events", static_cast<std::int64_t>(m_eventParser.eventCount())},
+             {"first_byte_ms", m_firstByteAt ? inMs(*m_firstByteAt - m_arrived) : -1},
+             {"total_ms", inMs(now - m_arrived)},
+             {"bound", m_metadata.worstCaseTokens()}});
+}
+
+}
--- /dev/null
+++ b/src/gateway/requesthandler.h
@@ -0,0 +1,122 @@
+#pragma once
+
+#include "gateway/attemptoutcome.h"
+#include "gateway/eventstreamparser.h"
+#include "gateway/gateway.h"
+#include "quarantine/requestfingerprint.h"
+
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace bamboohold {
+
+/// Handles one request, from its headers to the end of its response, in as many attempts as its route allows.
+///
+/// What the caller is told depends on what is certain: "not run" only if every attempt was declined by its target or never reached one. A
+/// response counts as complete only with the target's seal and its last byte.
+class RequestHandler
+{
+public:
+    /// `arrived` is when the whole request had been read.
+    RequestHandler(Gateway &gateway, HttpExchange &exchange, std::shared_ptr<const RoutingPlan> plan, Instant arrived);
+    ~RequestHandler();
+
+    RequestHandler(const RequestHandler &) = delete;
+    RequestHandler &operator=(const RequestHandler &) = delete;
+
+    /// Serves the request until its response has been sent.
+    asio::awaitable<void> serve();
+
+    /// Cancels an attempt that has received nothing for a while from a target that has restarted since, so that the request is retried
+    /// elsewhere. A request that may not run twice keeps waiting until its deadline, as its response may still arrive. Call regularly.
+    void abandonRestartedTarget(Instant now);
+
+private:
+    /// A complete response that is held in memory.
+    struct BufferedResponse {
+        unsigned status = 0;
+        std::vector<HttpHeader> headers;
+        std::string body;
+    };
+
+    absl::Status admit();
+    FingerprintSource fingerprintSource() const;
+    /// How long the request remains quarantined because targets crashed while they ran it; none if it is not.
+    std::optional<Duration> quarantineRemaining();
+    /// Fails with Quarantined if the request is quarantined. Succeeds for any other request, and for a copy that is let through as a trial.
+    absl::Status checkQuarantine();
+    /// Reports an interrupted attempt, which a crash of its target may have caused, to the quarantine.
+    void reportInterruption(AttemptOutcome outcome);
+    void reportSuccess();
+    asio::awaitable<absl::Status> reserve();
+    asio::awaitable<AttemptOutcome> runAttempts();
+    asio::awaitable<AttemptOutcome> runAttempt(const Placement &placement);
+    asio::awaitable<AttemptOutcome> receiveResponse(HttpStreamCall &call);
+    asio::awaitable<AttemptOutcome> receiveBufferedResponse(HttpStreamCall &call);
+    asio::awaitable<AttemptOutcome> forwardStream(HttpStreamCall &call);
+    asio::awaitable<void> startCallerStream(HttpStreamCall &call);
+    asio::awaitable<bool> forwardEvents(std::string_view events);
+    asio::awaitable<void> finish(AttemptOutcome outcome);
+    asio::awaitable<void> refuse(const Failure &failure);
+    AttemptOutcome outcomeOf(const absl::Status &status) const;
+    AttemptOutcome handleInterruptedResponse(const absl::Status &status);
+    bool shouldRetry(AttemptOutcome outcome, Instant now);
+    HttpCallOptions callOptions(const Placement &placement, Instant now);
+    Duration attemptFirstByteTimeout(Instant now) const;
+    void recordAttemptOutcome(AttemptOutcome outcome);
+    void recordFirstByte();
+    void settle(AttemptOutcome outcome);
+    void logRequestEnd(std::string_view outcomeName, std::string_view detail);
+    /// Fingerprints that identify copies of the same request. Computed on first use, because hashing a long body takes milliseconds on a
+    /// small host.
+    const FingerprintPair &fingerprints();
+
+    Gateway &m_gateway;
+    HttpExchange &m_exchange;
+    std::shared_ptr<const RoutingPlan> m_plan;
+    Instant m_arrived;
+    RequestMetadata m_metadata;
+    const Route *m_route = nullptr;
+    const ServicePlan *m_service = nullptr;
+    std::string m_serviceName;
+    std::string m_team;
+    int m_priority = 0;
+    Instant m_deadline{};
+    std::optional<Reservation> m_reservation;
+    std::optional<FingerprintPair> m_fingerprints;
+
+    std::vector<std::string> m_triedTargets;
+    /// Attempts in which a target may have run the request.
+    unsigned m_possibleExecutions = 0;
+    unsigned m_attemptsSent = 0;
+    /// An attempt other than the last one was interrupted, so the tokens that it delivered were not counted.
+    bool m_hasUncountedAttempt = false;
+    bool m_callerDisconnected = false;
+    HttpStreamCall *m_activeCall = nullptr;
+
+    EventStreamParser m_eventParser;
+    bool m_streamStarted = false;
+    /// Whether the request is counted in the gateway's number of streams.
+    bool m_countedStream = false;
+    std::optional<BufferedResponse> m_failureResponse;
+    std::string m_lastError;
+    /// The current attempt: its target, when it was sent, and whether its first byte has arrived.
+    std::optional<Placement> m_placement;
+    Instant m_attemptSentAt{};
+    bool m_firstByteReceived = false;
+    /// When the current attempt was sent, or when its latest bytes arrived.
+    Instant m_lastReceivedAt{};
+    /// The request is quarantined and was let through as a trial, to see whether it still crashes targets.
+    bool m_onTrial = false;
+    /// The response of the current attempt has a success status.
+    bool m_hasSuccessStatus = false;
+    /// The current attempt lost its connection before its response was complete.
+    bool m_connectionLost = false;
+    /// What the last attempt shows about the health of its target.
+    HealthSignal m_targetSign = HealthSignal::Neutral;
+    std::optional<Instant> m_firstByteAt;
+};
+
+}
--- a/src/gateway/targetchooser.h
+++ b/src/gateway/targetchooser.h
@@ -60,7 +60,7 @@
     void refreshLoads();
 
     /// Applies the directives in an answer of the target to the request that was sent at `sentAt`.
-    void applyAnswerTerms(const std::string &incarnation, const AnswerTerms &answer, Instant sentAt);
+    void applyAnswerTerms(const std::string &incarnation, const ResponseMetadata &answer, Instant sentAt);
 
 private:
     /// Chooses the least loaded of a few candidates, after their relays were queried.
--- a/src/measure/bookfleet.cpp
+++ b/src/measure/bookfleet.cpp
@@ -117,38 +117,39 @@
     if (!up(router) || m_closing == router) {
         return;
     }
-    const RequestTerms terms{.promptTokens = std::uniform_int_distribution<Tokens>(500, 9000)(m_random),
-                             .outputLimit = std::uniform_int_distribution<Tokens>(100, 800)(m_random)};
-    m_routers[router]->holding(budget).recordDemand(terms.bound(), m_store.now);
-    std::optional<Reservation> reservation = m_routers[router]->reserve(budget, terms.bound());
-    if (!reservation && borrow(router, budget, terms.bound())) {
-        reservation = m_routers[router]->reserve(budget, terms.bound());
+    const RequestMetadata terms{.promptTokens = std::uniform_int_distribution<Tokens>(500, 9000)(m_random),
+                                .maxOutputTokens = std::uniform_int_distribution<Tokens>(100, 800)(m_random)};
+    m_routers[router]->holding(budget).recordDemand(terms.worstCaseTokens(), m_store.now);
+    std::optional<Reservation> reservation = m_routers[router]->reserve(budget, terms.worstCaseTokens());
+    if (!reservation && borrow(router, budget, terms.worstCaseTokens())) {
+        reservation = m_routers[router]->reserve(budget, terms.worstCaseTokens());
     }
     if (!reservation) {
         ++m_refused;
         return;
     }
-    const Tokens events = std::uniform_int_distribution<Tokens>(1, terms.outputLimit / s_tokensPerEvent)(m_random);
-    m_running.push_back({.router = router,
-                         .budget = budget,
-                         .reservation = *reservation,
-                         .terms = terms,
-                         .use = {.end = AttemptEnd::Delivered, .ran = 1, .streamed = true, .tokensPerEvent = s_tokensPerEvent},
-                         .begun = m_store.now,
-                         .end = m_store.now + std::chrono::milliseconds(100 + 12 * events),
-                         .events = static_cast<std::uint64_t>(events)});
+    const Tokens events = std::uniform_int_distribution<Tokens>(1, terms.maxOutputTokens / s_tokensPerEvent)(m_random);
+    m_running.push_back(
+        {.router = router,
+         .budget = budget,
+         .reservation = *reservation,
+         .terms = terms,
+         .use = {.outcome = AttemptOutcome::Delivered, .possibleExecutions = 1, .streamed = true, .tokensPerEvent = s_tokensPerEvent},
+         .begun = m_store.now,
+         .end = m_store.now + std::chrono::milliseconds(100 + 12 * events),
+         .events = static_cast<std::uint64_t>(events)});
     spoil(m_running.back());
 }
 
 void BookFleet::spoil(Running &running)
 {
     if (m_options.cause == Cause::Resumed && drawn(s_disturbedShare)) {
-        running.use.ran = 2;
-        running.use.uncounted = true;
+        running.use.possibleExecutions = 2;
+        running.use.hasUncountedAttempt = true;
     }
     const bool left = m_options.cause == Cause::CallerLeft;
     if ((left || m_options.cause == Cause::BrokenOff) && drawn(s_disturbedShare)) {
-        running.use.end = left ? AttemptEnd::CallerLeft : AttemptEnd::Broken;
+        running.use.outcome = left ? AttemptOutcome::CallerDisconnected : AttemptOutcome::Incomplete;
         running.events /= 2;
         running.end = running.begun + (running.end - running.begun) / 2;
     }
--- a/src/measure/bookfleet.h
+++ b/src/measure/bookfleet.h
@@ -83,8 +83,8 @@
         std::size_t router = 0;
         int budget = 0;
         Reservation reservation;
-        RequestTerms terms;
-        RequestUse use;
+        RequestMetadata terms;
+        RequestUsage use;
         Instant begun{};
         Instant end{};
         /// Events that its target makes in all.
--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -3,7 +3,7 @@
 #include "ownaddress.h"
 #include "routing/limitadmissions.h"
 #include "routing/loadserver.h"
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include <absl/strings/str_cat.h>
 #include <boost/asio/as_tuple.hpp>
@@ -75,7 +75,7 @@
 
 PeerAction limited()
 {
-    return {.bytes = wholeAnswer(200, absl::StrCat("X-Id: r1\r\nX-Seal: s\r\nX-Limit: ", s_perSecond, "\r\n"), "answer")};
+    return {.bytes = completeResponse(200, absl::StrCat("X-Id: r1\r\nX-Seal: s\r\nX-Limit: ", s_perSecond, "\r\n"), "answer")};
 }
 
 /// Several routers and one target without a relay that states a rate limit.
@@ -163,7 +163,7 @@
         for (std::size_t router = 0; router < s_routers; ++router) {
             co_await fleet.serves(router);
         }
-        fleet.target().answerWith({sound()});
+        fleet.target().setScript({sealedResponse()});
         // Only a failing run uses all rounds.
         for (int round = 0; round < maxRounds && unlimitedRouters < s_routers; ++round) {
             unlimitedRouters = 0;
--- a/src/tests/gatewayscene.cpp
+++ b/src/tests/gatewayfixture.cpp
@@ -1,4 +1,4 @@
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include "clock/steadytime.h"
 #include "net/pause.h"
@@ -24,32 +24,32 @@
 CallerCodec testCodec()
 {
     CallerCodec codec;
-    codec.readRequest = [](const http::fields &fields) -> absl::StatusOr<RequestTerms> {
-        RequestTerms terms{
-            .requestId = std::string(fields["X-Id"]), .patience = std::chrono::seconds(3), .key = std::string(fields["X-Key"])};
-        terms.promptTokens = fields.count("X-Tokens") > 0 ? 10 : 0;
-        return terms;
+    codec.readRequest = [](const http::fields &fields) -> absl::StatusOr<RequestMetadata> {
+        RequestMetadata metadata{
+            .requestId = std::string(fields["X-Id"]), .callerTimeout = std::chrono::seconds(3), .apiKey = std::string(fields["X-Key"])};
+        metadata.promptTokens = fields.count("X-Tokens") > 0 ? 10 : 0;
+        return metadata;
     };
-    codec.dispatchHeaders = [](const HttpRequest &request, const DispatchTerms &terms) {
+    codec.dispatchHeaders = [](const HttpRequest &request, const DispatchMetadata &metadata) {
         std::vector<HttpHeader> headers = endToEndHeaders(request);
-        headers.push_back({.name = "X-Team", .value = terms.team});
-        headers.push_back({.name = "X-Resume", .value = terms.resumeAfter});
+        headers.push_back({.name = "X-Team", .value = metadata.team});
+        headers.push_back({.name = "X-Resume", .value = metadata.resumeAfter});
         return headers;
     };
-    codec.readAnswer = [](unsigned, const http::fields &fields) {
-        AnswerTerms answer{
+    codec.readResponse = [](unsigned, const http::fields &fields) {
+        ResponseMetadata answer{
             .requestId = std::string(fields["X-Id"]), .sealed = fields.count("X-Seal") > 0, .notRun = fields.count("X-Not-Run") > 0};
         if (fields.count("X-Limit") > 0) {
-            answer.limit = std::stod(std::string(fields["X-Limit"]));
+            answer.requestRateLimit = std::stod(std::string(fields["X-Limit"]));
         }
         answer.leaving = fields.count("X-Leaving") > 0;
         if (fields.count("X-Rest") > 0) {
-            answer.rest = std::chrono::seconds(std::stoi(std::string(fields["X-Rest"])));
+            answer.retryAfter = std::chrono::seconds(std::stoi(std::string(fields["X-Rest"])));
         }
         return answer;
     };
-    codec.refusal = [](const Failure &failure) {
-        CallerRefusal refusal{.status = httpStatus(failure.kind)};
+    codec.failureResponse = [](const Failure &failure) {
+        FailureResponse refusal{.status = httpStatus(failure.kind)};
         if (failure.retryAfterMs) {
             refusal.headers.push_back({.name = "X-Retry-Ms", .value = absl::StrCat(*failure.retryAfterMs)});
         }
@@ -70,7 +70,7 @@
                      .maxAttempts = attempts,
                      .resumable = resumable};
     };
-    // Whoever expects an answer this late only gets no second attempt by time alone.
+    // The objective equals the timeout, so an attempt is not cut short to leave time for a retry.
     Route patient = route("/patient/", Repeatability::Idempotent, 2, false);
     patient.latencyObjective = patient.timeout;
     RoutingPlan::Content content{.version = 5,
@@ -84,8 +84,8 @@
     return std::make_shared<const RoutingPlan>(std::move(content));
 }
 
-GatewayScene::GatewayScene(std::vector<std::vector<PeerAction>> scripts, bool withPlan, Duration startPatience)
-    : m_startPatience(startPatience)
+GatewayFixture::GatewayFixture(std::vector<std::vector<PeerAction>> scripts, bool withPlan, Duration startupWait)
+    : m_startupWait(startupWait)
     , m_pool(1)
     , m_ledger(m_pool.mainLoop().get_executor(), {.holder = "router", .incarnation = "router~1"})
     , m_gateway(m_pool.mainLoop().get_executor(), options(), m_ledger, m_metrics)
@@ -108,7 +108,7 @@
     BOOST_REQUIRE(m_server.open().ok());
 }
 
-std::string GatewayScene::exchange(std::string request, std::optional<Duration> leaveAfter)
+std::string GatewayFixture::exchange(std::string request, std::optional<Duration> leaveAfter)
 {
     std::string answer;
     asio::co_spawn(m_pool.mainLoop(), call(std::move(request), answer, leaveAfter), [this](const std::exception_ptr &) {
@@ -119,7 +119,7 @@
     return answer;
 }
 
-void GatewayScene::bringPlanLate()
+void GatewayFixture::setPlanAfterDelay()
 {
     asio::co_spawn(
         m_pool.mainLoop(),
@@ -131,23 +131,23 @@
         asio::detached);
 }
 
-void GatewayScene::listFirstTargetAgain()
+void GatewayFixture::listFirstTargetAgain()
 {
     m_gateway.board().updateListing(
         {.incarnation = "target-1", .service = "service", .address = m_targets.front()->address(), .failureDomain = "here"}, steadyNow());
 }
 
-void GatewayScene::removeSecondTarget()
+void GatewayFixture::removeSecondTarget()
 {
     m_gateway.board().removeListing("target-2", Instant{});
 }
 
-void GatewayScene::rebirthFirstTarget()
+void GatewayFixture::restartFirstTarget()
 {
     asio::co_spawn(
         m_pool.mainLoop(),
         [this]() -> asio::awaitable<void> {
-            // Until the request has reached the former life.
+            // Waits until the request has reached the former process.
             while (m_targets.front()->requests().empty()) {
                 co_await pause(std::chrono::milliseconds(5));
             }
@@ -159,25 +159,25 @@
                                             steadyNow());
             while (true) {
                 co_await pause(std::chrono::milliseconds(20));
-                m_gateway.prune();
+                m_gateway.dropStaleTargets();
             }
         },
         asio::detached);
 }
 
-void GatewayScene::replaceFirstTarget()
+void GatewayFixture::replaceFirstTarget()
 {
     const TargetListing next{.incarnation = "next", .service = "service", .address = m_targets.front()->address(), .failureDomain = "here"};
     m_gateway.board().removeListing("target-1", Instant{});
     m_gateway.board().updateListing(next, Instant{});
 }
 
-const ScriptedPeer &GatewayScene::target(std::size_t index) const
+const ScriptedPeer &GatewayFixture::target(std::size_t index) const
 {
     return *m_targets.at(index);
 }
 
-std::size_t GatewayScene::runs() const
+std::size_t GatewayFixture::receivedRequests() const
 {
     std::size_t sum = 0;
     for (const auto &target : m_targets) {
@@ -186,19 +186,19 @@
     return sum;
 }
 
-Gateway::Options GatewayScene::options()
+Gateway::Options GatewayFixture::options()
 {
     Gateway::Options options;
     options.codec = testCodec();
     options.board.failureDomain = "here";
-    options.startPatience = m_startPatience;
+    options.startupWait = m_startupWait;
     options.routers = [] {
         return std::size_t(1);
     };
     return options;
 }
 
-asio::awaitable<void> GatewayScene::call(std::string request, std::string &answer, std::optional<Duration> leaveAfter)
+asio::awaitable<void> GatewayFixture::call(std::string request, std::string &answer, std::optional<Duration> leaveAfter)
 {
     asio::ip::tcp::socket socket(m_pool.mainLoop());
     const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(ownAddress()), s_port);
@@ -223,9 +223,9 @@
         "POST ", path, "1 HTTP/1.1\r\nHost: app.example\r\nX-Id: r1\r\nConnection: close\r\n", headers, "Content-Length: 4\r\n\r\nbody");
 }
 
-PeerAction sound()
+PeerAction sealedResponse()
 {
-    return {.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\n", "answer")};
+    return {.bytes = completeResponse(200, "X-Id: r1\r\nX-Seal: s\r\n", "answer")};
 }
 
 bool contains(const std::string &text, const std::string &part)
--- a/src/tests/requestcosttest.cpp
+++ b/src/tests/requestcosttest.cpp
@@ -6,41 +6,45 @@
 
 namespace {
 
-const RequestTerms s_terms{.promptTokens = 100, .outputLimit = 400};
+const RequestMetadata s_metadata{.promptTokens = 100, .maxOutputTokens = 400};
 constexpr Tokens s_worstCase = 500;
 
 }
 
 BOOST_AUTO_TEST_SUITE(RequestCostTest)
 
-BOOST_AUTO_TEST_CASE(countsWhatIsKnownAndTheWorstCaseOtherwise)
+BOOST_AUTO_TEST_CASE(countsKnownUsageAndTheWorstCaseOtherwise)
 {
     struct Case {
-        RequestUse use;
+        RequestUsage use;
         Tokens used = 0;
     };
-    const RequestUse streamed{.end = AttemptEnd::Delivered, .ran = 1, .streamed = true, .events = 7, .tokensPerEvent = 3};
-    RequestUse again = streamed;
-    again.uncounted = true;
-    for (const Case &item : {Case{{.end = AttemptEnd::NotRun}, 0},
-                             Case{{.end = AttemptEnd::CallerLeft, .ran = 0}, 0},
-                             Case{streamed, 121},
-                             Case{again, s_worstCase},
-                             Case{{.end = AttemptEnd::Delivered, .ran = 1}, s_worstCase},
-                             Case{{.end = AttemptEnd::Failed, .ran = 1}, 100},
-                             Case{{.end = AttemptEnd::Failed, .ran = 2, .uncounted = true}, s_worstCase},
-                             Case{{.end = AttemptEnd::Broken, .ran = 1, .streamed = true, .events = 7}, s_worstCase},
-                             Case{{.end = AttemptEnd::TimedOut, .ran = 1}, s_worstCase},
-                             Case{{.end = AttemptEnd::NotRun, .ran = 1}, s_worstCase}}) {
-        BOOST_TEST(usedTokens(s_terms, item.use) == item.used);
+    const RequestUsage streamed{
+        .outcome = AttemptOutcome::Delivered, .possibleExecutions = 1, .streamed = true, .events = 7, .tokensPerEvent = 3};
+    RequestUsage again = streamed;
+    again.hasUncountedAttempt = true;
+    for (const Case &item :
+         {Case{{.outcome = AttemptOutcome::NotRun}, 0},
+          Case{{.outcome = AttemptOutcome::CallerDisconnected, .possibleExecutions = 0}, 0},
+          Case{streamed, 121},
+          Case{again, s_worstCase},
+          Case{{.outcome = AttemptOutcome::Delivered, .possibleExecutions = 1}, s_worstCase},
+          Case{{.outcome = AttemptOutcome::Failed, .possibleExecutions = 1}, 100},
+          Case{{.outcome = AttemptOutcome::Failed, .possibleExecutions = 2, .hasUncountedAttempt = true}, s_worstCase},
+          Case{{.outcome = AttemptOutcome::Incomplete, .possibleExecutions = 1, .streamed = true, .events = 7}, s_worstCase},
+          Case{{.outcome = AttemptOutcome::TimedOut, .possibleExecutions = 1}, s_worstCase},
+          Case{{.outcome = AttemptOutcome::NotRun, .possibleExecutions = 1}, s_worstCase}}) {
+        BOOST_TEST(usedTokens(s_metadata, item.use) == item.used);
     }
 }
 
-// A caller leaves in the middle of a stream. The target goes on for a moment: what it generates unseen was generated for the team.
-BOOST_AUTO_TEST_CASE(whatWasGeneratedUnseenCounts)
+// Guards against undercharging when a caller disconnects in the middle of a stream: the target goes on for a moment, and what it generates
+// then is charged to the team.
+BOOST_AUTO_TEST_CASE(undeliveredOutputIsCounted)
 {
-    const RequestUse left{.end = AttemptEnd::CallerLeft, .ran = 1, .streamed = true, .events = 10, .tokensPerEvent = 2};
-    BOOST_TEST(usedTokens(s_terms, left) > 120);
+    const RequestUsage left{
+        .outcome = AttemptOutcome::CallerDisconnected, .possibleExecutions = 1, .streamed = true, .events = 10, .tokensPerEvent = 2};
+    BOOST_TEST(usedTokens(s_metadata, left) > 120);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/requesttimestest.cpp
+++ b/src/tests/requesttimestest.cpp
@@ -13,40 +13,40 @@
 
 BOOST_AUTO_TEST_SUITE(RequestTimesTest)
 
-BOOST_AUTO_TEST_CASE(aStreamTakesByItsTokens)
+BOOST_AUTO_TEST_CASE(streamDurationDependsOnTokens)
 {
-    const RequestTerms small{.patience = 15 * s_second, .promptTokens = 500, .outputLimit = 100};
-    const RequestTerms large{.patience = 15 * s_second, .promptTokens = 9000, .outputLimit = 1000};
-    BOOST_TEST((longestRun(s_stream, small) < 2 * s_second));
-    BOOST_TEST((longestRun(s_stream, large) > 5 * s_second));
-    BOOST_TEST((longestRun(s_stream, {.patience = s_second, .promptTokens = 9000, .outputLimit = 1000}) == s_second));
+    const RequestMetadata small{.callerTimeout = 15 * s_second, .promptTokens = 500, .maxOutputTokens = 100};
+    const RequestMetadata large{.callerTimeout = 15 * s_second, .promptTokens = 9000, .maxOutputTokens = 1000};
+    BOOST_TEST((maxExpectedDuration(s_stream, small) < 2 * s_second));
+    BOOST_TEST((maxExpectedDuration(s_stream, large) > 5 * s_second));
+    BOOST_TEST((maxExpectedDuration(s_stream, {.callerTimeout = s_second, .promptTokens = 9000, .maxOutputTokens = 1000}) == s_second));
 }
 
-// A router was asked to end. Late in its time only what is certainly over before is still taken.
-BOOST_AUTO_TEST_CASE(anEndingRouterReckonsWithMoreLateInItsTime)
+// Late in a drain, a router must accept only requests that finish before the shutdown even if they are slow.
+BOOST_AUTO_TEST_CASE(drainAllowanceGrowsLateInTheDrain)
 {
-    const RequestTerms terms{.patience = 15 * s_second, .promptTokens = 500, .outputLimit = 100};
-    BOOST_TEST((allowanceForEnd(s_stream, terms, 7 * s_second) == longestRun(s_stream, terms)));
-    BOOST_TEST((allowanceForEnd(s_stream, terms, 2 * s_second) == 2 * longestRun(s_stream, terms)));
+    const RequestMetadata metadata{.callerTimeout = 15 * s_second, .promptTokens = 500, .maxOutputTokens = 100};
+    BOOST_TEST((drainAllowance(s_stream, metadata, 7 * s_second) == maxExpectedDuration(s_stream, metadata)));
+    BOOST_TEST((drainAllowance(s_stream, metadata, 2 * s_second) == 2 * maxExpectedDuration(s_stream, metadata)));
 }
 
-// Where another attempt is allowed, the first one must not use up all of the time.
-BOOST_AUTO_TEST_CASE(theFirstAttemptLeavesTimeForAnother)
+// If a retry is allowed, the first attempt must not use up all of the time.
+BOOST_AUTO_TEST_CASE(firstAttemptLeavesTimeForARetry)
 {
-    BOOST_TEST((firstByteLimit(s_stream, 6 * s_second, true) == 3 * s_second));
-    BOOST_TEST((firstByteLimit(s_stream, 6 * s_second, false) == 6 * s_second));
-    // But no attempt is given less than what callers expect of a whole request.
-    BOOST_TEST((firstByteLimit(s_stream, 2 * s_second, true) == std::chrono::milliseconds(1300)));
-    BOOST_TEST((firstByteLimit(s_stream, Duration::zero(), false) > Duration::zero()));
+    BOOST_TEST((firstByteTimeout(s_stream, 6 * s_second, true) == 3 * s_second));
+    BOOST_TEST((firstByteTimeout(s_stream, 6 * s_second, false) == 6 * s_second));
+    // No attempt gets less time than callers expect a whole request to take.
+    BOOST_TEST((firstByteTimeout(s_stream, 2 * s_second, true) == std::chrono::milliseconds(1300)));
+    BOOST_TEST((firstByteTimeout(s_stream, Duration::zero(), false) > Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(aStreamThatCanGoOnElsewhereWaitsLess)
+BOOST_AUTO_TEST_CASE(resumableStreamHasShorterStallTimeout)
 {
     Route resumable = s_stream;
     resumable.resumable = true;
     resumable.eventGapObjective = std::chrono::milliseconds(300);
-    BOOST_TEST((longestSilence(resumable) < 2 * s_second));
-    BOOST_TEST((longestSilence(s_stream) > 2 * s_second));
+    BOOST_TEST((streamStallTimeout(resumable) < 2 * s_second));
+    BOOST_TEST((streamStallTimeout(s_stream) > 2 * s_second));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/targetleavingtest.cpp
+++ b/src/tests/targetleavingtest.cpp
@@ -1,4 +1,4 @@
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -10,7 +10,7 @@
 
 PeerAction leaving()
 {
-    return {.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\nX-Leaving: 1\r\n", "answer")};
+    return {.bytes = completeResponse(200, "X-Id: r1\r\nX-Seal: s\r\nX-Leaving: 1\r\n", "answer")};
 }
 
 }
@@ -20,7 +20,7 @@
 // Guards against requests to a leaving target while the store is unreachable, so that the list does not show that the target is leaving.
 BOOST_AUTO_TEST_CASE(announcedShutdownIsHonoured)
 {
-    GatewayScene scene({{leaving()}, {sound()}});
+    GatewayFixture scene({{leaving()}, {sealedResponse()}});
     for (int sent = 0; sent < s_requests; ++sent) {
         BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
     }
@@ -30,7 +30,7 @@
 // Guards against an older record in the list that brings a leaving target back into service.
 BOOST_AUTO_TEST_CASE(listRecordDoesNotUndoLeaving)
 {
-    GatewayScene scene({{leaving()}});
+    GatewayFixture scene({{leaving()}});
     BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
     for (int sent = 0; sent < s_requests; ++sent) {
         scene.listFirstTargetAgain();
--- a/src/tests/targetlimittest.cpp
+++ b/src/tests/targetlimittest.cpp
@@ -1,5 +1,5 @@
 #include "clock/steadytime.h"
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -19,7 +19,7 @@
 
 PeerAction limited(const std::string &perSecond)
 {
-    return {.bytes = wholeAnswer(200, "X-Id: r1\r\nX-Seal: s\r\nX-Limit: " + perSecond + "\r\n", "answer")};
+    return {.bytes = completeResponse(200, "X-Id: r1\r\nX-Seal: s\r\nX-Limit: " + perSecond + "\r\n", "answer")};
 }
 
 }
@@ -30,7 +30,7 @@
 BOOST_AUTO_TEST_CASE(targetGetsNoMoreThanItsRateLimit)
 {
     constexpr int requests = 40;
-    GatewayScene scene({{limited("1")}});
+    GatewayFixture scene({{limited("1")}});
     const Instant begun = steadyNow();
     int refused = 0;
     for (int sent = 0; sent < requests; ++sent) {
@@ -46,7 +46,7 @@
 BOOST_AUTO_TEST_CASE(excessRequestsGoToOtherTargets)
 {
     constexpr int requests = 40;
-    GatewayScene scene({{limited("1")}, {sound()}});
+    GatewayFixture scene({{limited("1")}, {sealedResponse()}});
     const Instant begun = steadyNow();
     for (int sent = 0; sent < requests; ++sent) {
         BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
--- a/src/tests/targetresttest.cpp
+++ b/src/tests/targetresttest.cpp
@@ -1,4 +1,4 @@
-#include "tests/gatewayscene.h"
+#include "tests/gatewayfixture.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -14,7 +14,7 @@
 
 PeerAction restingForMinutes()
 {
-    return {.bytes = wholeAnswer(503, "X-Id: r1\r\nX-Not-Run: 1\r\nX-Rest: 600\r\n", "")};
+    return {.bytes = completeResponse(503, "X-Id: r1\r\nX-Not-Run: 1\r\nX-Rest: 600\r\n", "")};
 }
 
 }
@@ -24,7 +24,7 @@
 // Guards against requests to a target before the rest that it requested is over.
 BOOST_AUTO_TEST_CASE(requestedRestIsHonoured)
 {
-    GatewayScene scene({{restingForMinutes()}, {sound()}});
+    GatewayFixture scene({{restingForMinutes()}, {sealedResponse()}});
     for (int sent = 0; sent < s_requests; ++sent) {
         BOOST_TEST(scene.exchange(request("/once/")).starts_with("HTTP/1.1 200 "));
         std::this_thread::sleep_for(s_requestInterval);
@@ -35,7 +35,7 @@
 // Guards against requests to a resting target because no other one is available. Callers are refused at once and told when the rest ends.
 BOOST_AUTO_TEST_CASE(callersGetRetryTimeWhenAllTargetsRest)
 {
-    GatewayScene scene({{restingForMinutes()}});
+    GatewayFixture scene({{restingForMinutes()}});
     for (int sent = 0; sent < s_requests; ++sent) {
         const std::string answer = scene.exchange(request("/once/"));
         BOOST_TEST(answer.starts_with("HTTP/1.1 503 "));
