--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -147,7 +147,7 @@
             co_return std::nullopt;
         }
         const AdmissionRates rates{.cold = placement->cold ? coldPerSecond : 0, .limit = placement->rateLimit.value_or(0)};
-        if (!rates.needed()) {
+        if (!rates.restricted()) {
             co_return placement;
         }
         const Instant askedAt = steadyNow();
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -18,7 +18,7 @@
     double cold = 0;
     double limit = 0;
 
-    bool needed() const
+    bool restricted() const
     {
         return cold > 0 || limit > 0;
     }
@@ -31,7 +31,7 @@
 };
 
 /// What was decided about one request.
-struct AdmissionVerdict {
+struct AdmissionDecision {
     bool admitted = false;
     /// How long until the next one may be admitted; zero where it was, or where that is not known.
     Duration wait{};
--- a/src/routing/limitadmissions.cpp
+++ b/src/routing/limitadmissions.cpp
@@ -40,7 +40,7 @@
     return found == m_entries.end() ? std::nullopt : found->second.limit;
 }
 
-AdmissionVerdict LimitAdmissions::admit(std::uint64_t target, double requestsPerSecond, const TargetLoad &underWay, Instant now)
+AdmissionDecision LimitAdmissions::admit(std::uint64_t target, double requestsPerSecond, const TargetLoad &underWay, Instant now)
 {
     const Duration step = interval(requestsPerSecond);
     Entry &known = entry(target, now);
--- a/src/routing/limitadmissions.h
+++ b/src/routing/limitadmissions.h
@@ -36,7 +36,7 @@
     std::optional<double> limit(std::uint64_t target) const;
 
     /// Whether one more request may go to the target, at which this much is under way.
-    AdmissionVerdict admit(std::uint64_t target, double requestsPerSecond, const TargetLoad &underWay, Instant now);
+    AdmissionDecision admit(std::uint64_t target, double requestsPerSecond, const TargetLoad &underWay, Instant now);
 
 private:
     struct Entry {
--- a/src/routing/loadserver.cpp
+++ b/src/routing/loadserver.cpp
@@ -68,21 +68,21 @@
     if (note.limited_per_second() > 0 && !m_limits.limit(target)) {
         m_limits.heard(target, note.limited_per_second(), now);
     }
-    AdmissionVerdict verdict;
+    AdmissionDecision decision;
     if (note.limited_per_second() > 0) {
         const TargetLoad all{.outstanding = own.outstanding + others.outstanding, .unread = own.unread + others.unread};
-        verdict = m_limits.admit(target, note.limited_per_second(), all, now);
+        decision = m_limits.admit(target, note.limited_per_second(), all, now);
     }
-    if (note.admissions_per_second() > 0 && (verdict.admitted || note.limited_per_second() <= 0)) {
-        verdict.admitted = m_cold.admit(target, note.admissions_per_second(), now);
+    if (note.admissions_per_second() > 0 && (decision.admitted || note.limited_per_second() <= 0)) {
+        decision.admitted = m_cold.admit(target, note.admissions_per_second(), now);
     }
     answer.Clear();
     answer.set_target(target);
     answer.set_sequence(note.sequence());
     answer.set_outstanding(others.outstanding);
     answer.set_unread(others.unread);
-    answer.set_admitted(verdict.admitted);
-    answer.set_wait_ms(static_cast<std::uint32_t>(std::chrono::ceil<std::chrono::milliseconds>(verdict.wait).count()));
+    answer.set_admitted(decision.admitted);
+    answer.set_wait_ms(static_cast<std::uint32_t>(std::chrono::ceil<std::chrono::milliseconds>(decision.wait).count()));
     if (const std::optional<double> limit = m_limits.limit(target)) {
         answer.set_limit(*limit);
     }
--- a/src/tests/limitadmissionstest.cpp
+++ b/src/tests/limitadmissionstest.cpp
@@ -101,9 +101,9 @@
         if (now < next) {
             continue;
         }
-        const AdmissionVerdict verdict = admissions.admit(1, 2.5, {}, at(now));
-        admitted += verdict.admitted ? 1 : 0;
-        next = now + std::chrono::ceil<std::chrono::milliseconds>(verdict.wait).count();
+        const AdmissionDecision decision = admissions.admit(1, 2.5, {}, at(now));
+        admitted += decision.admitted ? 1 : 0;
+        next = now + std::chrono::ceil<std::chrono::milliseconds>(decision.wait).count();
     }
     BOOST_TEST(admitted >= 50);
     BOOST_TEST(admitted <= 53);
@@ -113,7 +113,7 @@
 BOOST_AUTO_TEST_CASE(whatIsUnderWayCounts)
 {
     LimitAdmissions admissions;
-    const AdmissionVerdict busy = admissions.admit(1, 2, {.outstanding = 6}, at(0));
+    const AdmissionDecision busy = admissions.admit(1, 2, {.outstanding = 6}, at(0));
     BOOST_TEST(!busy.admitted);
     BOOST_TEST((busy.wait == std::chrono::seconds(3)));
     BOOST_TEST(!admissions.admit(2, 2, {}, at(0)).admitted);
