--- a/src/routing/admissionshares.h
+++ b/src/routing/admissionshares.h
@@ -34,9 +34,9 @@
     std::size_t rank(std::string_view target) const;
 
     std::string m_self;
-    std::vector<std::uint64_t> m_others;
+    std::vector<std::uint64_t> m_otherRouterHashes;
     /// When this router may send the next one, by target.
-    absl::flat_hash_map<std::string, Instant> m_next;
+    absl::flat_hash_map<std::string, Instant> m_nextAdmission;
 };
 
 }
--- a/src/routing/coldadmissions.cpp
+++ b/src/routing/coldadmissions.cpp
@@ -9,8 +9,8 @@
 std::size_t admissionsPerSpan(double requestsPerSecond)
 {
     // Far more than any target takes in a second.
-    constexpr double most = 1e6;
-    return static_cast<std::size_t>(std::clamp(requestsPerSecond, 1.0, most));
+    constexpr double maxPerSpan = 1e6;
+    return static_cast<std::size_t>(std::clamp(requestsPerSecond, 1.0, maxPerSpan));
 }
 
 ColdAdmissions::ColdAdmissions(Instant startedAt)
@@ -25,15 +25,15 @@
     }
     if (target != m_target) {
         m_target = target;
-        m_admitted.clear();
+        m_admissionTimes.clear();
     }
-    while (!m_admitted.empty() && now - m_admitted.front() >= s_admissionSpan) {
-        m_admitted.pop_front();
+    while (!m_admissionTimes.empty() && now - m_admissionTimes.front() >= s_admissionSpan) {
+        m_admissionTimes.pop_front();
     }
-    if (m_admitted.size() >= admissionsPerSpan(requestsPerSecond)) {
+    if (m_admissionTimes.size() >= admissionsPerSpan(requestsPerSecond)) {
         return false;
     }
-    m_admitted.push_back(now);
+    m_admissionTimes.push_back(now);
     return true;
 }
 
--- a/src/routing/coldadmissions.h
+++ b/src/routing/coldadmissions.h
@@ -29,7 +29,7 @@
 private:
     Instant m_startedAt;
     std::uint64_t m_target = 0;
-    std::deque<Instant> m_admitted;
+    std::deque<Instant> m_admissionTimes;
 };
 
 }
--- a/src/tests/admissionsharestest.cpp
+++ b/src/tests/admissionsharestest.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view s_target = "target@1";
 
 /// What a cold target takes in any second by the users' rule.
-std::size_t mostInASecond(double requestsPerSecond)
+std::size_t maxPerSecond(double requestsPerSecond)
 {
     return static_cast<std::size_t>(requestsPerSecond * 1.5 + 5);
 }
@@ -32,7 +32,7 @@
 // their number.
 BOOST_AUTO_TEST_CASE(sharesBoundEverySecond)
 {
-    const bool held = rc::check("no second has more than the target takes", [] {
+    const bool passed = rc::check("no second has more than the target takes", [] {
         const double rate = *rc::gen::element(1.0, 4.5, 10.0, 50.0);
         const int count = *rc::gen::inRange(1, 120);
         std::vector<std::string> names;
@@ -52,10 +52,10 @@
                 arrivals.push_back(now + static_cast<Millis>(random() % 300));
             }
         }
-        RC_ASSERT(busiestSpan(arrivals, s_second) <= mostInASecond(rate));
+        RC_ASSERT(busiestSpan(arrivals, s_second) <= maxPerSecond(rate));
         RC_ASSERT(admitted > 0U);
     });
-    BOOST_TEST(held);
+    BOOST_TEST(passed);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/coldadmissionstest.cpp
+++ b/src/tests/coldadmissionstest.cpp
@@ -18,7 +18,7 @@
 constexpr Millis s_second = 1000;
 
 /// What a cold target takes in any second by the users' rule.
-std::size_t mostInASecond(double requestsPerSecond)
+std::size_t maxPerSecond(double requestsPerSecond)
 {
     return static_cast<std::size_t>(requestsPerSecond * 1.5 + 5);
 }
@@ -31,15 +31,15 @@
 // admission in hand, and the relay starts again, all at any moment.
 BOOST_AUTO_TEST_CASE(relayBoundsEverySecond)
 {
-    const bool held = rc::check("no second has more than the target takes", [] {
+    const bool passed = rc::check("no second has more than the target takes", [] {
         const double rate = *rc::gen::element(1.0, 4.5, 10.0, 50.0);
         const int routers = *rc::gen::inRange(1, 40);
-        const int restartEvery = *rc::gen::element(0, 700, 2500);
+        const int restartInterval = *rc::gen::element(0, 700, 2500);
         std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
         auto relay = std::make_unique<ColdAdmissions>(at(-10'000));
         std::vector<Millis> arrivals;
         for (Millis now = 0; now < 5000; ++now) {
-            if (restartEvery > 0 && now % restartEvery == restartEvery - 1) {
+            if (restartInterval > 0 && now % restartInterval == restartInterval - 1) {
                 relay = std::make_unique<ColdAdmissions>(at(now));
             }
             for (int router = 0; router < routers; ++router) {
@@ -47,18 +47,18 @@
                     continue;
                 }
                 // The question was sent earlier, the answer takes a while, and the router may sleep before it uses it.
-                const Millis asked = now - static_cast<Millis>(random() % 10);
+                const Millis askedAt = now - static_cast<Millis>(random() % 10);
                 const bool granted = relay->admit(1, rate, at(now));
-                const Millis used = now + static_cast<Millis>(random() % 10 == 0 ? random() % 3000 : random() % 20);
-                const bool inTime = at(used) < at(asked) + s_admissionLifetime;
+                const Millis usedAt = now + static_cast<Millis>(random() % 10 == 0 ? random() % 3000 : random() % 20);
+                const bool inTime = at(usedAt) < at(askedAt) + s_admissionLifetime;
                 if (granted && inTime && random() % 10 != 0) {
-                    arrivals.push_back(used);
+                    arrivals.push_back(usedAt);
                 }
             }
         }
-        RC_ASSERT(busiestSpan(arrivals, s_second) <= mostInASecond(rate));
+        RC_ASSERT(busiestSpan(arrivals, s_second) <= maxPerSecond(rate));
     });
-    BOOST_TEST(held);
+    BOOST_TEST(passed);
 }
 
 // Guards against a target that stays idle when it could warm up: a relay uses the whole rate.
@@ -73,7 +73,7 @@
 }
 
 // Guards against admissions of an earlier life that count against the one that is there now.
-BOOST_AUTO_TEST_CASE(newLifeHasAdmissionsOfItsOwn)
+BOOST_AUTO_TEST_CASE(restartedTargetHasItsOwnAdmissions)
 {
     ColdAdmissions relay(at(-10'000));
     BOOST_TEST(relay.admit(1, 1, at(0)));
