--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -85,7 +85,7 @@
         m_balancer.suspendUntil(incarnation, steadyNow() + *answer.rest);
     }
     if (answer.limit) {
-        const double limit = std::max(*answer.limit, LimitAdmissions::s_leastPerSecond);
+        const double limit = std::max(*answer.limit, LimitAdmissions::s_minRequestsPerSecond);
         setLimit(incarnation, limit);
         reportLimit(incarnation, limit);
     } else if (answer.sealed && endLimit(incarnation, sentAt)) {
--- a/src/routing/limitadmissions.cpp
+++ b/src/routing/limitadmissions.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 /// Targets that nobody has asked about for so long are forgotten.
-constexpr Duration s_memory = std::chrono::minutes(1);
+constexpr Duration s_entryTimeout = std::chrono::minutes(1);
 
-Duration interval(double requestsPerSecond)
+Duration emissionInterval(double requestsPerSecond)
 {
-    const double rate = std::max(requestsPerSecond, LimitAdmissions::s_leastPerSecond);
+    const double rate = std::max(requestsPerSecond, LimitAdmissions::s_minRequestsPerSecond);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / rate));
 }
 
@@ -21,15 +21,15 @@
 {
     if (!m_entries.contains(target)) {
         absl::erase_if(m_entries, [now](const auto &known) {
-            return now - known.second.touched > s_memory;
+            return now - known.second.lastAccess > s_entryTimeout;
         });
     }
     Entry &entry = m_entries[target];
-    entry.touched = now;
+    entry.lastAccess = now;
     return entry;
 }
 
-void LimitAdmissions::heard(std::uint64_t target, double requestsPerSecond, Instant now)
+void LimitAdmissions::recordLimit(std::uint64_t target, double requestsPerSecond, Instant now)
 {
     entry(target, now).limit = requestsPerSecond;
 }
@@ -40,19 +40,19 @@
     return found == m_entries.end() ? std::nullopt : found->second.limit;
 }
 
-AdmissionDecision LimitAdmissions::admit(std::uint64_t target, double requestsPerSecond, const TargetLoad &underWay, Instant now)
+AdmissionDecision LimitAdmissions::admit(std::uint64_t target, double requestsPerSecond, const TargetLoad &inFlight, Instant now)
 {
-    const Duration step = interval(requestsPerSecond);
+    const Duration interval = emissionInterval(requestsPerSecond);
     Entry &known = entry(target, now);
-    if (!known.usedUntil) {
-        const Duration earlier = std::min<Duration>(s_longestStart, step * underWay.outstanding);
-        known.usedUntil = now + s_leeway + std::max(s_admissionSpan, earlier);
+    if (!known.theoreticalArrival) {
+        const Duration inFlightDelay = std::min<Duration>(s_maxInitialDelay, interval * inFlight.outstanding);
+        known.theoreticalArrival = now + s_burstTolerance + std::max(s_admissionSpan, inFlightDelay);
     }
-    const Instant usedUntil = std::max(*known.usedUntil, now);
-    if (usedUntil - now > s_leeway) {
-        return {.wait = usedUntil - now - s_leeway};
+    const Instant theoreticalArrival = std::max(*known.theoreticalArrival, now);
+    if (theoreticalArrival - now > s_burstTolerance) {
+        return {.wait = theoreticalArrival - now - s_burstTolerance};
     }
-    known.usedUntil = usedUntil + step;
+    known.theoreticalArrival = theoreticalArrival + interval;
     return {.admitted = true};
 }
 
--- a/src/routing/loadserver.cpp
+++ b/src/routing/loadserver.cpp
@@ -63,10 +63,10 @@
     const TargetLoad own{.outstanding = note.outstanding(), .unread = note.unread()};
     const TargetLoad others = m_book.noted({.router = note.router(), .target = target, .sequence = note.sequence(), .load = own}, now);
     if (note.has_heard_limit()) {
-        m_limits.heard(target, note.heard_limit(), now);
+        m_limits.recordLimit(target, note.heard_limit(), now);
     }
     if (note.limited_per_second() > 0 && !m_limits.limit(target)) {
-        m_limits.heard(target, note.limited_per_second(), now);
+        m_limits.recordLimit(target, note.limited_per_second(), now);
     }
     AdmissionDecision decision;
     if (note.limited_per_second() > 0) {
--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -147,7 +147,7 @@
         }
     });
     // Each router learns the limit from the answer to its first request.
-    const double admitted = s_perSecond * seconds(steadyNow() - begun + LimitAdmissions::s_leeway) + 1;
+    const double admitted = s_perSecond * seconds(steadyNow() - begun + LimitAdmissions::s_burstTolerance) + 1;
     BOOST_TEST(served <= admitted + s_routers);
     BOOST_TEST(served > static_cast<int>(s_routers));
     BOOST_TEST(fleet.target().requests().size() == static_cast<std::size_t>(served));
--- a/src/tests/limitadmissionstest.cpp
+++ b/src/tests/limitadmissionstest.cpp
@@ -21,7 +21,7 @@
 constexpr Millis s_span = 4000;
 
 /// What a target takes in four seconds by the users' rule.
-double mostInSpan(double requestsPerSecond)
+double maxPerSpan(double requestsPerSecond)
 {
     return requestsPerSecond * 1.5 * 4 + 5;
 }
@@ -34,15 +34,15 @@
 // admission in hand, the limit changes, and who admits starts again, all at any moment.
 BOOST_AUTO_TEST_CASE(everySpanIsBounded)
 {
-    const bool held = rc::check("no four seconds have more than the target takes", [] {
+    const bool passed = rc::check("no four seconds have more than the target takes", [] {
         const double rate = *rc::gen::element(0.0, 0.3, 1.0, 1.9, 4.5, 20.0);
         const int routers = *rc::gen::inRange(1, 40);
-        const int restartEvery = *rc::gen::element(0, 700, 2500, 6000);
+        const int restartInterval = *rc::gen::element(0, 700, 2500, 6000);
         std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
         auto admissions = std::make_unique<LimitAdmissions>();
         std::vector<Millis> arrivals;
         for (Millis now = 0; now < 12'000; now += 2) {
-            if (restartEvery > 0 && now % restartEvery == 0) {
+            if (restartInterval > 0 && now % restartInterval == 0) {
                 admissions = std::make_unique<LimitAdmissions>();
             }
             for (int router = 0; router < routers; ++router) {
@@ -50,21 +50,21 @@
                     continue;
                 }
                 const bool granted = admissions->admit(1, rate, {}, at(now)).admitted;
-                const Millis used = now + static_cast<Millis>(random() % 10 == 0 ? random() % 3000 : random() % 20);
-                if (granted && at(used) < at(now) + s_admissionLifetime && random() % 10 != 0) {
-                    arrivals.push_back(used);
+                const Millis usedAt = now + static_cast<Millis>(random() % 10 == 0 ? random() % 3000 : random() % 20);
+                if (granted && at(usedAt) < at(now) + s_admissionLifetime && random() % 10 != 0) {
+                    arrivals.push_back(usedAt);
                 }
             }
         }
-        RC_ASSERT(static_cast<double>(busiestSpan(arrivals, s_span + 1)) <= mostInSpan(rate));
+        RC_ASSERT(static_cast<double>(busiestSpan(arrivals, s_span + 1)) <= maxPerSpan(rate));
     });
-    BOOST_TEST(held);
+    BOOST_TEST(passed);
 }
 
 // Guards against the same where nobody answers some of the routers: their shares and the admissions of the others stay within the bound.
 BOOST_AUTO_TEST_CASE(sharesAndAdmissionsTogetherAreBounded)
 {
-    const bool held = rc::check("no four seconds have more than the target takes", [] {
+    const bool passed = rc::check("no four seconds have more than the target takes", [] {
         const double rate = *rc::gen::element(0.3, 1.0, 1.9, 4.5, 20.0);
         const int count = *rc::gen::inRange(1, 60);
         std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
@@ -86,13 +86,13 @@
                 arrivals.push_back(now + static_cast<Millis>(random() % 300));
             }
         }
-        RC_ASSERT(static_cast<double>(busiestSpan(arrivals, s_span + 1)) <= mostInSpan(rate));
+        RC_ASSERT(static_cast<double>(busiestSpan(arrivals, s_span + 1)) <= maxPerSpan(rate));
     });
-    BOOST_TEST(held);
+    BOOST_TEST(passed);
 }
 
 // Guards against a target that stays idle although it takes requests: its rate is used, and the wait that is told is true.
-BOOST_AUTO_TEST_CASE(theRateIsUsed)
+BOOST_AUTO_TEST_CASE(admitsTheFullRate)
 {
     LimitAdmissions admissions;
     int admitted = 0;
@@ -110,7 +110,7 @@
 }
 
 // Guards against a target that gets its rate on top of what all routers had sent when it named its limit.
-BOOST_AUTO_TEST_CASE(whatIsUnderWayCounts)
+BOOST_AUTO_TEST_CASE(requestsInFlightDelayTheFirstAdmission)
 {
     LimitAdmissions admissions;
     const AdmissionDecision busy = admissions.admit(1, 2, {.outstanding = 6}, at(0));
