--- a/src/gateway/targetstate.h
+++ b/src/gateway/targetstate.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/targetlisting.h"
-#include "routing/loadbook.h"
+#include "routing/loadaggregator.h"
 
 #include <absl/container/flat_hash_map.h>
 
--- a/src/routing/limitadmissions.h
+++ b/src/routing/limitadmissions.h
@@ -2,7 +2,7 @@
 
 #include "clock/instant.h"
 #include "routing/admission.h"
-#include "routing/loadbook.h"
+#include "routing/loadaggregator.h"
 
 #include <absl/container/flat_hash_map.h>
 
--- a/src/routing/loadbook.cpp
+++ b/src/routing/loadaggregator.cpp
@@ -1,23 +1,23 @@
-#include "routing/loadbook.h"
+#include "routing/loadaggregator.h"
 
 namespace bamboohold {
 
-TargetLoad LoadBook::noted(const LoadReport &report, Instant now)
+TargetLoad LoadAggregator::update(const LoadReport &report, Instant now)
 {
     Entry &entry = m_entries[report.router];
     // A process that starts again has another name, so that within one name sequences only grow.
     if (report.sequence >= entry.sequence) {
-        entry = {.target = report.target, .sequence = report.sequence, .load = report.load, .at = now};
+        entry = {.target = report.target, .sequence = report.sequence, .load = report.load, .receivedAt = now};
     }
-    if (now - m_lastSweep > s_expiry) {
-        m_lastSweep = now;
+    if (now - m_lastExpiry > s_reportLifetime) {
+        m_lastExpiry = now;
         absl::erase_if(m_entries, [now](const auto &known) {
-            return now - known.second.at > s_expiry;
+            return now - known.second.receivedAt > s_reportLifetime;
         });
     }
     TargetLoad others;
     for (const auto &[router, known] : m_entries) {
-        if (router != report.router && known.target == report.target && now - known.at <= s_expiry) {
+        if (router != report.router && known.target == report.target && now - known.receivedAt <= s_reportLifetime) {
             others.outstanding += known.load.outstanding;
             others.unread += known.load.unread;
         }
--- a/src/routing/loadbook.h
+++ b/src/routing/loadaggregator.h
@@ -34,26 +34,26 @@
 /// one, and a router that is gone is forgotten with its last.
 ///
 /// Pure: reports and `now` in, totals out.
-class LoadBook
+class LoadAggregator
 {
 public:
     /// A report that was not renewed for so long no longer counts. Routers renew theirs every second while they have anything there.
-    static constexpr Duration s_expiry = std::chrono::milliseconds(2500);
+    static constexpr Duration s_reportLifetime = std::chrono::milliseconds(2500);
 
     /// Takes a report, and returns what all other routers have at the same target.
-    TargetLoad noted(const LoadReport &report, Instant now);
+    TargetLoad update(const LoadReport &report, Instant now);
 
 private:
     struct Entry {
         std::uint64_t target = 0;
         std::uint64_t sequence = 0;
         TargetLoad load;
-        Instant at{};
+        Instant receivedAt{};
     };
 
     /// By router.
     absl::flat_hash_map<std::uint64_t, Entry> m_entries;
-    Instant m_lastSweep{};
+    Instant m_lastExpiry{};
 };
 
 }
--- a/src/routing/loadserver.cpp
+++ b/src/routing/loadserver.cpp
@@ -61,7 +61,7 @@
     const Instant now = steadyNow();
     const std::uint64_t target = note.target();
     const TargetLoad own{.outstanding = note.outstanding(), .unread = note.unread()};
-    const TargetLoad others = m_book.noted({.router = note.router(), .target = target, .sequence = note.sequence(), .load = own}, now);
+    const TargetLoad others = m_loads.update({.router = note.router(), .target = target, .sequence = note.sequence(), .load = own}, now);
     if (note.has_heard_limit()) {
         m_limits.recordLimit(target, note.heard_limit(), now);
     }
--- a/src/routing/loadserver.h
+++ b/src/routing/loadserver.h
@@ -2,7 +2,7 @@
 
 #include "routing/coldadmissions.h"
 #include "routing/limitadmissions.h"
-#include "routing/loadbook.h"
+#include "routing/loadaggregator.h"
 
 #include <absl/status/status.h>
 #include <boost/asio/any_io_executor.hpp>
@@ -42,7 +42,7 @@
 
     boost::asio::ip::udp::endpoint m_listen;
     boost::asio::ip::udp::socket m_socket;
-    LoadBook m_book;
+    LoadAggregator m_loads;
     ColdAdmissions m_cold;
     LimitAdmissions m_limits;
 };
--- a/src/tests/loadbooktest.cpp
+++ b/src/tests/loadbooktest.cpp
@@ -1,4 +1,4 @@
-#include "routing/loadbook.h"
+#include "routing/loadaggregator.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -16,13 +16,13 @@
     return {.router = router, .target = target, .sequence = sequence, .load = load};
 }
 
-struct Book {
-    TargetLoad noted(const LoadReport &report)
+struct AggregatorFixture {
+    TargetLoad update(const LoadReport &report)
     {
-        return book.noted(report, now);
+        return aggregator.update(report, now);
     }
 
-    LoadBook book;
+    LoadAggregator aggregator;
     Instant now = Instant(std::chrono::seconds(100));
 };
 
@@ -30,39 +30,39 @@
 
 BOOST_AUTO_TEST_SUITE(LoadBookTest)
 
-BOOST_AUTO_TEST_CASE(tellsWhatAllOthersHave)
+BOOST_AUTO_TEST_CASE(returnsLoadOfAllOtherRouters)
 {
-    Book scene;
-    scene.noted(report(1, 1, {.outstanding = 2, .unread = 900}));
-    scene.noted(report(2, 1, {.outstanding = 1, .unread = 100}));
-    BOOST_TEST((scene.noted(report(3, 1, {.outstanding = 7, .unread = 7000})) == TargetLoad{.outstanding = 3, .unread = 1000}));
-    BOOST_TEST((scene.noted(report(1, 2, {})) == TargetLoad{.outstanding = 8, .unread = 7100}));
+    AggregatorFixture fixture;
+    fixture.update(report(1, 1, {.outstanding = 2, .unread = 900}));
+    fixture.update(report(2, 1, {.outstanding = 1, .unread = 100}));
+    BOOST_TEST((fixture.update(report(3, 1, {.outstanding = 7, .unread = 7000})) == TargetLoad{.outstanding = 3, .unread = 1000}));
+    BOOST_TEST((fixture.update(report(1, 2, {})) == TargetLoad{.outstanding = 8, .unread = 7100}));
 }
 
 // Datagrams overtake each other. An older total that arrives late would bring back requests that have ended.
 BOOST_AUTO_TEST_CASE(olderReportChangesNothing)
 {
-    Book scene;
-    scene.noted(report(1, 5, {}));
-    scene.noted(report(1, 4, {.outstanding = 9, .unread = 9000}));
-    BOOST_TEST((scene.noted(report(2, 1, {})) == TargetLoad{}));
+    AggregatorFixture fixture;
+    fixture.update(report(1, 5, {}));
+    fixture.update(report(1, 4, {.outstanding = 9, .unread = 9000}));
+    BOOST_TEST((fixture.update(report(2, 1, {})) == TargetLoad{}));
 }
 
 // A router loses power with requests under way, and never says that they have ended. Its load would stand against the target for good.
-BOOST_AUTO_TEST_CASE(routerThatSaysNothingIsForgotten)
+BOOST_AUTO_TEST_CASE(silentRouterExpires)
 {
-    Book scene;
-    scene.noted(report(1, 1, {.outstanding = 9, .unread = 9000}));
-    scene.now += LoadBook::s_expiry + ms(1);
-    BOOST_TEST((scene.noted(report(2, 1, {})) == TargetLoad{}));
+    AggregatorFixture fixture;
+    fixture.update(report(1, 1, {.outstanding = 9, .unread = 9000}));
+    fixture.now += LoadAggregator::s_reportLifetime + ms(1);
+    BOOST_TEST((fixture.update(report(2, 1, {})) == TargetLoad{}));
 }
 
 // The target's process has started again on the same host. What routers had at its former life is not under way at this one.
-BOOST_AUTO_TEST_CASE(formerLifeOfTheTargetDoesNotCount)
+BOOST_AUTO_TEST_CASE(earlierIncarnationDoesNotCount)
 {
-    Book scene;
-    scene.noted(report(1, 1, {.outstanding = 9, .unread = 9000}, 1));
-    BOOST_TEST((scene.noted(report(2, 1, {.outstanding = 1}, 2)) == TargetLoad{}));
+    AggregatorFixture fixture;
+    fixture.update(report(1, 1, {.outstanding = 9, .unread = 9000}, 1));
+    BOOST_TEST((fixture.update(report(2, 1, {.outstanding = 1}, 2)) == TargetLoad{}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/sharedloadstest.cpp
+++ b/src/tests/sharedloadstest.cpp
@@ -1,5 +1,5 @@
 #include "gateway/targetbalancer.h"
-#include "routing/loadbook.h"
+#include "routing/loadaggregator.h"
 #include "routing/stablehash.h"
 
 #include <boost/test/unit_test.hpp>
@@ -106,8 +106,8 @@
     TargetLoad report(std::size_t router, const std::string &target)
     {
         const TargetLoad own = m_balancers[router]->ownLoad(target)->load;
-        return m_books[m_targets[target]].noted({.router = router, .target = stableHash(target), .sequence = ++m_sequence, .load = own},
-                                                m_now);
+        return m_books[m_targets[target]].update({.router = router, .target = stableHash(target), .sequence = ++m_sequence, .load = own},
+                                                 m_now);
     }
 
     void send(std::size_t router, Tokens tokens, std::uint64_t draw)
@@ -161,7 +161,7 @@
     std::vector<std::unique_ptr<TargetBalancer>> m_balancers;
     std::map<std::string, std::size_t> m_targets;
     std::vector<Instant> m_readUntil;
-    std::vector<LoadBook> m_books;
+    std::vector<LoadAggregator> m_books;
     std::vector<std::size_t> m_sent;
     std::vector<double> m_firstByteMs;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
