--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -96,7 +96,7 @@
             m_store.setDetours(m_detours, m_options.openDetour);
         }
         if (m_options.mechanisms.sharedLoads) {
-            m_gateway.chooser().setLoadLink(m_loads);
+            m_gateway.chooser().setLoadClient(m_loads);
         }
     }
 
@@ -469,7 +469,7 @@
     LedgerKeeper<Relayed> m_keeper;
     Gateway m_gateway;
     LoadServer m_loadServer;
-    LoadLink m_loads;
+    LoadClient m_loads;
     EvacuationFollower m_evacuations;
     PeerExchange<Store> m_help;
     QuarantineKeeper<Relayed> m_quarantine;
--- a/src/gateway/targetchooser.cpp
+++ b/src/gateway/targetchooser.cpp
@@ -29,14 +29,14 @@
 {
 }
 
-void TargetChooser::setLoadLink(LoadLink &link)
+void TargetChooser::setLoadClient(LoadClient &client)
 {
-    m_loadLink = &link;
-    m_loadLink->onAnswers(
-        [this](const std::string &incarnation, const TargetNews &news) {
-            m_balancer.setRemoteLoad(incarnation, news.others, steadyNow());
-            if (news.limit) {
-                applyReportedLimit(incarnation, *news.limit, news.askedAt);
+    m_loadClient = &client;
+    m_loadClient->setCallbacks(
+        [this](const std::string &incarnation, const TargetLoadReply &reply) {
+            m_balancer.setRemoteLoad(incarnation, reply.remoteLoad, steadyNow());
+            if (reply.limit) {
+                applyReportedLimit(incarnation, *reply.limit, reply.askedAt);
             }
         },
         [this](const std::string &incarnation) {
@@ -47,7 +47,7 @@
 std::optional<LoadNotice> TargetChooser::loadNotice(const std::string &incarnation) const
 {
     std::optional<TargetBalancer::OwnLoad> own = m_balancer.ownLoad(incarnation);
-    if (m_loadLink == nullptr || !own) {
+    if (m_loadClient == nullptr || !own) {
         return std::nullopt;
     }
     return LoadNotice{.incarnation = incarnation, .relay = std::move(own->relay), .load = own->load};
@@ -56,7 +56,7 @@
 void TargetChooser::reportLoad(const std::string &incarnation)
 {
     if (const std::optional<LoadNotice> notice = loadNotice(incarnation)) {
-        m_loadLink->tell(*notice);
+        m_loadClient->notifyRelay(*notice);
     }
 }
 
@@ -113,10 +113,10 @@
 
 void TargetChooser::reportLimit(const std::string &incarnation, double requestsPerSecond)
 {
-    if (m_loadLink != nullptr) {
+    if (m_loadClient != nullptr) {
         LoadNotice notice = admissionNotice(incarnation);
-        notice.heardLimit = requestsPerSecond;
-        m_loadLink->tell(notice);
+        notice.reportedLimit = requestsPerSecond;
+        m_loadClient->notifyRelay(notice);
     }
 }
 
@@ -167,7 +167,7 @@
 LoadNotice TargetChooser::admissionNotice(const std::string &incarnation) const
 {
     LoadNotice notice = loadNotice(incarnation).value_or(LoadNotice{.incarnation = incarnation});
-    if (!m_routers.empty() && !m_loadLink->answers(notice.relay)) {
+    if (!m_routers.empty() && !m_loadClient->hasAnswered(notice.relay)) {
         const std::uint64_t hash = stableHash(incarnation);
         notice.relay = *std::ranges::max_element(m_routers, {}, [hash](const std::string &router) {
             return mixed(stableHash(router) ^ hash);
@@ -179,10 +179,10 @@
 boost::asio::awaitable<bool> TargetChooser::requestAdmission(Placement placement, AdmissionRates rates)
 {
     AdmissionAnswer answer;
-    if (m_loadLink != nullptr && m_options.centralAdmission) {
+    if (m_loadClient != nullptr && m_options.centralAdmission) {
         LoadNotice notice =
             rates.limit > 0 ? admissionNotice(placement.incarnation) : loadNotice(placement.incarnation).value_or(LoadNotice{});
-        answer = co_await m_loadLink->askAdmission(std::move(notice), rates);
+        answer = co_await m_loadClient->queryAdmission(std::move(notice), rates);
     }
     // Other routers may still get admissions from the process that does not answer this one, so half of a limit is left to them.
     const bool noAnswer = answer.admission == Admission::NoRelay || (answer.admission == Admission::Unanswered && rates.cold <= 0);
@@ -210,7 +210,7 @@
     }
     // With a single candidate there is nothing to compare.
     if (candidates.size() > 1 && !notices.empty()) {
-        co_await m_loadLink->ask(notices);
+        co_await m_loadClient->queryRelays(notices);
         request.shortlist = candidates;
     }
     std::optional<Placement> placement = m_balancer.choose(request, steadyNow());
--- a/src/gateway/targetchooser.h
+++ b/src/gateway/targetchooser.h
@@ -4,7 +4,7 @@
 #include "gateway/targetbalancer.h"
 #include "operations/metrics.h"
 #include "routing/admissionshares.h"
-#include "routing/loadlink.h"
+#include "routing/loadclient.h"
 
 #include <boost/asio/awaitable.hpp>
 
@@ -18,7 +18,7 @@
 /// Chooses targets for requests. Takes the best candidates from the balancer, queries the relays beside them for the load of other routers,
 /// and requests an admission where the target accepts only few requests.
 ///
-/// The runtime around TargetBalancer, LoadLink and AdmissionShares. Lives on one event loop.
+/// The runtime around TargetBalancer, LoadClient and AdmissionShares. Lives on one event loop.
 class TargetChooser
 {
 public:
@@ -36,7 +36,7 @@
     TargetChooser(TargetBalancer &balancer, Metrics &metrics, Options options);
 
     /// Enables the exchange of target loads. The link must outlive this object.
-    void setLoadLink(LoadLink &link);
+    void setLoadClient(LoadClient &client);
 
     /// Sets the routers that are alive, this one included, by the addresses at which they answer load queries.
     void setRouters(std::span<const std::string> routers)
@@ -87,7 +87,7 @@
     TargetBalancer &m_balancer;
     Metrics &m_metrics;
     Options m_options;
-    LoadLink *m_loadLink = nullptr;
+    LoadClient *m_loadClient = nullptr;
     std::vector<std::string> m_routers;
     AdmissionShares m_shares;
 };
--- /dev/null
+++ b/src/routing/loadclient.cpp
@@ -0,0 +1,261 @@
+#include "routing/loadclient.h"
+
+#include "clock/steadytime.h"
+#include "failure/failure.h"
+#include "link/link.pb.h"
+#include "net/endpoint.h"
+#include "net/pause.h"
+#include "operations/log.h"
+#include "routing/loadmessages.h"
+#include "routing/stablehash.h"
+
+#include <absl/strings/str_cat.h>
+#include <boost/asio/as_tuple.hpp>
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <boost/asio/use_awaitable.hpp>
+
+#include <algorithm>
+#include <array>
+#include <utility>
+
+namespace bamboohold {
+
+namespace {
+
+namespace asio = boost::asio;
+
+constexpr auto s_tuple = asio::as_tuple(asio::use_awaitable);
+/// The newest round trip's share in the mean is one in this many.
+constexpr int s_roundTripWeight = 8;
+/// Relays remembered at most; those of targets that are gone are forgotten together.
+constexpr std::size_t s_maxKnownRelays = 4096;
+/// Beyond this, doubling rests makes no difference any more.
+constexpr std::uint32_t s_maxDoublings = 8;
+
+}
+
+LoadClient::LoadClient(asio::any_io_executor executor, Options options)
+    : m_executor(std::move(executor))
+    , m_options(std::move(options))
+    , m_router(stableHash(m_options.incarnation))
+    , m_socket(m_executor)
+{
+}
+
+void LoadClient::setCallbacks(AnswerCallback onAnswer, TimeoutCallback onTimeout)
+{
+    m_onAnswer = std::move(onAnswer);
+    m_onTimeout = std::move(onTimeout);
+}
+
+absl::Status LoadClient::open()
+{
+    boost::system::error_code error;
+    asio::ip::udp::endpoint own(asio::ip::udp::v4(), 0);
+    if (!m_options.address.empty()) {
+        own.address(asio::ip::make_address(m_options.address, error));
+    }
+    if (!error) {
+        m_socket.open(own.protocol(), error);
+    }
+    if (!error) {
+        m_socket.bind(own, error);
+    }
+    if (!error) {
+        m_socket.non_blocking(true, error);
+    }
+    if (error) {
+        return failed(FailureKind::InvalidSetting, absl::StrCat("loads cannot be asked for: ", error.message()));
+    }
+    asio::co_spawn(m_executor, receive(), asio::detached);
+    return absl::OkStatus();
+}
+
+LoadClient::Relay *LoadClient::relay(const std::string &address)
+{
+    const auto known = m_relays.find(address);
+    if (known != m_relays.end()) {
+        return &known->second;
+    }
+    const auto endpoint = endpointFrom(address);
+    if (!endpoint || !m_socket.is_open()) {
+        return nullptr;
+    }
+    if (m_relays.size() >= s_maxKnownRelays) {
+        m_relays.clear();
+    }
+    return &m_relays.emplace(address, Relay{.endpoint = {endpoint->address(), endpoint->port()}}).first->second;
+}
+
+std::uint64_t LoadClient::send(Relay &relay, const LoadNotice &notice, QueryOptions queryOptions)
+{
+    wire::LoadNote note;
+    note.set_router(m_router);
+    note.set_target(stableHash(notice.incarnation));
+    note.set_sequence(++m_sequence);
+    note.set_outstanding(notice.load.outstanding);
+    note.set_unread(notice.load.unread);
+    note.set_asks(queryOptions.wantsAnswer);
+    note.set_admissions_per_second(queryOptions.rates.cold);
+    note.set_limited_per_second(queryOptions.rates.limit);
+    if (notice.reportedLimit) {
+        note.set_heard_limit(*notice.reportedLimit);
+    }
+    const std::string text = note.SerializeAsString();
+    // What cannot be sent at once is lost like any datagram: the next one has the whole state again.
+    boost::system::error_code sendError;
+    m_socket.send_to(asio::buffer(text), relay.endpoint, 0, sendError);
+    m_sendTimes[m_sequence % s_sendTimesKept] = steadyNow();
+    return m_sequence;
+}
+
+std::optional<Duration> LoadClient::takeShortestRoundTrip()
+{
+    return std::exchange(m_shortestRoundTrip, std::nullopt);
+}
+
+bool LoadClient::hasAnswered(const std::string &relay) const
+{
+    const auto known = m_relays.find(relay);
+    return known != m_relays.end() && known->second.everAnswered;
+}
+
+void LoadClient::notifyRelay(const LoadNotice &notice)
+{
+    Relay *known = notice.relay.empty() ? nullptr : relay(notice.relay);
+    if (known != nullptr && known->everAnswered) {
+        send(*known, notice, {});
+    }
+}
+
+Duration LoadClient::answerTimeout() const
+{
+    return std::clamp(m_options.timeoutRoundTrips * m_roundTrip, m_options.minTimeout, m_options.maxTimeout);
+}
+
+asio::awaitable<void> LoadClient::queryRelays(std::span<const LoadNotice> notices)
+{
+    const Instant startedAt = steadyNow();
+    const auto group = std::make_shared<QueryGroup>(m_executor);
+    std::vector<std::uint64_t> sequences;
+    for (const LoadNotice &notice : notices) {
+        Relay *known = notice.relay.empty() ? nullptr : relay(notice.relay);
+        if (known == nullptr || startedAt < known->backoffUntil) {
+            continue;
+        }
+        sequences.push_back(sendQuery(*known, notice, group, {.wantsAnswer = true}));
+    }
+    if (!sequences.empty()) {
+        co_await awaitAnswers(group, std::move(sequences));
+    }
+}
+
+asio::awaitable<AdmissionAnswer> LoadClient::queryAdmission(LoadNotice notice, AdmissionRates rates)
+{
+    Relay *known = notice.relay.empty() ? nullptr : relay(notice.relay);
+    if (known == nullptr) {
+        co_return AdmissionAnswer{};
+    }
+    const auto group = std::make_shared<QueryGroup>(m_executor);
+    if (steadyNow() >= known->backoffUntil) {
+        std::vector<std::uint64_t> sequences{sendQuery(*known, notice, group, {.wantsAnswer = true, .rates = rates})};
+        co_await awaitAnswers(group, std::move(sequences));
+    }
+    if (group->admitted) {
+        co_return AdmissionAnswer{.admission = *group->admitted ? Admission::Granted : Admission::Denied, .wait = group->wait};
+    }
+    // The table of relays may have been cleared while this waited.
+    known = relay(notice.relay);
+    co_return AdmissionAnswer{.admission = known != nullptr && known->everAnswered ? Admission::Unanswered : Admission::NoRelay};
+}
+
+std::uint64_t
+LoadClient::sendQuery(Relay &relay, const LoadNotice &notice, const std::shared_ptr<QueryGroup> &group, QueryOptions queryOptions)
+{
+    const std::uint64_t sequence = send(relay, notice, queryOptions);
+    m_pendingQueries[sequence] = {.incarnation = notice.incarnation, .relay = notice.relay, .group = group, .sentAt = steadyNow()};
+    ++group->pending;
+    return sequence;
+}
+
+asio::awaitable<void> LoadClient::awaitAnswers(std::shared_ptr<QueryGroup> group, std::vector<std::uint64_t> sequences)
+{
+    group->done.expires_after(answerTimeout());
+    co_await group->done.async_wait(s_tuple);
+    const Instant now = steadyNow();
+    for (const std::uint64_t sequence : sequences) {
+        const auto query = m_pendingQueries.find(sequence);
+        if (query != m_pendingQueries.end()) {
+            handleTimeout(query->second, now);
+            m_pendingQueries.erase(query);
+        }
+    }
+}
+
+void LoadClient::handleTimeout(const PendingQuery &query, Instant now)
+{
+    Relay *known = relay(query.relay);
+    if (known == nullptr) {
+        return;
+    }
+    ++known->consecutiveTimeouts;
+    if (known->everAnswered && m_onTimeout) {
+        m_onTimeout(query.incarnation);
+    }
+    if (!known->everAnswered || known->consecutiveTimeouts >= m_options.timeoutsBeforeBackoff) {
+        const std::uint32_t doublings = std::min(known->consecutiveTimeouts - 1, s_maxDoublings);
+        known->backoffUntil = now + std::min(m_options.maxBackoff, m_options.initialBackoff * (std::int64_t{1} << doublings));
+    }
+}
+
+asio::awaitable<void> LoadClient::receive()
+{
+    std::array<char, s_longestLoadMessage> message{};
+    asio::ip::udp::endpoint from;
+    while (m_socket.is_open()) {
+        auto [error, size] = co_await m_socket.async_receive_from(asio::buffer(message), from, s_tuple);
+        if (error) {
+            co_await pause(s_loadFailurePause);
+            continue;
+        }
+        handleAnswer(std::span<const char>(message).first(size));
+    }
+}
+
+void LoadClient::handleAnswer(std::span<const char> message)
+{
+    wire::LoadAnswer answer;
+    if (!answer.ParseFromArray(message.data(), static_cast<int>(message.size()))) {
+        return;
+    }
+    if (answer.sequence() <= m_sequence && m_sequence - answer.sequence() < s_sendTimesKept) {
+        const Duration roundTrip = steadyNow() - m_sendTimes[answer.sequence() % s_sendTimesKept];
+        m_shortestRoundTrip = std::min(m_shortestRoundTrip.value_or(roundTrip), roundTrip);
+    }
+    const auto found = m_pendingQueries.find(answer.sequence());
+    if (found == m_pendingQueries.end()) {
+        // It came too late, and its target was chosen or not without it.
+        return;
+    }
+    const PendingQuery query = std::move(found->second);
+    m_pendingQueries.erase(found);
+    m_roundTrip += (steadyNow() - query.sentAt - m_roundTrip) / s_roundTripWeight;
+    if (Relay *known = relay(query.relay)) {
+        known->everAnswered = true;
+        known->consecutiveTimeouts = 0;
+    }
+    query.group->admitted = answer.admitted();
+    query.group->wait = std::chrono::milliseconds(answer.wait_ms());
+    TargetLoadReply reply{.remoteLoad = {.outstanding = answer.outstanding(), .unread = answer.unread()}, .askedAt = query.sentAt};
+    if (answer.has_limit()) {
+        reply.limit = answer.limit();
+    }
+    m_onAnswer(query.incarnation, reply);
+    if (--query.group->pending == 0) {
+        query.group->done.cancel();
+    }
+}
+
+}
--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -49,7 +49,7 @@
         BOOST_REQUIRE(loadServer.open().ok());
         BOOST_REQUIRE(loads.open().ok());
         BOOST_REQUIRE(server.open().ok());
-        gateway.chooser().setLoadLink(loads);
+        gateway.chooser().setLoadClient(loads);
         gateway.chooser().setRouters(std::vector{loadAddress(0), loadAddress(1), loadAddress(2)});
         gateway.setPlan(testPlan());
     }
@@ -69,7 +69,7 @@
     TeamLedger ledger;
     Gateway gateway;
     LoadServer loadServer;
-    LoadLink loads;
+    LoadClient loads;
     HttpServer server;
 };
 
