--- a/src/routing/loadclient.cpp
+++ b/src/routing/loadclient.cpp
@@ -212,12 +212,12 @@
 
 asio::awaitable<void> LoadClient::receive()
 {
-    std::array<char, s_longestLoadMessage> message{};
+    std::array<char, s_maxLoadMessageBytes> message{};
     asio::ip::udp::endpoint from;
     while (m_socket.is_open()) {
         auto [error, size] = co_await m_socket.async_receive_from(asio::buffer(message), from, s_tuple);
         if (error) {
-            co_await pause(s_loadFailurePause);
+            co_await pause(s_receiveErrorPause);
             continue;
         }
         handleAnswer(std::span<const char>(message).first(size));
--- a/src/routing/loadserver.cpp
+++ b/src/routing/loadserver.cpp
@@ -56,7 +56,7 @@
     return m_socket.local_endpoint().port();
 }
 
-void LoadServer::reply(const wire::LoadNote &note, wire::LoadAnswer &answer)
+void LoadServer::handleNote(const wire::LoadNote &note, wire::LoadAnswer &answer)
 {
     const Instant now = steadyNow();
     const std::uint64_t target = note.target();
@@ -90,27 +90,27 @@
 
 asio::awaitable<void> LoadServer::serve()
 {
-    std::array<char, s_longestLoadMessage> message{};
+    std::array<char, s_maxLoadMessageBytes> message{};
     asio::ip::udp::endpoint from;
     wire::LoadNote note;
     wire::LoadAnswer answer;
     while (m_socket.is_open()) {
         auto [error, size] = co_await m_socket.async_receive_from(asio::buffer(message), from, s_tuple);
         if (error) {
-            co_await pause(s_loadFailurePause);
+            co_await pause(s_receiveErrorPause);
             continue;
         }
         if (!note.ParseFromArray(message.data(), static_cast<int>(size))) {
             continue;
         }
-        reply(note, answer);
+        handleNote(note, answer);
         if (!note.asks()) {
             continue;
         }
         const std::string text = answer.SerializeAsString();
         // An answer that cannot be sent at once is one that gets lost; the router goes by what it knows.
-        boost::system::error_code lost;
-        m_socket.send_to(asio::buffer(text), from, 0, lost);
+        boost::system::error_code sendError;
+        m_socket.send_to(asio::buffer(text), from, 0, sendError);
     }
 }
 
--- a/src/routing/loadserver.h
+++ b/src/routing/loadserver.h
@@ -38,7 +38,7 @@
 private:
     boost::asio::awaitable<void> serve();
     /// Takes a note, and fills in the answer to it.
-    void reply(const wire::LoadNote &note, wire::LoadAnswer &answer);
+    void handleNote(const wire::LoadNote &note, wire::LoadAnswer &answer);
 
     boost::asio::ip::udp::endpoint m_listen;
     boost::asio::ip::udp::socket m_socket;
