--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -246,10 +246,10 @@
         std::optional<TargetChoice> choice;
         {
             const std::lock_guard lock(m_routingMutex);
-            const TargetWish wish{.model = journey.request.model, .service = journey.request.service, .except = {}};
+            const TargetRequirements wish{.model = journey.request.model, .service = journey.request.service, .excluded = {}};
             choice = m_targets.choose(wish, steadyNow());
             if (choice) {
-                m_targets.sent(choice->target);
+                m_targets.recordSent(choice->target);
             }
         }
         if (choice) {
@@ -352,10 +352,10 @@
 void RequestDriver::closeAttempt(Journey &journey, CourseStep step, const AnswerFrame &frame)
 {
     const std::lock_guard lock(m_routingMutex);
-    m_targets.done(journey.choice.target);
+    m_targets.recordDone(journey.choice.target);
     if (step == CourseStep::TryElsewhere) {
         const auto *refused = std::get_if<AnswerFrame::Refused>(&frame.content);
-        m_targets.refused(journey.choice.target, refused != nullptr && refused->reason == RunRefusal::Leaving, steadyNow());
+        m_targets.recordRefusal(journey.choice.target, refused != nullptr && refused->reason == RunRefusal::Leaving, steadyNow());
     }
 }
 
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -25,9 +25,9 @@
 constexpr Duration s_drainPoll = std::chrono::milliseconds(20);
 constexpr Duration s_returnLimit = std::chrono::seconds(5);
 
-std::vector<TargetPlace> placesOf(const Inventory &inventory, std::string_view ownDomain)
+std::vector<TargetDescriptor> placesOf(const Inventory &inventory, std::string_view ownDomain)
 {
-    std::vector<TargetPlace> places;
+    std::vector<TargetDescriptor> places;
     for (const Target &target : inventory.targets) {
         const Host *host = inventory.findHost(target.host);
         const std::string domain = host == nullptr ? std::string() : host->failureDomain;
@@ -186,14 +186,14 @@
         m_handover.seen(peer, report.incarnation(), steadyNow());
     }
     const std::lock_guard lock(m_routingMutex);
-    m_targets.reported(peer,
-                       {.incarnation = report.incarnation(),
-                        .running = report.running(),
-                        .waiting = report.waiting(),
-                        .slots = report.slots(),
-                        .leaving = report.leaving(),
-                        .engineReachable = report.engine_reachable()},
-                       steadyNow());
+    m_targets.recordReport(peer,
+                           {.incarnation = report.incarnation(),
+                            .running = report.running(),
+                            .waiting = report.waiting(),
+                            .slots = report.slots(),
+                            .leaving = report.leaving(),
+                            .engineReachable = report.engine_reachable()},
+                           steadyNow());
 }
 
 void Router::askPeers(const std::string &budget, Tokens need)
@@ -225,7 +225,7 @@
     const Inventory &inventory = configuration->inventory();
     {
         const std::lock_guard lock(m_routingMutex);
-        m_targets.setPlaces(placesOf(inventory, m_settings.failureDomain));
+        m_targets.setTargets(placesOf(inventory, m_settings.failureDomain));
     }
     {
         const std::lock_guard lock(m_peersMutex);
@@ -438,7 +438,7 @@
     boost::json::array targets;
     const std::lock_guard lock(m_routingMutex);
     for (const TargetTable::Row &row : m_targets.rows(steadyNow())) {
-        targets.emplace_back(boost::json::object{{"target", row.place.name},
+        targets.emplace_back(boost::json::object{{"target", row.descriptor.name},
                                                  {"usable", row.usable},
                                                  {"running", row.report.running},
                                                  {"slots", row.report.slots},
--- a/src/measure/capacity.cpp
+++ b/src/measure/capacity.cpp
@@ -168,14 +168,15 @@
     for (const int targets : {50, 100, 200, 400, 870}) {
         const double before = heapBytes();
         auto table = std::make_unique<TargetTable>(TargetTable::Options{});
-        std::vector<TargetPlace> places;
+        std::vector<TargetDescriptor> places;
         places.reserve(static_cast<std::size_t>(targets));
         for (int index = 0; index < targets; ++index) {
             places.push_back({.name = numbered("target-", index), .model = numbered("model-", index % 21), .slots = 32});
         }
-        table->setPlaces(std::move(places));
+        table->setTargets(std::move(places));
         for (int index = 0; index < targets; ++index) {
-            table->reported(numbered("target-", index), {.incarnation = numbered("target-0123456789abcdef-", index), .slots = 32}, s_now);
+            table->recordReport(
+                numbered("target-", index), {.incarnation = numbered("target-0123456789abcdef-", index), .slots = 32}, s_now);
         }
         bytes.push_back({static_cast<double>(targets), heapBytes() - before});
         choosing.push_back({static_cast<double>(targets), microseconds([&] {
--- a/src/routing/targettable.h
+++ b/src/routing/targettable.h
@@ -25,7 +25,7 @@
 };
 
 /// A target as the register places it.
-struct TargetPlace {
+struct TargetDescriptor {
     std::string name;
     std::string model;
     std::string service;
@@ -35,11 +35,11 @@
 };
 
 /// What a request needs of a target.
-struct TargetWish {
+struct TargetRequirements {
     std::string_view model;
     std::string_view service;
     /// Targets that declined it already.
-    std::span<const std::string> except;
+    std::span<const std::string> excluded;
 };
 
 /// Where to send a request.
@@ -58,41 +58,41 @@
 public:
     struct Options {
         /// A target silent for longer gets no new work.
-        Duration silenceLimit = std::chrono::seconds(2);
+        Duration reportTimeout = std::chrono::seconds(2);
         /// After a refusal a target is left alone for this long.
-        Duration pauseAfterRefusal = std::chrono::milliseconds(50);
+        Duration refusalBackoff = std::chrono::milliseconds(50);
     };
 
     explicit TargetTable(Options options);
 
     /// Takes over the register: new targets join, missing ones go.
-    void setPlaces(std::vector<TargetPlace> places);
+    void setTargets(std::vector<TargetDescriptor> descriptors);
 
     /// The targets of these failure domains, and of no others, get nothing new. Requests under way there go on.
     void setEvacuated(std::set<std::string> domains);
 
     /// A report arrived.
-    void reported(std::string_view target, const TargetReport &report, Instant now);
+    void recordReport(std::string_view target, const TargetReport &report, Instant now);
 
     /// Chooses a target, or none when no usable one is left.
-    std::optional<TargetChoice> choose(const TargetWish &wish, Instant now) const;
+    std::optional<TargetChoice> choose(const TargetRequirements &requirements, Instant now) const;
 
     /// True when the register has a target for the wish, usable or not.
-    bool exists(const TargetWish &wish) const;
+    bool exists(const TargetRequirements &requirements) const;
 
     /// A request went to the target, or is done there.
-    void sent(std::string_view target);
-    void done(std::string_view target);
+    void recordSent(std::string_view target);
+    void recordDone(std::string_view target);
 
     /// The target declined.
-    void refused(std::string_view target, bool leaving, Instant now);
+    void recordRefusal(std::string_view target, bool leaving, Instant now);
 
     /// Incarnation of a target that was heard of within the time given; empty otherwise.
-    std::string liveIncarnation(std::string_view target, Instant now, Duration within) const;
+    std::string liveIncarnation(std::string_view target, Instant now, Duration maxAge) const;
 
     /// One line of the operators' view.
     struct Row {
-        TargetPlace place;
+        TargetDescriptor descriptor;
         TargetReport report;
         std::uint32_t outstanding = 0;
         bool usable = false;
@@ -103,10 +103,10 @@
 
 private:
     struct Entry {
-        TargetPlace place;
+        TargetDescriptor descriptor;
         TargetReport report;
-        std::optional<Instant> heardAt;
-        std::optional<Instant> pausedUntil;
+        std::optional<Instant> reportedAt;
+        std::optional<Instant> backoffUntil;
         std::uint32_t outstanding = 0;
         /// Sent by this router since the last report.
         std::uint32_t sentSinceReport = 0;
--- a/src/tests/targettabletest.cpp
+++ b/src/tests/targettabletest.cpp
@@ -16,9 +16,10 @@
 TargetTable twoTargets()
 {
     TargetTable table({});
-    table.setPlaces({{.name = "a", .model = "m", .slots = 4}, {.name = "b", .model = "m", .slots = 4}, {.name = "s", .service = "filing"}});
+    table.setTargets(
+        {{.name = "a", .model = "m", .slots = 4}, {.name = "b", .model = "m", .slots = 4}, {.name = "s", .service = "filing"}});
     for (const char *name : {"a", "b", "s"}) {
-        table.reported(name, {.incarnation = std::string(name) + "~1", .slots = 4}, at(0));
+        table.recordReport(name, {.incarnation = std::string(name) + "~1", .slots = 4}, at(0));
     }
     return table;
 }
@@ -36,9 +37,9 @@
 {
     TargetTable table({});
     table.setEvacuated({"north"});
-    table.setPlaces({{.name = "a", .model = "m", .failureDomain = "north"}, {.name = "b", .model = "m", .failureDomain = "south"}});
-    table.reported("a", {.incarnation = "a~1"}, at(0));
-    table.reported("b", {.incarnation = "b~1"}, at(0));
+    table.setTargets({{.name = "a", .model = "m", .failureDomain = "north"}, {.name = "b", .model = "m", .failureDomain = "south"}});
+    table.recordReport("a", {.incarnation = "a~1"}, at(0));
+    table.recordReport("b", {.incarnation = "b~1"}, at(0));
     BOOST_TEST(chosen(table, 1) == "b");
     table.setEvacuated({"north", "south"});
     BOOST_TEST(chosen(table, 1) == "none");
@@ -50,38 +51,38 @@
 {
     TargetTable table = twoTargets();
     BOOST_TEST(chosen(table, 1) == "a");
-    table.sent("a");
+    table.recordSent("a");
     BOOST_TEST(chosen(table, 2) == "b");
 }
 
 BOOST_AUTO_TEST_CASE(leavesOutTargetsThatCannotServe)
 {
     struct Case {
-        const char *story;
+        const char *description;
         std::function<void(TargetTable &)> prepare;
     };
     const std::vector<Case> cases{
         {"leaving",
          [](TargetTable &table) {
-             table.reported("a", {.incarnation = "a~1", .slots = 4, .leaving = true}, at(1));
+             table.recordReport("a", {.incarnation = "a~1", .slots = 4, .leaving = true}, at(1));
          }},
         {"engine unreachable",
          [](TargetTable &table) {
-             table.reported("a", {.incarnation = "a~1", .slots = 4, .engineReachable = false}, at(1));
+             table.recordReport("a", {.incarnation = "a~1", .slots = 4, .engineReachable = false}, at(1));
          }},
         {"declined a moment ago",
          [](TargetTable &table) {
-             table.refused("a", false, at(1));
+             table.recordRefusal("a", false, at(1));
          }},
         {"not in the register any more",
          [](TargetTable &table) {
-             table.setPlaces({{.name = "b", .model = "m", .slots = 4}});
+             table.setTargets({{.name = "b", .model = "m", .slots = 4}});
          }},
     };
     for (const Case &one : cases) {
         TargetTable table = twoTargets();
         one.prepare(table);
-        BOOST_TEST_CONTEXT(one.story)
+        BOOST_TEST_CONTEXT(one.description)
         {
             BOOST_TEST(chosen(table, 2) == "b");
         }
@@ -91,7 +92,7 @@
 BOOST_AUTO_TEST_CASE(silenceTakesATargetOut)
 {
     TargetTable table = twoTargets();
-    table.reported("b", {.incarnation = "b~1", .slots = 4}, at(2500));
+    table.recordReport("b", {.incarnation = "b~1", .slots = 4}, at(2500));
     BOOST_TEST(chosen(table, 3000) == "b");
     BOOST_TEST(chosen(table, 9000) == "none");
     BOOST_TEST(table.liveIncarnation("b", at(3000), std::chrono::seconds(5)) == "b~1");
