--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -6,48 +6,51 @@
 
 namespace bamboohold {
 
-/// A router that was admitted sends its request within this time or not at all: one that slept in between would add an old admission to
-/// those of a later second.
+/// An admission is valid for this long after the router asked for it. Without a limit, a router that was suspended in between would use an
+/// old admission on top of those of a later second.
 inline constexpr Duration s_admissionLifetime = std::chrono::milliseconds(300);
 
-/// The span over which admissions are counted: all requests that arrive within any one second were admitted within a second and a lifetime.
+/// The period over which admissions are counted. Every request that arrives within a given second was admitted within that second or at
+/// most one lifetime before it.
 inline constexpr Duration s_admissionSpan = std::chrono::seconds(1) + s_admissionLifetime;
 
-/// Why a target takes few requests from all routers together, in requests a second; 0 where it is not for that reason.
+/// The rates, in requests per second, to which a target restricts all routers together; 0 where a restriction does not apply. `cold` is the
+/// rate while the target warms up, `limit` the one that it set by itself.
 struct AdmissionRates {
     double cold = 0;
     double limit = 0;
 
+    /// True when either rate is set, so that a request needs an admission.
     bool restricted() const
     {
         return cold > 0 || limit > 0;
     }
 
-    /// The lower of the two; 0 where neither is set.
+    /// The lower of the rates that are set; 0 when neither is.
     double lowest() const
     {
         return cold > 0 && limit > 0 ? std::min(cold, limit) : std::max(cold, limit);
     }
 };
 
-/// What was decided about one request.
+/// The decision on one request.
 struct AdmissionDecision {
     bool admitted = false;
-    /// How long until the next one may be admitted; zero where it was, or where that is not known.
+    /// Time until the next request can be admitted; zero when this one was admitted, or when the time is unknown.
     Duration wait{};
 };
 
-/// What became of a router's question whether it may send a request to a target that takes few.
+/// Result of a router's query whether it may send a request to a restricted target.
 enum class Admission {
     Granted,
     Denied,
-    /// The relay beside the target used to answer, and did not.
+    /// The relay beside the target has answered before, but not this time.
     Unanswered,
-    /// No relay has ever answered there.
+    /// No relay has ever answered at that address.
     NoRelay,
 };
 
-/// An answer to such a question, and how long until another one is worth asking; zero where that is not known.
+/// The result of an admission query, and the time to wait before the next one; zero when that is unknown.
 struct AdmissionAnswer {
     Admission admission = Admission::NoRelay;
     Duration wait{};
--- a/src/routing/admissionshares.h
+++ b/src/routing/admissionshares.h
@@ -12,30 +12,34 @@
 
 namespace bamboohold {
 
-/// The routers' own way where nobody answers their questions about a target: as many routers as the target takes requests a second, chosen
-/// alike by all, each send one in a span; where it takes less than one a second, one router does, in so much longer a time.
+/// Divides the request rate of a restricted target among the routers when nobody answers their admission queries.
 ///
-/// What holds: no more than the admissions of a span in any second as long as routers agree on who lives. One that counts fewer routers
-/// than there are may take itself for one of the chosen.
+/// At a target that takes n requests per second, n routers may each send one request per `s_admissionSpan`. All routers choose the same n
+/// by rendezvous hashing, without exchanging messages. If the rate is below one per second, a single router sends, at a proportionally
+/// longer interval.
 ///
-/// Pure.
+/// The number of admissions in any second stays within that of one span as long as the routers agree on which routers are alive. A router
+/// that knows of fewer routers than there are may count itself among the senders by mistake.
+///
+/// Has no I/O and no clock of its own.
 class AdmissionShares
 {
 public:
     explicit AdmissionShares(std::string self);
 
-    /// The routers that live, this one included.
+    /// Replaces the list of routers that are alive, this one included.
     void setRouters(std::span<const std::string> routers);
 
-    /// Whether this router may send one more request to the life of a target.
+    /// Returns whether this router may send one more request to a target, given by its incarnation, and counts it if so.
     bool admit(std::string_view target, double requestsPerSecond, Instant now);
 
 private:
+    /// Number of other routers that precede this one in the order of routers for the target.
     std::size_t rank(std::string_view target) const;
 
     std::string m_self;
     std::vector<std::uint64_t> m_otherRouterHashes;
-    /// When this router may send the next one, by target.
+    /// Earliest time of this router's next request, by target.
     absl::flat_hash_map<std::string, Instant> m_nextAdmission;
 };
 
--- a/src/routing/coldadmissions.cpp
+++ b/src/routing/coldadmissions.cpp
@@ -8,7 +8,7 @@
 
 std::size_t admissionsPerSpan(double requestsPerSecond)
 {
-    // Far more than any target takes in a second.
+    // Above the rate of any target; keeps the conversion to an integer defined.
     constexpr double maxPerSpan = 1e6;
     return static_cast<std::size_t>(std::clamp(requestsPerSecond, 1.0, maxPerSpan));
 }
--- a/src/routing/coldadmissions.h
+++ b/src/routing/coldadmissions.h
@@ -7,28 +7,30 @@
 
 namespace bamboohold {
 
-/// Admissions for one span at a target that takes this many requests a second.
+/// Number of admissions per `s_admissionSpan` at a target that takes this many requests per second: at least one.
 std::size_t admissionsPerSpan(double requestsPerSecond);
 
-/// A cold target takes few requests a second, whichever routers they come from; beyond, it crashes. Admits requests to the one of a host;
-/// kept by the relay beside it, which is one where routers are many.
+/// Admits requests to a cold target: one that has just started, takes only a few requests per second from all routers together and crashes
+/// above that rate. Runs in the relay on the target's host, which is the one process that all routers can ask.
 ///
-/// What holds: the target gets no more than the admissions of a span in any second, whatever gets lost, whoever is cut off or asleep, since
-/// a router without an answer sends nothing. A relay that has started knows nothing of earlier admissions and grants none for a span.
-/// Without the relay a cold target gets nothing.
+/// The target gets at most the admissions of one span in any second, even if messages are lost or routers are disconnected or suspended,
+/// because a router without an answer sends nothing. A relay that has just started does not know about earlier admissions, and so grants
+/// none during its first span. Without its relay a cold target gets no requests.
 ///
-/// Pure: questions and `now` in.
+/// Has no I/O; the caller passes the time.
 class ColdAdmissions
 {
 public:
     explicit ColdAdmissions(Instant startedAt);
 
-    /// Whether one more request may go to the life of a target named by this hash.
+    /// Returns whether one more request may go to the target, and counts it if so. `target` is the hash of the target's incarnation.
     bool admit(std::uint64_t target, double requestsPerSecond, Instant now);
 
 private:
     Instant m_startedAt;
+    /// The incarnation that the admissions below belong to.
     std::uint64_t m_target = 0;
+    /// Admissions of the last span, oldest first.
     std::deque<Instant> m_admissionTimes;
 };
 
--- a/src/routing/limitadmissions.cpp
+++ b/src/routing/limitadmissions.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/// Targets that nobody has asked about for so long are forgotten.
+/// Entries of targets that no router has asked about for this long are dropped.
 constexpr Duration s_entryTimeout = std::chrono::minutes(1);
 
+/// Time between two admissions at the given rate.
 Duration emissionInterval(double requestsPerSecond)
 {
     const double rate = std::max(requestsPerSecond, LimitAdmissions::s_minRequestsPerSecond);
--- a/src/routing/limitadmissions.h
+++ b/src/routing/limitadmissions.h
@@ -11,44 +11,48 @@
 
 namespace bamboohold {
 
-/// Admits requests to targets that limit what they take from all routers together; kept by the one process that all routers ask about a
-/// target: the relay beside it, or one of the routers where no relay runs.
+/// Admits requests to targets that limit the rate of all routers together. Runs in the one process that all routers ask about a target: the
+/// relay beside the target or, where no relay runs, one of the routers.
 ///
-/// What holds: in any span a target gets its rate times the span and `s_burstTolerance`, and one request more, whatever gets lost, whoever
-/// is cut off or asleep, as long as all routers ask the same process. One that has started, or is asked about a target for the first time,
-/// does not know what came before: it admits nothing for a while, the longer the more is under way at the target.
+/// The algorithm is the generic cell rate algorithm (GCRA). In a period of any length a target gets at most its rate times the sum of the
+/// period and `s_burstTolerance`, plus one request, even if messages are lost or routers are disconnected or suspended, as long as all
+/// routers ask the same process. A process that has just started, or is asked about a target for the first time, does not know about
+/// earlier requests. It admits nothing for a while, and waits longer the more requests are in flight at the target.
 ///
-/// Pure: questions and `now` in.
+/// Has no I/O; the caller passes the time.
 class LimitAdmissions
 {
 public:
-    /// Requests that come after a pause are admitted together as if they had come within this time.
+    /// After an idle period, the requests that the rate allows within this time are admitted at once.
     static constexpr Duration s_burstTolerance = std::chrono::milliseconds(500);
-    /// What is under way at a target when it names a limit holds up the first admission for this long at most.
+    /// Requests in flight at a target when it first sets a limit delay the first admission by at most this long, plus `s_burstTolerance`.
     static constexpr Duration s_maxInitialDelay = std::chrono::seconds(4);
-    /// The lowest rate that is kept to: a target that gets nothing could not say that its limit has ended.
+    /// Lower limits are raised to this rate: a target that gets no requests could not report that its limit has ended.
     static constexpr double s_minRequestsPerSecond = 0.2;
 
-    /// A router heard of the target's limit, in requests a second; 0: the target has none any more.
+    /// Records the limit that a target reported to a router, in requests per second; 0 means that the limit has ended.
     void recordLimit(std::uint64_t target, double requestsPerSecond, Instant now);
 
-    /// The target's limit as it was heard of last: 0 where it has ended, none where nobody said anything.
+    /// The limit that was recorded last: 0 when it has ended, empty when none was recorded.
     std::optional<double> limit(std::uint64_t target) const;
 
-    /// Whether one more request may go to the target, at which this much is under way.
+    /// Decides whether one more request may go to the target. `inFlight` is the load that all routers together have there; it counts only
+    /// on the first call for a target.
     AdmissionDecision admit(std::uint64_t target, double requestsPerSecond, const TargetLoad &inFlight, Instant now);
 
 private:
     struct Entry {
         std::optional<double> limit;
-        /// When the requests admitted so far are used up at the target's rate; none before the first question.
+        /// The GCRA's theoretical arrival time: when the requests admitted so far are used up at the target's rate. Empty before the
+        /// first query.
         std::optional<Instant> theoreticalArrival;
         Instant lastAccess{};
     };
 
+    /// The entry of a target, created if needed. Drops entries that have not been accessed for a minute.
     Entry &entry(std::uint64_t target, Instant now);
 
-    /// By the hash of a target's incarnation.
+    /// By hash of the target's incarnation.
     absl::flat_hash_map<std::uint64_t, Entry> m_entries;
 };
 
--- a/src/routing/loadaggregator.cpp
+++ b/src/routing/loadaggregator.cpp
@@ -5,7 +5,7 @@
 TargetLoad LoadAggregator::update(const LoadReport &report, Instant now)
 {
     Entry &entry = m_entries[report.router];
-    // A process that starts again has another name, so that within one name sequences only grow.
+    // A restarted router has a new incarnation, so that sequence numbers never decrease within one entry.
     if (report.sequence >= entry.sequence) {
         entry = {.target = report.target, .sequence = report.sequence, .load = report.load, .receivedAt = now};
     }
--- a/src/routing/loadaggregator.h
+++ b/src/routing/loadaggregator.h
@@ -8,39 +8,39 @@
 
 namespace bamboohold {
 
-/// What is under way at a target.
+/// Load that routers have placed on a target.
 struct TargetLoad {
-    /// Requests sent and not ended.
+    /// Requests sent that have not ended.
     std::uint32_t outstanding = 0;
-    /// Prompt tokens sent and not yet read.
+    /// Prompt tokens sent that the target has not processed yet.
     Tokens unread = 0;
 
     bool operator==(const TargetLoad &) const = default;
 };
 
-/// What one router has at a target. Routers and lives of targets go by the hash of their names.
+/// The load of one router at a target. Routers and targets are identified by the hash of their incarnation.
 struct LoadReport {
     std::uint64_t router = 0;
     std::uint64_t target = 0;
-    /// Grows with each report of a router, so that an older one that arrives late changes nothing.
+    /// Increases with each report of a router, so that an older report that arrives late is ignored.
     std::uint64_t sequence = 0;
     TargetLoad load;
 };
 
-/// What all routers together have at the target of one host; kept by the relay beside it.
+/// Adds up the load that all routers report for the target on one host. Runs in the relay beside the target.
 ///
-/// A router knows its own dispatches only. With a hundred routers that is one in a hundred of what a target has, so that all of them take
-/// the same busy target for idle, and go there together. Reports are whole totals, not changes: a lost datagram is made good by the next
-/// one, and a router that is gone is forgotten with its last.
+/// A router by itself knows only the requests that it has dispatched. With a hundred routers that is one hundredth of a target's load, so
+/// that all of them would take the same busy target for idle and send their requests there. Reports carry totals, not differences: the next
+/// report makes up for a lost datagram, and once a router's last report has expired nothing of it remains.
 ///
-/// Pure: reports and `now` in, totals out.
+/// Has no I/O; the caller passes the time.
 class LoadAggregator
 {
 public:
-    /// A report that was not renewed for so long no longer counts. Routers renew theirs every second while they have anything there.
+    /// A report that is not renewed within this time expires. Routers renew theirs every second while they have load at the target.
     static constexpr Duration s_reportLifetime = std::chrono::milliseconds(2500);
 
-    /// Takes a report, and returns what all other routers have at the same target.
+    /// Stores a report, and returns the total load of all other routers at the same target.
     TargetLoad update(const LoadReport &report, Instant now);
 
 private:
--- a/src/routing/loadclient.cpp
+++ b/src/routing/loadclient.cpp
@@ -27,11 +27,11 @@
 namespace asio = boost::asio;
 
 constexpr auto s_tuple = asio::as_tuple(asio::use_awaitable);
-/// The newest round trip's share in the mean is one in this many.
+/// Divisor of the moving average: the newest round trip has a weight of one in this many.
 constexpr int s_roundTripWeight = 8;
-/// Relays remembered at most; those of targets that are gone are forgotten together.
+/// When this many relays are known, all are dropped, and with them those of targets that no longer exist.
 constexpr std::size_t s_maxKnownRelays = 4096;
-/// Beyond this, doubling rests makes no difference any more.
+/// Keeps the backoff from overflowing; `Options::maxBackoff` is reached before.
 constexpr std::uint32_t s_maxDoublings = 8;
 
 }
@@ -67,7 +67,7 @@
         m_socket.non_blocking(true, error);
     }
     if (error) {
-        return failed(FailureKind::InvalidSetting, absl::StrCat("loads cannot be asked for: ", error.message()));
+        return failed(FailureKind::InvalidSetting, absl::StrCat("cannot open the UDP socket for load queries: ", error.message()));
     }
     asio::co_spawn(m_executor, receive(), asio::detached);
     return absl::OkStatus();
@@ -104,7 +104,7 @@
         note.set_heard_limit(*notice.reportedLimit);
     }
     const std::string text = note.SerializeAsString();
-    // What cannot be sent at once is lost like any datagram: the next one has the whole state again.
+    // A message that cannot be sent at once is dropped like a lost datagram: the next one carries the whole state again.
     boost::system::error_code sendError;
     m_socket.send_to(asio::buffer(text), relay.endpoint, 0, sendError);
     m_sendTimes[m_sequence % s_sendTimesKept] = steadyNow();
@@ -166,7 +166,7 @@
     if (group->admitted) {
         co_return AdmissionAnswer{.admission = *group->admitted ? Admission::Granted : Admission::Denied, .wait = group->wait};
     }
-    // The table of relays may have been cleared while this waited.
+    // The map of relays may have been cleared during the wait.
     known = relay(notice.relay);
     co_return AdmissionAnswer{.admission = known != nullptr && known->everAnswered ? Admission::Unanswered : Admission::NoRelay};
 }
@@ -236,7 +236,7 @@
     }
     const auto found = m_pendingQueries.find(answer.sequence());
     if (found == m_pendingQueries.end()) {
-        // It came too late, and its target was chosen or not without it.
+        // The query has timed out: the target was chosen without this answer.
         return;
     }
     const PendingQuery query = std::move(found->second);
--- a/src/routing/loadclient.h
+++ b/src/routing/loadclient.h
@@ -22,79 +22,85 @@
 
 namespace bamboohold {
 
-/// What this router has at a target, and the relay beside it that is told.
+/// The load of this router at a target, and the relay that it is reported to.
 struct LoadNotice {
-    /// The target's life.
+    /// The target's incarnation.
     std::string incarnation;
-    /// ADDRESS:PORT; empty where no relay runs.
+    /// ADDRESS:PORT of the relay; empty when none runs beside the target.
     std::string relay;
     TargetLoad load;
-    /// What the target's newest answer to this router said of its limit, in requests a second; 0: it has none any more. Told once.
+    /// The limit that the target reported in its newest answer to this router, in requests per second; 0 when it has ended. Sent once per
+    /// reported limit.
     std::optional<double> reportedLimit = std::nullopt;
 };
 
-/// What a relay said of a target.
+/// A relay's answer to a query about a target.
 struct TargetLoadReply {
+    /// Load of all other routers at the target.
     TargetLoad remoteLoad;
-    /// The target's limit as the routers heard it last, in requests a second: 0 where it has ended, none where nobody said anything.
+    /// The limit that any router reported last, in requests per second: 0 when it has ended, empty when none was reported.
     std::optional<double> limit;
-    /// When the question was sent that this answers.
+    /// When the query was sent.
     Instant askedAt{};
 };
 
-/// Tells the relays beside targets what this router has there, and asks them what all others have. Lives on one event loop.
+/// Reports this router's load to the relays beside targets, and queries the load of all other routers there. Not thread-safe: use it on one
+/// event loop only.
 ///
-/// Every wait is a caller's: a question is given up after a few round trips, and a relay that did not answer several times is asked no more
-/// for a while. Beside plain services no relay runs at all.
+/// Queries delay the caller's request, so each one times out after a few round trips, and a relay with several consecutive timeouts is not
+/// queried again until its backoff has passed. Plain services have no relay beside them.
 class LoadClient
 {
 public:
     struct Options {
-        /// This process.
+        /// Incarnation of this process.
         std::string incarnation;
-        /// The address that answers come to; any address where none is given.
+        /// The local address to bind; any address when empty.
         std::string address;
-        /// Round trips that a question waits for, and its bounds. A round trip within a region takes 0.4 to 3 ms; a router with a tenth of
-        /// a core takes about as long itself.
+        /// A query times out after this many average round trips, but not outside the bounds below. A round trip within a region takes
+        /// 0.4 to 3 ms, and a router with a tenth of a core takes about as long again to process it.
         int timeoutRoundTrips = 4;
         Duration minTimeout = std::chrono::milliseconds(3);
         Duration maxTimeout = std::chrono::milliseconds(15);
-        /// Datagrams get lost; this many silences in a row are a relay that is not there. It then rests, twice as long each time.
+        /// Single datagrams get lost, so a relay counts as absent only after this many consecutive timeouts. It is then not queried for
+        /// the backoff time, which doubles with each further timeout.
         std::uint32_t timeoutsBeforeBackoff = 2;
         Duration initialBackoff = std::chrono::seconds(1);
         Duration maxBackoff = std::chrono::seconds(30);
     };
 
-    /// Told what others have at a target, and of targets whose relay is known and said nothing.
+    /// Called with each answer to a query.
     using AnswerCallback = std::function<void(const std::string &incarnation, const TargetLoadReply &reply)>;
+    /// Called when a query times out at a relay that has answered before.
     using TimeoutCallback = std::function<void(const std::string &incarnation)>;
 
     LoadClient(boost::asio::any_io_executor executor, Options options);
 
+    /// Sets the callbacks. Required before the first query; the timeout callback may be empty.
     void setCallbacks(AnswerCallback onAnswer, TimeoutCallback onTimeout);
 
-    /// Opens the socket; an address that is not this host's is an InvalidSetting.
+    /// Opens the socket and starts to receive. InvalidSetting when the address is malformed or does not belong to this host.
     absl::Status open();
 
-    /// Asks about all of these at once, and returns when they have answered or the time for it is up.
+    /// Reports all of these loads and queries their relays in parallel. Returns when all have answered or the queries have timed out.
     boost::asio::awaitable<void> queryRelays(std::span<const LoadNotice> notices);
 
-    /// Asks whether one request may be sent to the target, which takes this many a second from all routers. The admission is used within
-    /// `s_admissionLifetime` of this call, or not at all.
+    /// Asks the relay whether one request may be sent to a target that restricts all routers together to `rates`. An admission is valid for
+    /// `s_admissionLifetime` from this call.
     boost::asio::awaitable<AdmissionAnswer> queryAdmission(LoadNotice notice, AdmissionRates rates);
 
-    /// The shortest round trip among the answers since the last call, late ones included; none when none came. Long ones tell that this
-    /// host's link is full, or its processor: a relay that is slow by itself is one of many.
+    /// Returns the shortest round trip among the answers since the last call, late answers included; empty when there were none. If even
+    /// the shortest is long, this host's network link or processor is saturated: a single slow relay does not raise the minimum.
     std::optional<Duration> takeShortestRoundTrip();
 
-    /// True when the relay at that address has ever answered.
+    /// True when the relay at this address has answered a query before.
     bool hasAnswered(const std::string &relay) const;
 
-    /// Tells one relay, and wants no answer.
+    /// Reports a load without waiting for an answer. Does nothing unless the relay has answered a query before.
     void notifyRelay(const LoadNotice &notice);
 
 private:
-    /// Questions asked together.
+    /// Queries that one coroutine waits for together.
     struct QueryGroup {
         explicit QueryGroup(const boost::asio::any_io_executor &executor)
             : done(executor)
@@ -103,7 +109,7 @@
 
         boost::asio::steady_timer done;
         std::size_t pending = 0;
-        /// The last answer's word on a target that takes few requests.
+        /// The admission decision in the last answer.
         std::optional<bool> admitted;
         Duration wait{};
     };
@@ -115,7 +121,7 @@
         Instant sentAt{};
     };
 
-    /// A relay by address.
+    /// What is known about the relay at an address.
     struct Relay {
         boost::asio::ip::udp::endpoint endpoint;
         bool everAnswered = false;
@@ -123,15 +129,19 @@
         Instant backoffUntil{};
     };
 
+    /// Finds or adds the relay at an address; null when the address is malformed or the socket is not open.
     Relay *relay(const std::string &address);
-    /// What is wanted of a relay besides taking the notice.
+    /// What a relay should do besides storing the load.
     struct QueryOptions {
         bool wantsAnswer = false;
         AdmissionRates rates{};
     };
 
+    /// Sends a note, and returns its sequence number.
     std::uint64_t send(Relay &relay, const LoadNotice &notice, QueryOptions queryOptions);
+    /// Sends a note that expects an answer, and adds it to the group.
     std::uint64_t sendQuery(Relay &relay, const LoadNotice &notice, const std::shared_ptr<QueryGroup> &group, QueryOptions queryOptions);
+    /// Waits for the group's answers up to the timeout, then closes the queries that are still open.
     boost::asio::awaitable<void> awaitAnswers(std::shared_ptr<QueryGroup> group, std::vector<std::uint64_t> sequences);
     boost::asio::awaitable<void> receive();
     void handleAnswer(std::span<const char> message);
@@ -145,12 +155,14 @@
     AnswerCallback m_onAnswer;
     TimeoutCallback m_onTimeout;
     std::uint64_t m_sequence = 0;
-    /// By sequence.
+    /// By sequence number.
     absl::flat_hash_map<std::uint64_t, PendingQuery> m_pendingQueries;
     absl::flat_hash_map<std::string, Relay> m_relays;
+    /// Moving average.
     Duration m_roundTrip = std::chrono::milliseconds(1);
     std::optional<Duration> m_shortestRoundTrip;
-    /// When the newest messages were sent, by sequence: answers that come after their question was given up still tell how long they took.
+    /// Send times of the newest messages, by sequence number modulo the array's size. With them, answers to queries that have timed out
+    /// still count as round trips.
     static constexpr std::size_t s_sendTimesKept = 1024;
     std::array<Instant, s_sendTimesKept> m_sendTimes{};
 };
--- a/src/routing/loadmessages.h
+++ b/src/routing/loadmessages.h
@@ -6,10 +6,10 @@
 
 namespace bamboohold {
 
-/// More bytes than any datagram between routers and relays has.
+/// Size of the receive buffers: larger than any load datagram between routers and relays.
 inline constexpr std::size_t s_maxLoadMessageBytes = 256;
 
-/// After a failed receive: most likely a datagram to a process that is gone came back as unreachable.
+/// Pause after a failed receive. The usual cause is an ICMP "port unreachable" for a datagram that was sent to a process that has exited.
 inline constexpr Duration s_receiveErrorPause = std::chrono::milliseconds(5);
 
 }
--- a/src/routing/loadserver.cpp
+++ b/src/routing/loadserver.cpp
@@ -45,7 +45,7 @@
         m_socket.non_blocking(true, error);
     }
     if (error) {
-        return failed(FailureKind::InvalidSetting, absl::StrCat("loads cannot be listened for: ", error.message()));
+        return failed(FailureKind::InvalidSetting, absl::StrCat("cannot bind the UDP socket for load queries: ", error.message()));
     }
     asio::co_spawn(m_socket.get_executor(), serve(), asio::detached);
     return absl::OkStatus();
@@ -108,7 +108,7 @@
             continue;
         }
         const std::string text = answer.SerializeAsString();
-        // An answer that cannot be sent at once is one that gets lost; the router goes by what it knows.
+        // An answer that cannot be sent at once is dropped like a lost datagram; the router then decides by what it already knows.
         boost::system::error_code sendError;
         m_socket.send_to(asio::buffer(text), from, 0, sendError);
     }
--- a/src/routing/loadserver.h
+++ b/src/routing/loadserver.h
@@ -18,26 +18,29 @@
 class LoadNote;
 }
 
-/// Answers routers' questions about the load of the target on this host, and whether they may send it a request while it is cold or limits
-/// what it takes. Runs in the relay beside a target; the routers answer each other's questions about targets that have none. Datagrams: an
-/// answer that comes late is worth nothing, and 180 connections a router would take more memory than all else that it keeps of targets.
+/// Answers queries of routers about the load of the target on this host, and whether they may send it a request while it is cold or limits
+/// its rate. Runs in the relay beside a target. Routers also run it, to answer each other's queries about targets without a relay.
 ///
-/// Whoever reaches the port can report loads, as whoever reaches the relay's can use it. False ones cost time only: they choose among
-/// targets, and a target admits or declines by itself.
+/// Uses UDP: a late answer is useless, and the 180 connections that each router would need take more memory than everything else that it
+/// keeps about targets.
+///
+/// Reports are not authenticated: anyone who can reach the port can report a load, just as anyone who can reach the relay's port can use
+/// the relay. False reports cost only time. They influence the choice among targets, and each target still accepts or declines a request
+/// by itself.
 class LoadServer
 {
 public:
     LoadServer(boost::asio::any_io_executor executor, boost::asio::ip::udp::endpoint listen);
 
-    /// Listens; a taken address is an InvalidSetting.
+    /// Binds the socket and starts to serve. InvalidSetting when the socket cannot be opened or the address is in use.
     absl::Status open();
 
-    /// The port it listens on.
+    /// The UDP port that it is bound to.
     std::uint16_t port() const;
 
 private:
     boost::asio::awaitable<void> serve();
-    /// Takes a note, and fills in the answer to it.
+    /// Applies a router's note, and fills in the answer.
     void handleNote(const wire::LoadNote &note, wire::LoadAnswer &answer);
 
     boost::asio::ip::udp::endpoint m_listen;
--- a/src/routing/stablehash.h
+++ b/src/routing/stablehash.h
@@ -5,7 +5,7 @@
 
 namespace bamboohold {
 
-/// A mixing function with the same result in every process, so that routers agree without speaking: splitmix64's finalizer.
+/// The finalizer of splitmix64. Its result is the same in every process, so that routers agree without exchanging messages.
 constexpr std::uint64_t mixed(std::uint64_t value)
 {
     value ^= value >> 30;
@@ -15,7 +15,7 @@
     return value ^ (value >> 31);
 }
 
-/// FNV-1a: the same in every process, unlike the library's seeded hashes.
+/// FNV-1a hash. Its result is the same in every process, unlike that of Abseil's hashes, which are seeded per process.
 constexpr std::uint64_t stableHash(std::string_view text)
 {
     std::uint64_t hash = 0xcbf29ce484222325ULL;
--- a/src/routing/targettable.cpp
+++ b/src/routing/targettable.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// What a whole slot's worth of load weighs against a second of link latency.
+/// One second of link latency costs as much as this much load per slot.
 constexpr double s_loadPerLatencySecond = 10;
 
 bool matches(const TargetDescriptor &descriptor, const TargetRequirements &requirements)
--- a/src/tests/admissionsharestest.cpp
+++ b/src/tests/admissionsharestest.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::string_view s_target = "target@1";
 
-/// What a cold target takes in any second by the users' rule.
+/// The most requests that a cold target accepts in any second, by the specification: 1.5 times its rate plus 5.
 std::size_t maxPerSecond(double requestsPerSecond)
 {
     return static_cast<std::size_t>(requestsPerSecond * 1.5 + 5);
@@ -28,8 +28,8 @@
 
 BOOST_AUTO_TEST_SUITE(AdmissionSharesTest)
 
-// Guards against a burst that crashes a cold target where no relay runs: routers that agree on who lives stay within the bound, whatever
-// their number.
+// Guards against a burst that crashes a cold target without a relay: any number of routers that agree on which routers are alive stay
+// within the target's rate.
 BOOST_AUTO_TEST_CASE(sharesBoundEverySecond)
 {
     const bool passed = rc::check("no second has more than the target takes", [] {
--- a/src/tests/coldadmissionstest.cpp
+++ b/src/tests/coldadmissionstest.cpp
@@ -17,7 +17,7 @@
 
 constexpr Millis s_second = 1000;
 
-/// What a cold target takes in any second by the users' rule.
+/// The most requests that a cold target accepts in any second, by the specification: 1.5 times its rate plus 5.
 std::size_t maxPerSecond(double requestsPerSecond)
 {
     return static_cast<std::size_t>(requestsPerSecond * 1.5 + 5);
@@ -27,8 +27,8 @@
 
 BOOST_AUTO_TEST_SUITE(ColdAdmissionsTest)
 
-// Guards against a burst that crashes a cold target: routers ask as often as they can, answers get lost or come late, routers sleep with an
-// admission in hand, and the relay starts again, all at any moment.
+// Guards against a burst that crashes a cold target. Routers query as often as they can, answers are lost or late, routers are suspended
+// while they hold an admission, and the relay restarts, all at random times.
 BOOST_AUTO_TEST_CASE(relayBoundsEverySecond)
 {
     const bool passed = rc::check("no second has more than the target takes", [] {
@@ -46,7 +46,7 @@
                 if (random() % 20 != 0) {
                     continue;
                 }
-                // The question was sent earlier, the answer takes a while, and the router may sleep before it uses it.
+                // The query was sent earlier, the answer takes a while, and the router may be suspended before it uses the admission.
                 const Millis askedAt = now - static_cast<Millis>(random() % 10);
                 const bool granted = relay->admit(1, rate, at(now));
                 const Millis usedAt = now + static_cast<Millis>(random() % 10 == 0 ? random() % 3000 : random() % 20);
@@ -61,7 +61,7 @@
     BOOST_TEST(passed);
 }
 
-// Guards against a target that stays idle when it could warm up: a relay uses the whole rate.
+// Guards against a target that warms up more slowly than it could: the relay must admit the full rate.
 BOOST_AUTO_TEST_CASE(relayAdmitsTheRate)
 {
     ColdAdmissions relay(at(-10'000));
@@ -72,7 +72,7 @@
     BOOST_TEST(admitted == 100);
 }
 
-// Guards against admissions of an earlier life that count against the one that is there now.
+// Guards against admissions to an earlier incarnation that count against the present one.
 BOOST_AUTO_TEST_CASE(restartedTargetHasItsOwnAdmissions)
 {
     ColdAdmissions relay(at(-10'000));
--- a/src/tests/limitadmissionstest.cpp
+++ b/src/tests/limitadmissionstest.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-// Both ends count.
+// Four seconds. A span includes both of its ends.
 constexpr Millis s_span = 4000;
 
-/// What a target takes in four seconds by the users' rule.
+/// The most requests that a target with a limit accepts in any four seconds, by the specification: 1.5 times its rate plus 5.
 double maxPerSpan(double requestsPerSecond)
 {
     return requestsPerSecond * 1.5 * 4 + 5;
@@ -30,8 +30,8 @@
 
 BOOST_AUTO_TEST_SUITE(LimitAdmissionsTest)
 
-// Guards against a target that gets more than it takes from all routers together: answers get lost or come late, routers sleep with an
-// admission in hand, the limit changes, and who admits starts again, all at any moment.
+// Guards against a target that gets more requests than its limit from all routers together. Answers are lost or late, routers are suspended
+// while they hold an admission, and the admitting process restarts, all at random times.
 BOOST_AUTO_TEST_CASE(everySpanIsBounded)
 {
     const bool passed = rc::check("no four seconds have more than the target takes", [] {
@@ -61,7 +61,8 @@
     BOOST_TEST(passed);
 }
 
-// Guards against the same where nobody answers some of the routers: their shares and the admissions of the others stay within the bound.
+// Guards against the same when some routers get no answer and go by their shares: shares and admissions together must stay within the
+// limit.
 BOOST_AUTO_TEST_CASE(sharesAndAdmissionsTogetherAreBounded)
 {
     const bool passed = rc::check("no four seconds have more than the target takes", [] {
@@ -91,7 +92,7 @@
     BOOST_TEST(passed);
 }
 
-// Guards against a target that stays idle although it takes requests: its rate is used, and the wait that is told is true.
+// Guards against a target that is idle below its limit: the full rate is admitted, and a request is admitted after the returned wait.
 BOOST_AUTO_TEST_CASE(admitsTheFullRate)
 {
     LimitAdmissions admissions;
@@ -109,7 +110,7 @@
     BOOST_TEST(admitted <= 53);
 }
 
-// Guards against a target that gets its rate on top of what all routers had sent when it named its limit.
+// Guards against a target that gets its full rate on top of the requests that were in flight when it first set a limit.
 BOOST_AUTO_TEST_CASE(requestsInFlightDelayTheFirstAdmission)
 {
     LimitAdmissions admissions;
--- a/src/tests/loadbooktest.cpp
+++ b/src/tests/loadbooktest.cpp
@@ -39,7 +39,7 @@
     BOOST_TEST((fixture.update(report(1, 2, {})) == TargetLoad{.outstanding = 8, .unread = 7100}));
 }
 
-// Datagrams overtake each other. An older total that arrives late would bring back requests that have ended.
+// Guards against an older report that is delivered late, as datagrams can be: its total would count requests again that have ended.
 BOOST_AUTO_TEST_CASE(olderReportChangesNothing)
 {
     AggregatorFixture fixture;
@@ -48,7 +48,7 @@
     BOOST_TEST((fixture.update(report(2, 1, {})) == TargetLoad{}));
 }
 
-// A router loses power with requests under way, and never says that they have ended. Its load would stand against the target for good.
+// Guards against load that stays forever: a router that loses power with requests in flight never reports their end.
 BOOST_AUTO_TEST_CASE(silentRouterExpires)
 {
     AggregatorFixture fixture;
@@ -57,7 +57,7 @@
     BOOST_TEST((fixture.update(report(2, 1, {})) == TargetLoad{}));
 }
 
-// The target's process has started again on the same host. What routers had at its former life is not under way at this one.
+// Guards against load of an earlier incarnation that counts against a target whose process was restarted on the same host.
 BOOST_AUTO_TEST_CASE(earlierIncarnationDoesNotCount)
 {
     AggregatorFixture fixture;
--- a/src/tests/loadlinktest.cpp
+++ b/src/tests/loadlinktest.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Relays and routers of one loop, on loopback.
+/// One relay and two routers on the loopback interface, all on one event loop.
 struct LoopbackFixture {
     LoopbackFixture()
         : server(loop.get_executor(), {asio::ip::make_address("127.0.0.1"), 0})
@@ -44,7 +44,7 @@
         return {.incarnation = "target", .relay = absl::StrCat("127.0.0.1:", server.port()), .load = load};
     }
 
-    /// Asks, and returns once there is an answer or the time for it is up.
+    /// Queries the relay, and returns when it has answered or the query has timed out.
     void query(LoadClient &client, LoadNotice notice)
     {
         asio::co_spawn(
@@ -75,7 +75,7 @@
         return answer.admission;
     }
 
-    /// Answers come within microseconds here; this only bounds a test that fails.
+    /// Answers arrive within microseconds; the timeout only bounds a test that fails.
     static constexpr Duration s_timeout = std::chrono::milliseconds(200);
 
     asio::io_context loop;
@@ -103,7 +103,7 @@
     BOOST_TEST((fixture.remoteLoads["target"] == TargetLoad{.outstanding = 1}));
 }
 
-// A plain service has no relay beside it. The first request finds that out, and the next ones do not wait for it again.
+// Guards against a wait on every request to a plain service, which has no relay beside it: only the first query may time out.
 BOOST_AUTO_TEST_CASE(absentRelayIsNotWaitedForAgain)
 {
     LoopbackFixture fixture;
@@ -111,15 +111,15 @@
     unanswered.relay = "127.0.0.1:9";
     fixture.query(fixture.one, unanswered);
     BOOST_TEST(fixture.remoteLoads.empty());
-    // No relay is known to be there, so that its silence says nothing of the target.
+    // The relay has never answered, so the timeout tells nothing about the target.
     BOOST_TEST(fixture.timedOut.empty());
     const Instant startedAt = steadyNow();
     fixture.query(fixture.one, unanswered);
     BOOST_TEST((steadyNow() - startedAt < LoopbackFixture::s_timeout));
 }
 
-// Guards against a cold target that gets requests on the word of a relay that has just started and does not know what it granted before, or
-// of none at all.
+// Guards against requests to a cold target without a valid admission: from a relay that has just started and does not know what it granted
+// before, or without an answer from any relay.
 BOOST_AUTO_TEST_CASE(onlyAnAnswerAdmits)
 {
     LoopbackFixture fixture;
@@ -131,7 +131,7 @@
     BOOST_TEST((fixture.queryAdmission(fixture.one, unanswered, {.cold = 10}) == Admission::NoRelay));
 }
 
-// Guards against a limit that only the routers know which the target has answered, and against one that outlives its end at the others.
+// Guards against a limit, or its end, that stays unknown to all routers but the one to which the target reported it.
 BOOST_AUTO_TEST_CASE(routersHearOfLimits)
 {
     LoopbackFixture fixture;
--- a/src/tests/targettabletest.cpp
+++ b/src/tests/targettabletest.cpp
@@ -32,7 +32,7 @@
 
 }
 
-// Guards against requests to a failure domain that its operators are emptying, and against one that stays empty.
+// Guards against requests to a failure domain that is being evacuated, and against a domain that gets none after the evacuation has ended.
 BOOST_AUTO_TEST_CASE(evacuatedDomainGetsNothing)
 {
     TargetTable table({});
@@ -70,11 +70,11 @@
          [](TargetTable &table) {
              table.recordReport("a", {.incarnation = "a~1", .slots = 4, .engineReachable = false}, at(1));
          }},
-        {"declined a moment ago",
+        {"declined a request within the backoff time",
          [](TargetTable &table) {
              table.recordRefusal("a", false, at(1));
          }},
-        {"not in the register any more",
+        {"no longer in the inventory",
          [](TargetTable &table) {
              table.setTargets({{.name = "b", .model = "m", .slots = 4}});
          }},
