--- a/src/budget/sponsorship.cpp
+++ b/src/budget/sponsorship.cpp
@@ -181,20 +181,21 @@
     m_budgets.settle(std::move(charge), message.not_run() ? 0 : end.charged);
 }
 
-void Sponsorship::reportEnd(std::string_view payer, std::string_view requestId, const RequestCourse &course)
+void Sponsorship::reportEnd(std::string_view payer, std::string_view requestId, const RequestStateMachine &stateMachine)
 {
     // Without a charge from the sidecar, this router knows nothing that the payer does not hear from the sidecar itself.
-    const bool notRun = course.outcome() == Outcome::NotRun;
-    if (!notRun && !course.charged()) {
+    const bool notRun = stateMachine.outcome() == Outcome::NotRun;
+    if (!notRun && !stateMachine.charged()) {
         return;
     }
     wire::Envelope envelope;
     wire::SponsoredEnd &message = *envelope.mutable_sponsored_end();
     message.set_request_id(requestId.data(), requestId.size());
-    message.set_target(course.target());
-    message.set_attempt(course.attempt());
+    message.set_target(stateMachine.target());
+    message.set_attempt(stateMachine.attempt());
     message.set_not_run(notRun);
-    const AnswerFrame::End end{.end = runEndForOutcome(course.outcome()), .usage = course.usage(), .charged = course.charged().value_or(0)};
+    const AnswerFrame::End end{
+        .end = runEndForOutcome(stateMachine.outcome()), .usage = stateMachine.usage(), .charged = stateMachine.charged().value_or(0)};
     *message.mutable_end() = toWire(requestId, {.content = end}).end();
     m_link->send(payer, envelope);
 }
--- a/src/budget/sponsorship.h
+++ b/src/budget/sponsorship.h
@@ -2,7 +2,7 @@
 
 #include "budget/budgetservice.h"
 #include "link/linkhub.h"
-#include "request/requestcourse.h"
+#include "request/requeststatemachine.h"
 
 #include <functional>
 #include <map>
@@ -62,7 +62,7 @@
     asio::awaitable<std::optional<Sponsor>> findSponsor(UnfundedRequest unfunded);
 
     /// Reports to the payer how the request ended. Sends nothing if the request ran and its charge is not known here.
-    void reportEnd(std::string_view payer, std::string_view requestId, const RequestCourse &course);
+    void reportEnd(std::string_view payer, std::string_view requestId, const RequestStateMachine &stateMachine);
 
     /// Handle messages from the link. Answers that come too late and ends of unknown requests are ignored.
     void onRequest(std::string_view peer, const wire::SponsorRequest &request);
--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -30,7 +30,7 @@
 struct RequestDriver::Journey {
     HttpExchange &exchange;
     RoutedRequest request;
-    RequestCourse course;
+    RequestStateMachine course;
     std::shared_ptr<AnswerMailbox> mailbox;
     TargetChoice choice;
     Instant begin;
@@ -92,7 +92,7 @@
 {
     Journey journey{.exchange = exchange,
                     .request = std::move(request),
-                    .course = RequestCourse({.maxAttempts = m_options.maxAttempts}),
+                    .course = RequestStateMachine({.maxAttempts = m_options.maxAttempts}),
                     .mailbox = std::make_shared<AnswerMailbox>(exchange.executor()),
                     .begin = steadyNow()};
     exchange.onHangUp([mailbox = journey.mailbox] {
@@ -174,7 +174,7 @@
         failure.detail =
             absl::StrCat("request ", standing.requestId, " with this idempotency key ended as ", standing.outcome, "; it is not run again");
     }
-    journey.course.onStanding(std::move(failure));
+    journey.course.onExistingClaim(std::move(failure));
     if (!journey.callerDone) {
         co_await answerFailure(journey, journey.course.failure());
     }
@@ -229,8 +229,8 @@
 
 asio::awaitable<void> RequestDriver::travel(Journey &journey)
 {
-    CourseStep step = CourseStep::TryElsewhere;
-    while (step == CourseStep::TryElsewhere) {
+    RequestAction step = RequestAction::RetryElsewhere;
+    while (step == RequestAction::RetryElsewhere) {
         const bool sent = co_await openAttempt(journey);
         if (!sent) {
             co_return;
@@ -327,14 +327,14 @@
     journey.cancelSentAt = steadyNow();
     sendCancel(journey);
     if (!hungUp) {
-        const Executed ran = journey.course.begun() ? Executed::Yes : Executed::Unknown;
+        const Executed ran = journey.course.hasDelivered() ? Executed::Yes : Executed::Unknown;
         Failure failure{.kind = FailureKind::DeadlineExceeded, .detail = "the deadline passed", .executed = ran};
         co_await answerFailure(journey, std::move(failure));
     }
     journey.callerDone = true;
 }
 
-CourseStep RequestDriver::onSilence(Journey &journey)
+RequestAction RequestDriver::onSilence(Journey &journey)
 {
     // A frame lost on a broken connection is not sent again by itself; without this bound its request would wait for ever and keep a drain
     // from ending.
@@ -346,43 +346,43 @@
         const std::lock_guard lock(m_routingMutex);
         heard = m_targets.liveIncarnation(journey.choice.target, steadyNow(), m_options.targetSilence);
     }
-    return heard == journey.choice.incarnation ? CourseStep::Ignore : journey.course.onLost(FailureKind::TargetLost);
+    return heard == journey.choice.incarnation ? RequestAction::Ignore : journey.course.onLost(FailureKind::TargetLost);
 }
 
-void RequestDriver::closeAttempt(Journey &journey, CourseStep step, const AnswerFrame &frame)
+void RequestDriver::closeAttempt(Journey &journey, RequestAction step, const AnswerFrame &frame)
 {
     const std::lock_guard lock(m_routingMutex);
     m_targets.recordDone(journey.choice.target);
-    if (step == CourseStep::TryElsewhere) {
+    if (step == RequestAction::RetryElsewhere) {
         const auto *refused = std::get_if<AnswerFrame::Refused>(&frame.content);
         m_targets.recordRefusal(journey.choice.target, refused != nullptr && refused->reason == RunRefusal::Leaving, steadyNow());
     }
 }
 
-asio::awaitable<CourseStep> RequestDriver::takeFrames(Journey &journey)
+asio::awaitable<RequestAction> RequestDriver::takeFrames(Journey &journey)
 {
     while (true) {
         auto frame = co_await journey.mailbox->next(s_silenceCheck);
         co_await giveUpIfDue(journey);
-        const CourseStep step = frame ? journey.course.onFrame(*frame) : onSilence(journey);
+        const RequestAction step = frame ? journey.course.onFrame(*frame) : onSilence(journey);
         if (!frame) {
             co_await pause(s_queuePoll);
             frame.emplace();
         }
         switch (step) {
-        case CourseStep::Ignore:
+        case RequestAction::Ignore:
             break;
-        case CourseStep::Tighten:
+        case RequestAction::LowerReservation:
             // A sponsored request's reservation is at its payer; nothing is known of it here, and lowering it is then without effect.
             m_budgets.lowerReservation(journey.request.budget,
                                        journey.request.requestId,
                                        std::get<AnswerFrame::PromptCounted>(frame->content).tokens + journey.request.outputLimit);
             break;
-        case CourseStep::Deliver:
+        case RequestAction::Deliver:
             co_await deliver(journey, *frame);
             break;
-        case CourseStep::TryElsewhere:
-        case CourseStep::Finish:
+        case RequestAction::RetryElsewhere:
+        case RequestAction::Finish:
             closeAttempt(journey, step, *frame);
             co_return step;
         }
@@ -423,7 +423,7 @@
 
 void RequestDriver::settle(const Journey &journey)
 {
-    const RequestCourse &course = journey.course;
+    const RequestStateMachine &course = journey.course;
     const RoutedRequest &request = journey.request;
     if (request.plainService() && course.outcome() == Outcome::NotRun) {
         return;
@@ -480,7 +480,7 @@
 
 void RequestDriver::observe(const Journey &journey)
 {
-    const RequestCourse &course = journey.course;
+    const RequestStateMachine &course = journey.course;
     const std::string_view outcome = outcomeName(course.outcome());
     m_metrics.count("bamboohold_requests_total", {.name = "outcome", .value = outcome});
     m_metrics.observe("bamboohold_request_seconds", {.name = "team", .value = journey.request.team}, seconds(steadyNow() - journey.begin));
--- a/src/caller/requestdriver.h
+++ b/src/caller/requestdriver.h
@@ -8,7 +8,7 @@
 #include "operations/metrics.h"
 #include "request/answermailbox.h"
 #include "request/claimservice.h"
-#include "request/requestcourse.h"
+#include "request/requeststatemachine.h"
 #include "routing/targettable.h"
 
 #include <oneapi/tbb/concurrent_hash_map.h>
@@ -47,8 +47,8 @@
     }
 };
 
-/// Carries one request from reservation to settlement: asks TargetTable where to go, lets RequestCourse decide what each frame means, and
-/// writes to the caller.
+/// Carries one request from reservation to settlement: asks TargetTable where to go, lets RequestStateMachine decide what each frame means,
+/// and writes to the caller.
 ///
 /// Locks: the mailboxes are a concurrent map; m_routingMutex guards the target table, m_beginsMutex the begins. None is held while the
 /// other, or the budget's lock, is taken.
@@ -109,13 +109,13 @@
     asio::awaitable<void> closeClaim(Journey &journey);
     asio::awaitable<void> travel(Journey &journey);
     asio::awaitable<bool> openAttempt(Journey &journey);
-    asio::awaitable<CourseStep> takeFrames(Journey &journey);
+    asio::awaitable<RequestAction> takeFrames(Journey &journey);
     asio::awaitable<void> deliver(Journey &journey, const AnswerFrame &frame);
     asio::awaitable<void> answer(Journey &journey);
     asio::awaitable<void> answerFailure(Journey &journey, Failure failure);
     asio::awaitable<void> giveUpIfDue(Journey &journey);
-    CourseStep onSilence(Journey &journey);
-    void closeAttempt(Journey &journey, CourseStep step, const AnswerFrame &frame);
+    RequestAction onSilence(Journey &journey);
+    void closeAttempt(Journey &journey, RequestAction step, const AnswerFrame &frame);
     void sendDispatch(const Journey &journey, const TargetChoice &choice, std::uint32_t attempt);
     void sendCancel(const Journey &journey);
     void giveCredit(Journey &journey, std::size_t bytes);
--- a/src/engine/sidecar.h
+++ b/src/engine/sidecar.h
@@ -7,7 +7,7 @@
 #include "net/httpserver.h"
 #include "net/workerpool.h"
 #include "operations/metrics.h"
-#include "request/requestcourse.h"
+#include "request/requeststatemachine.h"
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/container/flat_hash_set.h>
--- a/src/link/framecodec.h
+++ b/src/link/framecodec.h
@@ -2,7 +2,7 @@
 
 #include "engine/runtable.h"
 #include "link/link.pb.h"
-#include "request/requestcourse.h"
+#include "request/requeststatemachine.h"
 
 namespace bamboohold {
 
--- a/src/request/answermailbox.h
+++ b/src/request/answermailbox.h
@@ -2,7 +2,7 @@
 
 #include "clock/instant.h"
 #include "net/httpserver.h"
-#include "request/requestcourse.h"
+#include "request/requeststatemachine.h"
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/awaitable.hpp>
--- a/src/request/requestcourse.cpp
+++ b/src/request/requeststatemachine.cpp
@@ -1,4 +1,4 @@
-#include "request/requestcourse.h"
+#include "request/requeststatemachine.h"
 
 #include <utility>
 
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::int64_t s_retryOverloadedMs = 500;
-constexpr std::int64_t s_retryLostMs = 1'000;
+constexpr std::int64_t s_overloadedRetryAfterMs = 500;
+constexpr std::int64_t s_lostRetryAfterMs = 1'000;
 
 Failure declinedEverywhere(RunRefusal lastReason)
 {
@@ -15,42 +15,42 @@
     return {.kind = kind,
             .detail = "every target that was asked declined the request",
             .executed = Executed::No,
-            .retryAfterMs = s_retryOverloadedMs};
+            .retryAfterMs = s_overloadedRetryAfterMs};
 }
 
 }
 
-RequestCourse::RequestCourse(Options options)
+RequestStateMachine::RequestStateMachine(Options options)
     : m_options(std::move(options))
 {
 }
 
-std::uint32_t RequestCourse::beginAttempt(std::string_view target)
+std::uint32_t RequestStateMachine::beginAttempt(std::string_view target)
 {
     m_target = target;
     m_nextSequence = 0;
-    m_dataBytes = 0;
-    m_open = true;
+    m_receivedBytes = 0;
+    m_attemptOpen = true;
     return ++m_attempt;
 }
 
-CourseStep RequestCourse::finish(Outcome outcome, Failure failure)
+RequestAction RequestStateMachine::finish(Outcome outcome, Failure failure)
 {
     m_finished = true;
-    m_open = false;
+    m_attemptOpen = false;
     m_outcome = outcome;
     m_failure = std::move(failure);
     if (outcome == Outcome::NotRun) {
         m_charged = 0;
     }
-    return CourseStep::Finish;
+    return RequestAction::Finish;
 }
 
-CourseStep RequestCourse::onFrame(const AnswerFrame &frame)
+RequestAction RequestStateMachine::onFrame(const AnswerFrame &frame)
 {
     // Frames of an abandoned attempt can arrive after a newer one began; told apart by the attempt number they never mix into its answer.
-    if (m_finished || !m_open || frame.attempt != m_attempt || frame.sequence < m_nextSequence) {
-        return CourseStep::Ignore;
+    if (m_finished || !m_attemptOpen || frame.attempt != m_attempt || frame.sequence < m_nextSequence) {
+        return RequestAction::Ignore;
     }
     // A gap means that a frame was lost on the way: what follows would be passed off as the whole answer.
     if (frame.sequence > m_nextSequence) {
@@ -69,22 +69,23 @@
         return onEnd(*end);
     }
     if (std::holds_alternative<AnswerFrame::PromptCounted>(frame.content)) {
-        return CourseStep::Tighten;
+        return RequestAction::LowerReservation;
     }
     if (const auto *data = std::get_if<AnswerFrame::Data>(&frame.content)) {
-        m_dataBytes += data->bytes.size();
+        m_receivedBytes += data->bytes.size();
     }
-    m_begun = true;
-    return CourseStep::Deliver;
+    m_delivered = true;
+    return RequestAction::Deliver;
 }
 
-CourseStep RequestCourse::onRefused(RunRefusal reason)
+RequestAction RequestStateMachine::onRefused(RunRefusal reason)
 {
-    m_open = false;
-    m_declined.push_back(m_target);
+    m_attemptOpen = false;
+    m_declinedTargets.push_back(m_target);
     if (reason == RunRefusal::Sealed) {
-        return finish(Outcome::NotRun,
-                      {.kind = FailureKind::Fenced, .detail = "this router was declared dead and restarts", .retryAfterMs = s_retryLostMs});
+        return finish(
+            Outcome::NotRun,
+            {.kind = FailureKind::Fenced, .detail = "this router was declared dead and restarts", .retryAfterMs = s_lostRetryAfterMs});
     }
     if (reason == RunRefusal::Duplicate) {
         return finish(
@@ -94,17 +95,17 @@
     if (m_attempt >= m_options.maxAttempts) {
         return finish(Outcome::NotRun, declinedEverywhere(reason));
     }
-    return CourseStep::TryElsewhere;
+    return RequestAction::RetryElsewhere;
 }
 
-CourseStep RequestCourse::onEnd(const AnswerFrame::End &end)
+RequestAction RequestStateMachine::onEnd(const AnswerFrame::End &end)
 {
     m_usage = end.usage;
     m_charged = end.charged;
     if (end.end == RunEnd::NotRun) {
         return onRefused(RunRefusal::EngineUnreachable);
     }
-    if (end.end == RunEnd::Complete && end.dataBytes == m_dataBytes) {
+    if (end.end == RunEnd::Complete && end.dataBytes == m_receivedBytes) {
         return finish(Outcome::Answered, {});
     }
     if (end.end == RunEnd::Complete) {
@@ -120,23 +121,23 @@
                   {.kind = FailureKind::EngineFailed, .detail = "the engine cut the answer", .executed = Executed::Yes});
 }
 
-CourseStep RequestCourse::onLost(FailureKind why)
+RequestAction RequestStateMachine::onLost(FailureKind why)
 {
-    const Executed ran = m_begun ? Executed::Yes : Executed::Unknown;
-    const Outcome outcome = m_begun ? Outcome::FailedAfterRunning : Outcome::Unknown;
+    const Executed ran = m_delivered ? Executed::Yes : Executed::Unknown;
+    const Outcome outcome = m_delivered ? Outcome::FailedAfterRunning : Outcome::Unknown;
     return finish(outcome,
                   {.kind = why,
                    .detail = "contact with the target was lost while it had the request",
                    .executed = ran,
-                   .retryAfterMs = s_retryLostMs});
+                   .retryAfterMs = s_lostRetryAfterMs});
 }
 
-CourseStep RequestCourse::onStanding(Failure failure)
+RequestAction RequestStateMachine::onExistingClaim(Failure failure)
 {
     return finish(Outcome::Unknown, std::move(failure));
 }
 
-CourseStep RequestCourse::onNoTarget(const Failure &failure)
+RequestAction RequestStateMachine::onNoTarget(const Failure &failure)
 {
     return finish(Outcome::NotRun, failure);
 }
--- a/src/request/requestcourse.h
+++ b/src/request/requeststatemachine.h
@@ -58,15 +58,15 @@
 };
 
 /// What the driver of a request should do next.
-enum class CourseStep {
+enum class RequestAction {
     /// A late, doubled or foreign frame: drop it and count it.
     Ignore,
     /// Pass the frame on to the caller.
     Deliver,
     /// Lower the reservation to prompt tokens plus the output limit.
-    Tighten,
+    LowerReservation,
     /// The attempt certainly did not run: try another target.
-    TryElsewhere,
+    RetryElsewhere,
     /// The request has its outcome; send it.
     Finish,
 };
@@ -75,29 +75,29 @@
 /// only when every attempt was declined before its engine had it, "answered" only when all frames came in order and the byte count agrees.
 ///
 /// Pure: the router's request coroutine feeds it frames and losses and carries out its steps.
-class RequestCourse
+class RequestStateMachine
 {
 public:
     struct Options {
         unsigned maxAttempts = 3;
     };
 
-    explicit RequestCourse(Options options);
+    explicit RequestStateMachine(Options options);
 
     /// Opens the next attempt and returns its number, counted from 1.
     std::uint32_t beginAttempt(std::string_view target);
 
     /// A frame arrived.
-    CourseStep onFrame(const AnswerFrame &frame);
+    RequestAction onFrame(const AnswerFrame &frame);
 
     /// The target or the link to it is gone, or the deadline passed, while an attempt was open.
-    CourseStep onLost(FailureKind why);
+    RequestAction onLost(FailureKind why);
 
     /// No target could be asked.
-    CourseStep onNoTarget(const Failure &failure);
+    RequestAction onNoTarget(const Failure &failure);
 
     /// An earlier request under the same idempotency key stands in the way; whatever became of it, this one is not run.
-    CourseStep onStanding(Failure failure);
+    RequestAction onExistingClaim(Failure failure);
 
     /// The outcome; valid after Finish.
     Outcome outcome() const
@@ -136,30 +136,30 @@
     }
 
     /// True once a frame was delivered to the caller.
-    bool begun() const
+    bool hasDelivered() const
     {
-        return m_begun;
+        return m_delivered;
     }
 
     /// Targets that declined this request.
-    const std::vector<std::string> &declined() const
+    const std::vector<std::string> &declinedTargets() const
     {
-        return m_declined;
+        return m_declinedTargets;
     }
 
 private:
-    CourseStep finish(Outcome outcome, Failure failure);
-    CourseStep onRefused(RunRefusal reason);
-    CourseStep onEnd(const AnswerFrame::End &end);
+    RequestAction finish(Outcome outcome, Failure failure);
+    RequestAction onRefused(RunRefusal reason);
+    RequestAction onEnd(const AnswerFrame::End &end);
 
     Options m_options;
     std::string m_target;
-    std::vector<std::string> m_declined;
+    std::vector<std::string> m_declinedTargets;
     std::uint32_t m_attempt = 0;
     std::uint64_t m_nextSequence = 0;
-    std::uint64_t m_dataBytes = 0;
-    bool m_open = false;
-    bool m_begun = false;
+    std::uint64_t m_receivedBytes = 0;
+    bool m_attemptOpen = false;
+    bool m_delivered = false;
     bool m_finished = false;
     Outcome m_outcome = Outcome::Unknown;
     Failure m_failure;
