--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -96,7 +96,7 @@
                     .mailbox = std::make_shared<AnswerMailbox>(exchange.executor()),
                     .begin = steadyNow()};
     exchange.onHangUp([mailbox = journey.mailbox] {
-        mailbox->hangUp();
+        mailbox->markDisconnected();
     });
     if (journey.request.nonIdempotent && !journey.request.idempotencyKey.empty()) {
         const bool mine = co_await claim(journey);
@@ -258,7 +258,7 @@
             sendDispatch(journey, *choice, attempt);
             co_return true;
         }
-        if (journey.mailbox->hungUp()) {
+        if (journey.mailbox->isDisconnected()) {
             journey.callerDone = true;
             journey.course.onNoTarget({.kind = FailureKind::Cancelled, .detail = "the caller hung up"});
             co_return false;
@@ -318,7 +318,7 @@
 asio::awaitable<void> RequestDriver::giveUpIfDue(Journey &journey)
 {
     const bool late = steadyNow() >= journey.request.deadline;
-    const bool hungUp = journey.mailbox->hungUp();
+    const bool hungUp = journey.mailbox->isDisconnected();
     if (journey.cancelSent || (!late && !hungUp)) {
         co_return;
     }
@@ -415,7 +415,7 @@
     if (!journey.callerDone) {
         const bool taken = co_await journey.exchange.writeChunk(bytes);
         if (!taken) {
-            journey.mailbox->hangUp();
+            journey.mailbox->markDisconnected();
         }
     }
     giveCredit(journey, bytes.size());
--- a/src/request/answermailbox.cpp
+++ b/src/request/answermailbox.cpp
@@ -30,10 +30,10 @@
     }
 }
 
-void AnswerMailbox::hangUp()
+void AnswerMailbox::markDisconnected()
 {
     const std::lock_guard lock(m_mutex);
-    m_hungUp = true;
+    m_disconnected = true;
     if (std::exchange(m_waiting, false)) {
         wake();
     }
@@ -50,10 +50,10 @@
     return frame;
 }
 
-bool AnswerMailbox::hungUp() const
+bool AnswerMailbox::isDisconnected() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_hungUp;
+    return m_disconnected;
 }
 
 asio::awaitable<std::optional<AnswerFrame>> AnswerMailbox::next(Duration timeout)
@@ -68,7 +68,7 @@
                 m_waiting = false;
                 co_return frame;
             }
-            if (m_hungUp) {
+            if (m_disconnected) {
                 co_return std::nullopt;
             }
             m_waiting = true;
--- a/src/request/answermailbox.h
+++ b/src/request/answermailbox.h
@@ -25,7 +25,7 @@
     void push(AnswerFrame frame);
 
     /// The caller hung up. Callable from any thread.
-    void hangUp();
+    void markDisconnected();
 
     /// Waits for the next frame; empty when the time passed or the caller hung up. Only on the mailbox's loop.
     asio::awaitable<std::optional<AnswerFrame>> next(Duration timeout);
@@ -34,14 +34,14 @@
     std::optional<AnswerFrame> tryNext();
 
     /// True once the caller hung up.
-    bool hungUp() const;
+    bool isDisconnected() const;
 
 private:
     void wake();
 
     mutable std::mutex m_mutex;
     std::deque<AnswerFrame> m_frames;
-    bool m_hungUp = false;
+    bool m_disconnected = false;
     bool m_waiting = false;
     asio::steady_timer m_timer;
 };
