--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -144,12 +144,12 @@
         co_await answer(journey);
         co_return false;
     }
-    if (result->taken) {
+    if (result->succeeded) {
         wanted.version = result->version;
         journey.claim = std::move(wanted);
         co_return true;
     }
-    Claim standing = result->standing;
+    Claim standing = result->existingClaim;
     co_await answerFromClaim(journey, std::move(standing));
     co_return false;
 }
--- a/src/request/claimbatch.cpp
+++ b/src/request/claimbatch.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-boost::json::object fieldsOf(const Claim &claim)
+boost::json::object rowFields(const Claim &claim)
 {
     return {{"request", claim.requestId},
             {"router", claim.router},
@@ -41,54 +41,54 @@
 
 std::size_t ClaimBatch::add(Claim claim, std::optional<std::uint64_t> version, bool remove)
 {
-    m_wishes.push_back({.claim = std::move(claim), .version = version, .remove = remove});
-    return m_wishes.size() - 1;
+    m_writes.push_back({.claim = std::move(claim), .version = version, .remove = remove});
+    return m_writes.size() - 1;
 }
 
 TableTransaction ClaimBatch::transaction() const
 {
     TableTransaction transaction;
-    for (const Wish &wish : m_wishes) {
-        if (wish.result) {
+    for (const ClaimWrite &write : m_writes) {
+        if (write.result) {
             continue;
         }
-        if (wish.remove) {
+        if (write.remove) {
             transaction.operations.push_back(
-                {.kind = TableOperation::Kind::Remove, .key = wish.claim.key, .expectedVersion = wish.version});
+                {.kind = TableOperation::Kind::Remove, .key = write.claim.key, .expectedVersion = write.version});
         } else {
-            transaction.operations.push_back(putRow(wish.claim.key, fieldsOf(wish.claim), wish.version.value_or(0)));
+            transaction.operations.push_back(putRow(write.claim.key, rowFields(write.claim), write.version.value_or(0)));
         }
     }
     return transaction;
 }
 
-void ClaimBatch::answered(const TableVerdict &verdict)
+void ClaimBatch::applyVerdict(const TableVerdict &verdict)
 {
-    std::vector<Wish *> open;
-    for (Wish &wish : m_wishes) {
-        if (!wish.result) {
-            open.push_back(&wish);
+    std::vector<ClaimWrite *> open;
+    for (ClaimWrite &write : m_writes) {
+        if (!write.result) {
+            open.push_back(&write);
         }
     }
     if (verdict.applied) {
         for (std::size_t index = 0; index < open.size(); ++index) {
-            open[index]->result = ClaimResult{.taken = true, .version = verdict.versions[index]};
+            open[index]->result = ClaimResult{.succeeded = true, .version = verdict.versions[index]};
         }
         return;
     }
     for (const TableObstacle &obstacle : verdict.obstacles) {
-        Wish &wish = *open[obstacle.operation];
-        const Claim standing = claimFromRow(obstacle.row);
+        ClaimWrite &write = *open[obstacle.operation];
+        const Claim existingClaim = claimFromRow(obstacle.row);
         // A row as wished is this batch's own earlier try, whose answer was lost; a row that is gone was given up by it.
-        const bool ownEarlierTry = wish.remove ? obstacle.row.version == 0 : obstacle.row.fields == fieldsOf(wish.claim);
-        wish.result = ClaimResult{.taken = ownEarlierTry, .standing = standing, .version = obstacle.row.version};
+        const bool writtenBefore = write.remove ? obstacle.row.version == 0 : obstacle.row.fields == rowFields(write.claim);
+        write.result = ClaimResult{.succeeded = writtenBefore, .existingClaim = existingClaim, .version = obstacle.row.version};
     }
 }
 
 bool ClaimBatch::done() const
 {
-    return std::all_of(m_wishes.begin(), m_wishes.end(), [](const Wish &wish) {
-        return wish.result.has_value();
+    return std::all_of(m_writes.begin(), m_writes.end(), [](const ClaimWrite &write) {
+        return write.result.has_value();
     });
 }
 
--- a/src/request/claimbatch.h
+++ b/src/request/claimbatch.h
@@ -42,9 +42,9 @@
 /// What became of one wish.
 struct ClaimResult {
     /// True when the row is as wished, by this try or an earlier one whose answer was lost.
-    bool taken = false;
+    bool succeeded = false;
     /// The claim that stands in the way, otherwise.
-    Claim standing;
+    Claim existingClaim;
     std::uint64_t version = 0;
 };
 
@@ -61,7 +61,7 @@
     TableTransaction transaction() const;
 
     /// The table answered.
-    void answered(const TableVerdict &verdict);
+    void applyVerdict(const TableVerdict &verdict);
 
     /// True when every wish has its result.
     bool done() const;
@@ -69,18 +69,18 @@
     /// The result of a wish; empty while open.
     const std::optional<ClaimResult> &result(std::size_t index) const
     {
-        return m_wishes[index].result;
+        return m_writes[index].result;
     }
 
 private:
-    struct Wish {
+    struct ClaimWrite {
         Claim claim;
         std::optional<std::uint64_t> version;
         bool remove = false;
         std::optional<ClaimResult> result;
     };
 
-    std::vector<Wish> m_wishes;
+    std::vector<ClaimWrite> m_writes;
 };
 
 }
--- a/src/request/claimservice.cpp
+++ b/src/request/claimservice.cpp
@@ -13,22 +13,22 @@
 
 namespace {
 
-constexpr Duration s_giveUpPause = std::chrono::seconds(2);
-constexpr int s_giveUpTries = 300;
-constexpr std::int64_t s_retryClaimMs = 2'000;
+constexpr Duration s_releaseRetryInterval = std::chrono::seconds(2);
+constexpr int s_maxReleaseAttempts = 300;
+constexpr std::int64_t s_claimRetryAfterMs = 2'000;
 
 absl::Status unavailable()
 {
     return toStatus({.kind = FailureKind::ClaimUnavailable,
                      .detail = "the table that keeps requests from running twice is out of reach",
-                     .retryAfterMs = s_retryClaimMs});
+                     .retryAfterMs = s_claimRetryAfterMs});
 }
 
 }
 
 /// One wish and who waits for it. Shared by its coroutine and the queue.
-struct ClaimService::Wish {
-    explicit Wish(const asio::any_io_executor &executor)
+struct ClaimService::QueuedWrite {
+    explicit QueuedWrite(const asio::any_io_executor &executor)
         : timer(executor, asio::steady_timer::time_point::max())
     {
     }
@@ -47,61 +47,61 @@
 {
 }
 
-asio::awaitable<absl::StatusOr<ClaimResult>> ClaimService::wish(Claim claim, std::optional<std::uint64_t> version, bool remove)
+asio::awaitable<absl::StatusOr<ClaimResult>> ClaimService::submitWrite(Claim claim, std::optional<std::uint64_t> version, bool remove)
 {
-    auto own = std::make_shared<Wish>(co_await asio::this_coro::executor);
-    own->claim = std::move(claim);
-    own->version = version;
-    own->remove = remove;
+    auto queued = std::make_shared<QueuedWrite>(co_await asio::this_coro::executor);
+    queued->claim = std::move(claim);
+    queued->version = version;
+    queued->remove = remove;
     bool startSending = false;
     {
         const std::lock_guard lock(m_mutex);
-        m_waiting.push_back(own);
+        m_queue.push_back(queued);
         startSending = !std::exchange(m_sending, true);
     }
     // Outside the lock: on its own loop a new coroutine runs at once, up to its first wait, and takes the lock itself.
     if (startSending) {
         asio::co_spawn(m_loop, send(), asio::detached);
     }
-    co_await own->timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    co_return own->result;
+    co_await queued->timer.async_wait(asio::as_tuple(asio::use_awaitable));
+    co_return queued->result;
 }
 
 asio::awaitable<void> ClaimService::send()
 {
     while (true) {
-        std::vector<std::shared_ptr<Wish>> wishes;
+        std::vector<std::shared_ptr<QueuedWrite>> writes;
         {
             const std::lock_guard lock(m_mutex);
-            while (!m_waiting.empty() && wishes.size() < m_options.batch) {
-                wishes.push_back(m_waiting.front());
-                m_waiting.pop_front();
+            while (!m_queue.empty() && writes.size() < m_options.maxBatchSize) {
+                writes.push_back(m_queue.front());
+                m_queue.pop_front();
             }
-            m_sending = !wishes.empty();
+            m_sending = !writes.empty();
         }
-        if (wishes.empty()) {
+        if (writes.empty()) {
             co_return;
         }
         ClaimBatch batch;
-        for (const auto &wish : wishes) {
-            batch.add(wish->claim, wish->version, wish->remove);
+        for (const auto &write : writes) {
+            batch.add(write->claim, write->version, write->remove);
         }
-        int silences = 0;
-        while (!batch.done() && silences < m_options.tries) {
+        int tableErrors = 0;
+        while (!batch.done() && tableErrors < m_options.maxTableErrors) {
             const TableTransaction transaction = batch.transaction();
             const auto verdict = co_await m_platform.transact(transaction);
             if (verdict.ok()) {
-                batch.answered(*verdict);
+                batch.applyVerdict(*verdict);
             } else {
-                ++silences;
+                ++tableErrors;
             }
         }
-        for (std::size_t index = 0; index < wishes.size(); ++index) {
+        for (std::size_t index = 0; index < writes.size(); ++index) {
             if (batch.result(index)) {
-                wishes[index]->result = *batch.result(index);
+                writes[index]->result = *batch.result(index);
             }
-            asio::post(wishes[index]->timer.get_executor(), [wish = wishes[index]] {
-                wish->timer.cancel();
+            asio::post(writes[index]->timer.get_executor(), [write = writes[index]] {
+                write->timer.cancel();
             });
         }
     }
@@ -109,19 +109,19 @@
 
 asio::awaitable<absl::StatusOr<ClaimResult>> ClaimService::take(Claim claim)
 {
-    auto result = co_await wish(claim, std::nullopt, false);
+    auto result = co_await submitWrite(claim, std::nullopt, false);
     if (!result.ok()) {
         // A try may have taken effect unseen. The request does not run, so the claim must not keep its retry from running.
-        asio::co_spawn(m_loop, giveUpLater(claim), asio::detached);
+        asio::co_spawn(m_loop, releaseInBackground(claim), asio::detached);
     }
     co_return result;
 }
 
-asio::awaitable<void> ClaimService::giveUpLater(Claim claim)
+asio::awaitable<void> ClaimService::releaseInBackground(Claim claim)
 {
     asio::steady_timer timer(m_loop);
-    for (int attempt = 0; attempt < s_giveUpTries; ++attempt) {
-        timer.expires_after(s_giveUpPause);
+    for (int attempt = 0; attempt < s_maxReleaseAttempts; ++attempt) {
+        timer.expires_after(s_releaseRetryInterval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         const auto row = co_await m_platform.readOne(claim.key);
         if (!row.ok()) {
@@ -130,7 +130,7 @@
         if (row->version == 0 || claimFromRow(*row).requestId != claim.requestId) {
             co_return;
         }
-        const auto removed = co_await wish(claim, row->version, true);
+        const auto removed = co_await submitWrite(claim, row->version, true);
         if (removed.ok()) {
             co_return;
         }
@@ -148,16 +148,16 @@
         }
     }
     const std::uint64_t version = claim.version;
-    const auto written = co_await wish(std::move(claim), version, false);
+    const auto written = co_await submitWrite(std::move(claim), version, false);
     co_return written.status();
 }
 
 asio::awaitable<void> ClaimService::release(Claim claim)
 {
     const std::uint64_t version = claim.version;
-    const auto removed = co_await wish(claim, version, true);
+    const auto removed = co_await submitWrite(claim, version, true);
     if (!removed.ok()) {
-        asio::co_spawn(m_loop, giveUpLater(claim), asio::detached);
+        asio::co_spawn(m_loop, releaseInBackground(claim), asio::detached);
     }
 }
 
--- a/src/request/claimservice.h
+++ b/src/request/claimservice.h
@@ -20,9 +20,9 @@
 public:
     struct Options {
         /// Claims in one transaction.
-        std::size_t batch = 64;
+        std::size_t maxBatchSize = 64;
         /// Tries before a claim counts as out of reach.
-        int tries = 2;
+        int maxTableErrors = 2;
     };
 
     ClaimService(asio::any_io_executor loop, PlatformClient &platform, Options options);
@@ -41,17 +41,17 @@
     asio::awaitable<absl::StatusOr<std::string>> result(std::string object);
 
 private:
-    struct Wish;
+    struct QueuedWrite;
 
-    asio::awaitable<absl::StatusOr<ClaimResult>> wish(Claim claim, std::optional<std::uint64_t> version, bool remove);
-    asio::awaitable<void> giveUpLater(Claim claim);
+    asio::awaitable<absl::StatusOr<ClaimResult>> submitWrite(Claim claim, std::optional<std::uint64_t> version, bool remove);
+    asio::awaitable<void> releaseInBackground(Claim claim);
     asio::awaitable<void> send();
 
     asio::any_io_executor m_loop;
     PlatformClient &m_platform;
     Options m_options;
     std::mutex m_mutex;
-    std::deque<std::shared_ptr<Wish>> m_waiting;
+    std::deque<std::shared_ptr<QueuedWrite>> m_queue;
     bool m_sending = false;
 };
 
--- a/src/tests/claimbatchtest.cpp
+++ b/src/tests/claimbatchtest.cpp
@@ -23,34 +23,34 @@
     MemoryTable table;
     ClaimBatch first;
     first.add(claim("a", "r1"), std::nullopt, false);
-    first.answered(*table.transact(first.transaction()));
-    BOOST_TEST(first.result(0)->taken);
+    first.applyVerdict(*table.transact(first.transaction()));
+    BOOST_TEST(first.result(0)->succeeded);
     ClaimBatch second;
     second.add(claim("b", "r2"), std::nullopt, false);
     second.add(claim("a", "r3"), std::nullopt, false);
-    second.answered(*table.transact(second.transaction()));
+    second.applyVerdict(*table.transact(second.transaction()));
     BOOST_TEST(!second.done());
-    second.answered(*table.transact(second.transaction()));
+    second.applyVerdict(*table.transact(second.transaction()));
     BOOST_TEST(second.done());
-    BOOST_TEST(second.result(0)->taken);
-    BOOST_TEST(!second.result(1)->taken);
-    BOOST_TEST(second.result(1)->standing.requestId == "r1");
+    BOOST_TEST(second.result(0)->succeeded);
+    BOOST_TEST(!second.result(1)->succeeded);
+    BOOST_TEST(second.result(1)->existingClaim.requestId == "r1");
 }
 
 // A caller would be told that somebody else runs its request when its own claim took effect and only the answer was lost.
-BOOST_AUTO_TEST_CASE(ownEarlierTryIsRecognised)
+BOOST_AUTO_TEST_CASE(repeatedWriteIsRecognised)
 {
     MemoryTable table;
     ClaimBatch batch;
     batch.add(claim("a", "r1"), std::nullopt, false);
     (void)table.transact(batch.transaction());
-    batch.answered(*table.transact(batch.transaction()));
-    BOOST_TEST(batch.result(0)->taken);
+    batch.applyVerdict(*table.transact(batch.transaction()));
+    BOOST_TEST(batch.result(0)->succeeded);
     ClaimBatch removal;
     removal.add(claim("a", "r1"), batch.result(0)->version, true);
     (void)table.transact(removal.transaction());
-    removal.answered(*table.transact(removal.transaction()));
-    BOOST_TEST(removal.result(0)->taken);
+    removal.applyVerdict(*table.transact(removal.transaction()));
+    BOOST_TEST(removal.result(0)->succeeded);
     BOOST_TEST((*table.read(claimKey("team", "a"))).version == 0);
 }
 
@@ -59,15 +59,15 @@
     MemoryTable table;
     ClaimBatch batch;
     batch.add(claim("a", "r1"), std::nullopt, false);
-    batch.answered(*table.transact(batch.transaction()));
+    batch.applyVerdict(*table.transact(batch.transaction()));
     Claim done = claim("a", "r1");
     done.state = Claim::State::Done;
     done.outcome = "answered";
     done.status = 201;
     ClaimBatch finish;
     finish.add(done, batch.result(0)->version, false);
-    finish.answered(*table.transact(finish.transaction()));
-    BOOST_TEST(finish.result(0)->taken);
+    finish.applyVerdict(*table.transact(finish.transaction()));
+    BOOST_TEST(finish.result(0)->succeeded);
     const Claim read = claimFromRow(*table.read(done.key));
     BOOST_TEST((read.state == Claim::State::Done));
     BOOST_TEST(read.status == 201);
