--- a/src/request/answermailbox.cpp
+++ b/src/request/answermailbox.cpp
@@ -15,7 +15,7 @@
 
 void AnswerMailbox::wake()
 {
-    // The timer belongs to the loop; touching it from the link's thread would race with the wait.
+    // The timer is not thread-safe: cancelling it on the link's thread would race with the wait.
     asio::post(m_timer.get_executor(), [this] {
         m_timer.cancel();
     });
--- a/src/request/answermailbox.h
+++ b/src/request/answermailbox.h
@@ -14,29 +14,30 @@
 
 namespace bamboohold {
 
-/// Hands the frames of one request from the link's thread to the request's coroutine. Shared by both, since either can be the last to let
-/// go.
+/// Queue that passes the frames of one request from the link's thread to the request's coroutine. Shared by both, because either can be the
+/// last to use it.
 class AnswerMailbox
 {
 public:
     explicit AnswerMailbox(asio::any_io_executor executor);
 
-    /// Adds a frame. Callable from any thread.
+    /// Adds a frame. Thread-safe.
     void push(AnswerFrame frame);
 
-    /// The caller hung up. Callable from any thread.
+    /// Records that the caller has disconnected, and wakes the coroutine. Thread-safe.
     void markDisconnected();
 
-    /// Waits for the next frame; empty when the time passed or the caller hung up. Only on the mailbox's loop.
+    /// Waits for the next frame; empty when the timeout has passed or the caller has disconnected. Call it on the executor's loop only.
     asio::awaitable<std::optional<AnswerFrame>> next(Duration timeout);
 
-    /// The next frame if one is there already.
+    /// Returns the next frame if there is one, without waiting. Thread-safe.
     std::optional<AnswerFrame> tryNext();
 
-    /// True once the caller hung up.
+    /// True once the caller has disconnected. Thread-safe.
     bool isDisconnected() const;
 
 private:
+    /// Wakes the coroutine that waits in `next`.
     void wake();
 
     mutable std::mutex m_mutex;
--- a/src/request/claimbatch.cpp
+++ b/src/request/claimbatch.cpp
@@ -79,7 +79,8 @@
     for (const TableObstacle &obstacle : verdict.obstacles) {
         ClaimWrite &write = *open[obstacle.operation];
         const Claim existingClaim = claimFromRow(obstacle.row);
-        // A row as wished is this batch's own earlier try, whose answer was lost; a row that is gone was given up by it.
+        // A row that is already as requested was written by an earlier attempt of this batch whose answer was lost. For a removal, that is
+        // a row that no longer exists.
         const bool writtenBefore = write.remove ? obstacle.row.version == 0 : obstacle.row.fields == rowFields(write.claim);
         write.result = ClaimResult{.succeeded = writtenBefore, .existingClaim = existingClaim, .version = obstacle.row.version};
     }
--- a/src/request/claimbatch.h
+++ b/src/request/claimbatch.h
@@ -10,12 +10,12 @@
 
 namespace bamboohold {
 
-/// What the table knows of a request that must not run twice, under the team's name and the caller's idempotency key.
+/// A row of the table for a request that must not run twice. Its key consists of the team's name and the caller's idempotency key.
 struct Claim {
     enum class State {
-        /// A router may be running it.
+        /// A router may be running the request.
         Claimed,
-        /// It is over; the outcome says how.
+        /// The request has ended with the outcome below.
         Done,
     };
 
@@ -23,50 +23,55 @@
     std::string requestId;
     std::string router;
     State state = State::Claimed;
-    /// Name of the outcome once done.
+    /// Name of the outcome; empty until the request is done.
     std::string outcome;
-    /// Object with the answer's body once answered.
+    /// Name of the object that holds the answer's body; empty until the request is answered.
     std::string resultObject;
+    /// HTTP status of the answer.
     unsigned status = 0;
     std::string contentType;
-    /// Row version once it is in the table.
+    /// Version of the row; 0 while it is not in the table.
     std::uint64_t version = 0;
 };
 
-/// Row of a claim. Key bytes are made harmless, so that a caller cannot name another team's row.
+/// Returns the row key of a claim. The idempotency key is base64-encoded, so that a caller cannot address another team's row.
 std::string claimKey(std::string_view team, std::string_view idempotencyKey);
 
-/// The claim in a row.
+/// Decodes the claim in a row.
 Claim claimFromRow(const TableRow &row);
 
-/// What became of one wish.
+/// Result of one write.
 struct ClaimResult {
-    /// True when the row is as wished, by this try or an earlier one whose answer was lost.
+    /// True when the row is as requested, by this attempt or by an earlier one whose answer was lost.
     bool succeeded = false;
-    /// The claim that stands in the way, otherwise.
+    /// Otherwise, the claim in the table that prevented the write.
     Claim existingClaim;
     std::uint64_t version = 0;
 };
 
-/// Several claims on their way to the table in one transaction: several hundred writes a second then carry thousands of claims.
+/// Combines several writes of claims into one table transaction, so that a table with several hundred transactions per second can take
+/// thousands of claims.
 ///
-/// Pure. One claim that is already taken must not fail the others: it is answered and the rest is sent again.
+/// A claim that is already taken does not fail the others: it gets its result, and the rest is sent again in another transaction.
+///
+/// Has no I/O.
 class ClaimBatch
 {
 public:
-    /// Adds a wish: take a claim that must not exist yet, or, with a version, write over that version; removal gives it up.
+    /// Adds a write, and returns its index. Without a version the claim must not exist yet; with one, the write replaces or removes the row
+    /// only if it still has that version.
     std::size_t add(Claim claim, std::optional<std::uint64_t> version, bool remove);
 
-    /// The transaction for the wishes still open.
+    /// Returns the transaction with all writes that have no result yet.
     TableTransaction transaction() const;
 
-    /// The table answered.
+    /// Processes the table's answer to the latest transaction.
     void applyVerdict(const TableVerdict &verdict);
 
-    /// True when every wish has its result.
+    /// True when every write has a result.
     bool done() const;
 
-    /// The result of a wish; empty while open.
+    /// The result of the write with this index; empty while there is none.
     const std::optional<ClaimResult> &result(std::size_t index) const
     {
         return m_writes[index].result;
--- a/src/request/claimservice.cpp
+++ b/src/request/claimservice.cpp
@@ -26,7 +26,7 @@
 
 }
 
-/// One wish and who waits for it. Shared by its coroutine and the queue.
+/// A write and the timer that its coroutine waits on. Shared by the coroutine and the queue.
 struct ClaimService::QueuedWrite {
     explicit QueuedWrite(const asio::any_io_executor &executor)
         : timer(executor, asio::steady_timer::time_point::max())
@@ -59,7 +59,7 @@
         m_queue.push_back(queued);
         startSending = !std::exchange(m_sending, true);
     }
-    // Outside the lock: on its own loop a new coroutine runs at once, up to its first wait, and takes the lock itself.
+    // Not under the lock: when spawned from its own loop, a coroutine runs at once up to its first wait, and takes the lock itself.
     if (startSending) {
         asio::co_spawn(m_loop, send(), asio::detached);
     }
@@ -111,7 +111,7 @@
 {
     auto result = co_await submitWrite(claim, std::nullopt, false);
     if (!result.ok()) {
-        // A try may have taken effect unseen. The request does not run, so the claim must not keep its retry from running.
+        // A write may have taken effect although its answer was lost. The request does not run, so the claim must not block its retry.
         asio::co_spawn(m_loop, releaseInBackground(claim), asio::detached);
     }
     co_return result;
@@ -140,7 +140,7 @@
 asio::awaitable<absl::Status> ClaimService::finish(Claim claim, std::string body)
 {
     if (!claim.resultObject.empty()) {
-        // The platform's client lives on its own loop; a call from the request's loop would use its connections from two threads.
+        // The platform client runs on its own loop; a call from the request's loop would use its connections from two threads.
         auto storing = m_platform.putObject(claim.resultObject, std::move(body));
         const absl::Status stored = co_await asio::co_spawn(m_loop, std::move(storing), asio::use_awaitable);
         if (!stored.ok()) {
--- a/src/request/claimservice.h
+++ b/src/request/claimservice.h
@@ -12,39 +12,45 @@
 
 namespace bamboohold {
 
-/// Carries claims to the table in groups, and answers to the object store.
+/// Writes claims to the table, in batches, and answers to the object store.
 ///
-/// Lock: m_mutex guards the wishes not yet sent.
+/// Locking: m_mutex guards m_queue and m_sending.
 class ClaimService
 {
 public:
     struct Options {
-        /// Claims in one transaction.
+        /// Most claims in one transaction.
         std::size_t maxBatchSize = 64;
-        /// Tries before a claim counts as out of reach.
+        /// After this many failed transactions, the remaining claims of a batch fail with ClaimUnavailable.
         int maxTableErrors = 2;
     };
 
+    /// `loop` is the event loop of `platform`.
     ClaimService(asio::any_io_executor loop, PlatformClient &platform, Options options);
 
-    /// Takes a claim. ClaimUnavailable when the table cannot be reached; it is then given up in the background, so that a later retry can
-    /// run.
+    /// Takes a claim. ClaimUnavailable when the table cannot be reached; the claim is then released in the background, so that a retry of
+    /// the request can run later.
     asio::awaitable<absl::StatusOr<ClaimResult>> take(Claim claim);
 
-    /// Writes how a claimed request ended, with its answer, over the claim's version.
+    /// Stores the answer of a claimed request, and writes its outcome over the claim's version. Errors are those of the object store, or
+    /// ClaimUnavailable.
     asio::awaitable<absl::Status> finish(Claim claim, std::string body);
 
-    /// Gives a claim up: its request certainly did not run.
+    /// Removes a claim whose request is known not to have run.
     asio::awaitable<void> release(Claim claim);
 
-    /// The answer kept for a claim.
+    /// Reads the answer stored for a claim.
     asio::awaitable<absl::StatusOr<std::string>> result(std::string object);
 
 private:
     struct QueuedWrite;
 
+    /// Queues a write, and waits for its result.
     asio::awaitable<absl::StatusOr<ClaimResult>> submitWrite(Claim claim, std::optional<std::uint64_t> version, bool remove);
+    /// Removes a claim that may have been written, unless another request holds it by now. Retries while the table cannot be reached, for
+    /// at least ten minutes.
     asio::awaitable<void> releaseInBackground(Claim claim);
+    /// Sends queued writes until the queue is empty.
     asio::awaitable<void> send();
 
     asio::any_io_executor m_loop;
--- a/src/request/requeststatemachine.cpp
+++ b/src/request/requeststatemachine.cpp
@@ -48,14 +48,14 @@
 
 RequestAction RequestStateMachine::onFrame(const AnswerFrame &frame)
 {
-    // Frames of an abandoned attempt can arrive after a newer one began; told apart by the attempt number they never mix into its answer.
+    // Frames of an abandoned attempt can arrive after the next one has started. The attempt number keeps them out of its answer.
     if (m_finished || !m_attemptOpen || frame.attempt != m_attempt || frame.sequence < m_nextSequence) {
         return RequestAction::Ignore;
     }
-    // A gap means that a frame was lost on the way: what follows would be passed off as the whole answer.
+    // A gap means that a frame was lost. Delivering the rest would present an incomplete answer as a complete one.
     if (frame.sequence > m_nextSequence) {
         if (const auto *end = std::get_if<AnswerFrame::End>(&frame.content)) {
-            // The answer has a hole, but what the run cost is known.
+            // The answer is incomplete, but the cost of the run is known.
             m_usage = end->usage;
             m_charged = end->charged;
         }
--- a/src/request/requeststatemachine.h
+++ b/src/request/requeststatemachine.h
@@ -13,37 +13,39 @@
 
 namespace bamboohold {
 
-/// The engine's status line and content type.
+/// Status code and content type of the engine's answer.
 struct AnswerHead {
     unsigned status = 0;
     std::string contentType;
 };
 
-/// The engine counted the prompt: the worst case can be lowered.
+/// The engine has counted the prompt tokens, so that the reservation for the worst case can be lowered.
 struct AnswerPromptCounted {
     Tokens tokens = 0;
 };
 
-/// Bytes of an answer's body.
+/// A part of the answer's body.
 struct AnswerData {
     std::string bytes;
 };
 
-/// The run ended.
+/// The run has ended.
 struct AnswerEnd {
     RunEnd end = RunEnd::Unknown;
-    /// The engine's final count; empty when it gave none that can be trusted.
+    /// The engine's final token count; empty when it gave none that is reliable.
     std::optional<TokenUsage> usage;
+    /// Tokens to charge for the run.
     Tokens charged = 0;
+    /// Total size of the answer's body as the sidecar sent it.
     std::uint64_t dataBytes = 0;
 };
 
-/// The sidecar declined: not run.
+/// The sidecar declined the request, which was not run.
 struct AnswerRefused {
     RunRefusal reason = RunRefusal::Full;
 };
 
-/// One piece of an answer as it comes from a sidecar.
+/// One frame of an answer, as received from a sidecar.
 struct AnswerFrame {
     using Head = AnswerHead;
     using PromptCounted = AnswerPromptCounted;
@@ -52,29 +54,30 @@
     using Refused = AnswerRefused;
 
     std::uint32_t attempt = 0;
-    /// Counts from 0 within an attempt.
+    /// Sequence number within the attempt, counted from 0.
     std::uint64_t sequence = 0;
     std::variant<Head, PromptCounted, Data, End, Refused> content;
 };
 
-/// What the driver of a request should do next.
+/// What the driver of a request must do next.
 enum class RequestAction {
-    /// A late, doubled or foreign frame: drop it and count it.
+    /// Drop the frame and count it: it is late, duplicated or of another attempt.
     Ignore,
-    /// Pass the frame on to the caller.
+    /// Forward the frame to the caller.
     Deliver,
-    /// Lower the reservation to prompt tokens plus the output limit.
+    /// Lower the reservation to the counted prompt tokens plus the output limit.
     LowerReservation,
-    /// The attempt certainly did not run: try another target.
+    /// Try another target: the attempt is known not to have run.
     RetryElsewhere,
-    /// The request has its outcome; send it.
+    /// Answer the caller: the request has its outcome.
     Finish,
 };
 
-/// The course of one request over its attempts, from admission to its outcome. It alone decides what may be told to the caller: "not run"
-/// only when every attempt was declined before its engine had it, "answered" only when all frames came in order and the byte count agrees.
+/// Tracks one request over its attempts, from admission to the outcome, and is the only place that decides the outcome. "Not run" requires
+/// that every attempt was declined before its engine received it. "Answered" requires that all frames arrived in order and the byte count
+/// matches.
 ///
-/// Pure: the router's request coroutine feeds it frames and losses and carries out its steps.
+/// Has no I/O: the router's request coroutine passes in frames and connection losses, and performs the returned actions.
 class RequestStateMachine
 {
 public:
@@ -84,64 +87,66 @@
 
     explicit RequestStateMachine(Options options);
 
-    /// Opens the next attempt and returns its number, counted from 1.
+    /// Starts the next attempt, and returns its number, counted from 1.
     std::uint32_t beginAttempt(std::string_view target);
 
-    /// A frame arrived.
+    /// Processes a frame from a sidecar.
     RequestAction onFrame(const AnswerFrame &frame);
 
-    /// The target or the link to it is gone, or the deadline passed, while an attempt was open.
+    /// Ends the request because, during an attempt, the target or the link to it was lost or the deadline passed. The outcome is unknown,
+    /// or failed after running if a frame was delivered.
     RequestAction onLost(FailureKind why);
 
-    /// No target could be asked.
+    /// Ends the request as not run: no attempt could be started.
     RequestAction onNoTarget(const Failure &failure);
 
-    /// An earlier request under the same idempotency key stands in the way; whatever became of it, this one is not run.
+    /// Ends the request because an earlier one has claimed the same idempotency key. This one is not run, but the outcome is unknown: it
+    /// depends on the earlier one.
     RequestAction onExistingClaim(Failure failure);
 
-    /// The outcome; valid after Finish.
+    /// The outcome; valid after `RequestAction::Finish`.
     Outcome outcome() const
     {
         return m_outcome;
     }
 
-    /// The failure to tell the caller; meaningful for every outcome but Answered.
+    /// The failure to report to the caller; valid for every outcome except `Outcome::Answered`.
     const Failure &failure() const
     {
         return m_failure;
     }
 
-    /// Tokens the request costs; empty when the worst case must be charged.
+    /// Tokens to charge for the request; empty when the worst case must be charged.
     const std::optional<Tokens> &charged() const
     {
         return m_charged;
     }
 
-    /// The engine's own count, when it gave one.
+    /// The engine's token count; empty when it gave none.
     const std::optional<TokenUsage> &usage() const
     {
         return m_usage;
     }
 
-    /// Target of the newest attempt.
+    /// Target of the latest attempt.
     const std::string &target() const
     {
         return m_target;
     }
 
-    /// Number of the newest attempt.
+    /// Number of the latest attempt; 0 before the first.
     std::uint32_t attempt() const
     {
         return m_attempt;
     }
 
-    /// True once a frame was delivered to the caller.
+    /// True once a frame was returned to the driver with `RequestAction::Deliver`.
     bool hasDelivered() const
     {
         return m_delivered;
     }
 
-    /// Targets that declined this request.
+    /// Targets that have declined this request.
     const std::vector<std::string> &declinedTargets() const
     {
         return m_declinedTargets;
--- a/src/tests/claimbatchtest.cpp
+++ b/src/tests/claimbatchtest.cpp
@@ -16,8 +16,8 @@
 
 }
 
-// A registry submission would be filed twice. Order: the caller's first try is claimed at one router, its retry reaches another in the same
-// moment as other callers' requests. The retry must see the first claim; the others must not be held up by it.
+// Guards against a request that runs twice. The first attempt is claimed by one router, and the caller's retry reaches another router at
+// the same time as other callers' requests. The retry must find the first claim, and must not delay the other requests.
 BOOST_AUTO_TEST_CASE(oneTakenClaimDoesNotFailTheOthers)
 {
     MemoryTable table;
@@ -37,7 +37,7 @@
     BOOST_TEST(second.result(1)->existingClaim.requestId == "r1");
 }
 
-// A caller would be told that somebody else runs its request when its own claim took effect and only the answer was lost.
+// Guards against a caller that is told that its request is already running, when only the answer to its own claim was lost.
 BOOST_AUTO_TEST_CASE(repeatedWriteIsRecognised)
 {
     MemoryTable table;
--- a/src/tests/requestcoursetest.cpp
+++ b/src/tests/requestcoursetest.cpp
@@ -38,8 +38,8 @@
     BOOST_TEST(machine.charged().value() == 7);
 }
 
-// A caller would read words of another answer or a hole in its own. Frames come late, twice, from an abandoned attempt, or one is missing;
-// each case must end in an answer that is whole or in a failure, never in something between.
+// Guards against an answer that contains parts of another one or lacks a part. Frames arrive late, twice, from an abandoned attempt, or one
+// is missing; each case must end in a complete answer or in a failure.
 BOOST_AUTO_TEST_CASE(lateDuplicateForeignAndMissingFrames)
 {
     RequestStateMachine duplicated = started();
@@ -56,7 +56,7 @@
     BOOST_TEST((missing.outcome() == Outcome::FailedAfterRunning));
     BOOST_TEST((missing.failure().kind == FailureKind::AnswerIncomplete));
 
-    // The end is repeated for a router that was paused: the answer stays incomplete, but the charge is known.
+    // A sidecar repeats the end for a router that was suspended: the answer stays incomplete, but the charge is known.
     RequestStateMachine repeated = started();
     (void)repeated.onFrame(frame(0, AnswerHead{.status = 200}));
     BOOST_TEST((repeated.onFrame(frame(UINT64_MAX, complete(3))) == RequestAction::Finish));
@@ -75,7 +75,8 @@
     BOOST_TEST((fewerBytes.failure().kind == FailureKind::AnswerIncomplete));
 }
 
-// "Not run" may be said only where it is proved; whatever else happens after a dispatch is "unknown" or "failed after running".
+// Guards against "not run" for a request that may have run: after a dispatch, every outcome that is not proven is "unknown" or "failed
+// after running".
 BOOST_AUTO_TEST_CASE(notRunOnlyWhereProved)
 {
     struct Case {
