--- a/src/routing/limitadmissions.h
+++ b/src/routing/limitadmissions.h
@@ -25,7 +25,8 @@
 public:
     /// After an idle period, the requests that the rate allows within this time are admitted at once.
     static constexpr Duration s_burstTolerance = std::chrono::milliseconds(500);
-    /// Requests in flight at a target when it first sets a limit delay the first admission by at most this long, plus `s_burstTolerance`.
+    /// Requests in flight at a target on the first query delay the first admission by at most this long. The delay is at least
+    /// `s_admissionSpan`.
     static constexpr Duration s_maxInitialDelay = std::chrono::seconds(4);
     /// Lower limits are raised to this rate: a target that gets no requests could not report that its limit has ended.
     static constexpr double s_minRequestsPerSecond = 0.2;
--- a/src/routing/loadclient.h
+++ b/src/routing/loadclient.h
@@ -62,8 +62,8 @@
         int timeoutRoundTrips = 4;
         Duration minTimeout = std::chrono::milliseconds(3);
         Duration maxTimeout = std::chrono::milliseconds(15);
-        /// Single datagrams get lost, so a relay counts as absent only after this many consecutive timeouts. It is then not queried for
-        /// the backoff time, which doubles with each further timeout.
+        /// Single datagrams get lost, so a relay counts as absent only after this many consecutive timeouts, or after the first if it has
+        /// never answered. It is then not queried for the backoff time, which doubles with each further timeout.
         std::uint32_t timeoutsBeforeBackoff = 2;
         Duration initialBackoff = std::chrono::seconds(1);
         Duration maxBackoff = std::chrono::seconds(30);
