--- a/src/tests/targettabletest.cpp
+++ b/src/tests/targettabletest.cpp
@@ -47,7 +47,7 @@
     BOOST_TEST(chosen(table, 1) == "a");
 }
 
-BOOST_AUTO_TEST_CASE(countsWhatItSentSinceTheReport)
+BOOST_AUTO_TEST_CASE(countsRequestsSentSinceTheReport)
 {
     TargetTable table = twoTargets();
     BOOST_TEST(chosen(table, 1) == "a");
@@ -55,7 +55,7 @@
     BOOST_TEST(chosen(table, 2) == "b");
 }
 
-BOOST_AUTO_TEST_CASE(leavesOutTargetsThatCannotServe)
+BOOST_AUTO_TEST_CASE(skipsUnusableTargets)
 {
     struct Case {
         const char *description;
@@ -89,7 +89,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(silenceTakesATargetOut)
+BOOST_AUTO_TEST_CASE(targetWithoutRecentReportIsUnusable)
 {
     TargetTable table = twoTargets();
     table.recordReport("b", {.incarnation = "b~1", .slots = 4}, at(2500));
