--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -99,7 +99,7 @@
             m_store.setDetours(m_detours, m_options.openDetour);
         }
         if (m_options.mechanisms.sharedLoads) {
-            m_gateway.chooser().setLoadLink(m_loads);
+            m_gateway.chooser().setLoadClient(m_loads);
         }
     }
 
@@ -475,7 +475,7 @@
     LedgerSynchronizer<Relayed> m_keeper;
     Gateway m_gateway;
     LoadServer m_loadServer;
-    LoadLink m_loads;
+    LoadClient m_loads;
     EvacuationFollower m_evacuations;
     PeerExchange<Store> m_help;
     QuarantineKeeper<Relayed> m_quarantine;
--- a/src/routing/loadserver.cpp
+++ b/src/routing/loadserver.cpp
@@ -45,7 +45,7 @@
         m_socket.non_blocking(true, error);
     }
     if (error) {
-        return failed(FailureKind::InvalidSetting, absl::StrCat("loads cannot be listened for: ", error.message()));
+        return failed(FailureKind::InvalidSetting, absl::StrCat("cannot bind the UDP socket for load queries: ", error.message()));
     }
     asio::co_spawn(m_socket.get_executor(), serve(), asio::detached);
     return absl::OkStatus();
@@ -56,33 +56,33 @@
     return m_socket.local_endpoint().port();
 }
 
-void LoadServer::reply(const wire::LoadNote &note, wire::LoadAnswer &answer)
+void LoadServer::handleNote(const wire::LoadNote &note, wire::LoadAnswer &answer)
 {
     const Instant now = steadyNow();
     const std::uint64_t target = note.target();
     const TargetLoad own{.outstanding = note.outstanding(), .unread = note.unread()};
-    const TargetLoad others = m_book.noted({.router = note.router(), .target = target, .sequence = note.sequence(), .load = own}, now);
+    const TargetLoad others = m_loads.update({.router = note.router(), .target = target, .sequence = note.sequence(), .load = own}, now);
     if (note.has_heard_limit()) {
-        m_limits.heard(target, note.heard_limit(), now);
+        m_limits.recordLimit(target, note.heard_limit(), now);
     }
     if (note.limited_per_second() > 0 && !m_limits.limit(target)) {
-        m_limits.heard(target, note.limited_per_second(), now);
+        m_limits.recordLimit(target, note.limited_per_second(), now);
     }
-    AdmissionVerdict verdict;
+    AdmissionDecision decision;
     if (note.limited_per_second() > 0) {
         const TargetLoad all{.outstanding = own.outstanding + others.outstanding, .unread = own.unread + others.unread};
-        verdict = m_limits.admit(target, note.limited_per_second(), all, now);
+        decision = m_limits.admit(target, note.limited_per_second(), all, now);
     }
-    if (note.admissions_per_second() > 0 && (verdict.admitted || note.limited_per_second() <= 0)) {
-        verdict.admitted = m_cold.admit(target, note.admissions_per_second(), now);
+    if (note.admissions_per_second() > 0 && (decision.admitted || note.limited_per_second() <= 0)) {
+        decision.admitted = m_cold.admit(target, note.admissions_per_second(), now);
     }
     answer.Clear();
     answer.set_target(target);
     answer.set_sequence(note.sequence());
     answer.set_outstanding(others.outstanding);
     answer.set_unread(others.unread);
-    answer.set_admitted(verdict.admitted);
-    answer.set_wait_ms(static_cast<std::uint32_t>(std::chrono::ceil<std::chrono::milliseconds>(verdict.wait).count()));
+    answer.set_admitted(decision.admitted);
+    answer.set_wait_ms(static_cast<std::uint32_t>(std::chrono::ceil<std::chrono::milliseconds>(decision.wait).count()));
     if (const std::optional<double> limit = m_limits.limit(target)) {
         answer.set_limit(*limit);
     }
@@ -90,27 +90,27 @@
 
 asio::awaitable<void> LoadServer::serve()
 {
-    std::array<char, s_longestLoadMessage> message{};
+    std::array<char, s_maxLoadMessageBytes> message{};
     asio::ip::udp::endpoint from;
     wire::LoadNote note;
     wire::LoadAnswer answer;
     while (m_socket.is_open()) {
         auto [error, size] = co_await m_socket.async_receive_from(asio::buffer(message), from, s_tuple);
         if (error) {
-            co_await pause(s_loadFailurePause);
+            co_await pause(s_receiveErrorPause);
             continue;
         }
         if (!note.ParseFromArray(message.data(), static_cast<int>(size))) {
             continue;
         }
-        reply(note, answer);
+        handleNote(note, answer);
         if (!note.asks()) {
             continue;
         }
         const std::string text = answer.SerializeAsString();
-        // An answer that cannot be sent at once is one that gets lost; the router goes by what it knows.
-        boost::system::error_code lost;
-        m_socket.send_to(asio::buffer(text), from, 0, lost);
+        // An answer that cannot be sent at once is dropped like a lost datagram; the router then decides by what it already knows.
+        boost::system::error_code sendError;
+        m_socket.send_to(asio::buffer(text), from, 0, sendError);
     }
 }
 
--- a/src/tests/admissionfleettest.cpp
+++ b/src/tests/admissionfleettest.cpp
@@ -49,7 +49,7 @@
         BOOST_REQUIRE(loadServer.open().ok());
         BOOST_REQUIRE(loads.open().ok());
         BOOST_REQUIRE(server.open().ok());
-        gateway.chooser().setLoadLink(loads);
+        gateway.chooser().setLoadClient(loads);
         gateway.chooser().setRouters(std::vector{loadAddress(0), loadAddress(1), loadAddress(2)});
         gateway.setPlan(testPlan());
     }
@@ -69,7 +69,7 @@
     TeamLedger ledger;
     Gateway gateway;
     LoadServer loadServer;
-    LoadLink loads;
+    LoadClient loads;
     HttpServer server;
 };
 
@@ -147,7 +147,7 @@
         }
     });
     // Each router learns the limit from the answer to its first request.
-    const double admitted = s_perSecond * seconds(steadyNow() - begun + LimitAdmissions::s_leeway) + 1;
+    const double admitted = s_perSecond * seconds(steadyNow() - begun + LimitAdmissions::s_burstTolerance) + 1;
     BOOST_TEST(served <= admitted + s_routers);
     BOOST_TEST(served > static_cast<int>(s_routers));
     BOOST_TEST(fleet.target().requests().size() == static_cast<std::size_t>(served));
