--- a/src/caller/callerapi.cpp
+++ b/src/caller/callerapi.cpp
@@ -15,12 +15,12 @@
 constexpr std::string_view s_completionPath = "/v1/completions";
 constexpr std::string_view s_modelsPath = "/v1/models";
 constexpr std::string_view s_servicesPath = "/services/";
-constexpr std::string_view s_bearer = "Bearer ";
+constexpr std::string_view s_bearerPrefix = "Bearer ";
 constexpr std::string_view s_deadlineHeader = "X-Request-Deadline-Ms";
 constexpr std::string_view s_nonIdempotentHeader = "X-Non-Idempotent";
-constexpr std::size_t s_longestIdempotencyKey = 255;
-constexpr std::int64_t s_longestDeadlineMs = 3'600'000;
-constexpr std::int64_t s_retryDrainingMs = 1'000;
+constexpr std::size_t s_maxIdempotencyKeyBytes = 255;
+constexpr std::int64_t s_maxDeadlineMs = 3'600'000;
+constexpr std::int64_t s_unavailableRetryAfterMs = 1'000;
 
 }
 
@@ -31,7 +31,7 @@
 {
 }
 
-asio::awaitable<void> CallerApi::refuse(HttpExchange &exchange, const Failure &failure)
+asio::awaitable<void> CallerApi::rejectRequest(HttpExchange &exchange, const Failure &failure)
 {
     std::vector<HttpHeader> headers;
     appendRetryAfter(headers, failure);
@@ -43,19 +43,20 @@
     const ConfigurationPointer configuration = m_configuration();
     if (configuration == nullptr) {
         const Failure failure{
-            .kind = FailureKind::NoTarget, .detail = "no configuration is in force yet", .retryAfterMs = s_retryDrainingMs};
-        co_await refuse(exchange, failure);
+            .kind = FailureKind::NoTarget, .detail = "no configuration is in force yet", .retryAfterMs = s_unavailableRetryAfterMs};
+        co_await rejectRequest(exchange, failure);
         co_return;
     }
     if (m_draining) {
-        const Failure failure{.kind = FailureKind::Draining, .detail = "this router is shutting down", .retryAfterMs = s_retryDrainingMs};
-        co_await refuse(exchange, failure);
+        const Failure failure{
+            .kind = FailureKind::Draining, .detail = "this router is shutting down", .retryAfterMs = s_unavailableRetryAfterMs};
+        co_await rejectRequest(exchange, failure);
         exchange.cut();
         co_return;
     }
-    auto request = admit(exchange, *configuration);
+    auto request = parseRequest(exchange, *configuration);
     if (!request.ok()) {
-        co_await refuse(exchange, toFailure(request.status()));
+        co_await rejectRequest(exchange, toFailure(request.status()));
         co_return;
     }
     if (exchange.path() == s_modelsPath) {
@@ -65,7 +66,7 @@
     co_await m_driver.serve(exchange, *std::move(request));
 }
 
-absl::StatusOr<Duration> CallerApi::deadlineOf(const HttpExchange &exchange) const
+absl::StatusOr<Duration> CallerApi::requestedDeadline(const HttpExchange &exchange) const
 {
     const std::string_view text = exchange.header(s_deadlineHeader);
     if (text.empty()) {
@@ -73,24 +74,24 @@
     }
     std::int64_t milliseconds = 0;
     if (!absl::SimpleAtoi(absl::string_view(text.data(), text.size()), &milliseconds) || milliseconds < 1
-        || milliseconds > s_longestDeadlineMs) {
+        || milliseconds > s_maxDeadlineMs) {
         return failed(FailureKind::InvalidRequest,
-                      absl::StrCat("X-Request-Deadline-Ms must be a whole number from 1 to ", s_longestDeadlineMs));
+                      absl::StrCat("X-Request-Deadline-Ms must be a whole number from 1 to ", s_maxDeadlineMs));
     }
     return std::chrono::milliseconds(milliseconds);
 }
 
-absl::StatusOr<RoutedRequest> CallerApi::admit(const HttpExchange &exchange, const Configuration &configuration) const
+absl::StatusOr<RoutedRequest> CallerApi::parseRequest(const HttpExchange &exchange, const Configuration &configuration) const
 {
     std::string_view authorization = exchange.header("Authorization");
-    if (!authorization.starts_with(s_bearer)) {
+    if (!authorization.starts_with(s_bearerPrefix)) {
         return failed(FailureKind::Unauthenticated, "a header 'Authorization: Bearer KEY' is required");
     }
-    const Team *team = configuration.authenticate(authorization.substr(s_bearer.size()));
+    const Team *team = configuration.authenticate(authorization.substr(s_bearerPrefix.size()));
     if (team == nullptr) {
         return failed(FailureKind::Unauthenticated, "the key is not known");
     }
-    const auto deadline = deadlineOf(exchange);
+    const auto deadline = requestedDeadline(exchange);
     if (!deadline.ok()) {
         return deadline.status();
     }
@@ -101,13 +102,13 @@
     request.contentType = type.empty() ? "application/json" : std::string(type);
     request.nonIdempotent = exchange.header(s_nonIdempotentHeader) == "true";
     request.idempotencyKey = std::string(exchange.header("Idempotency-Key"));
-    if (request.idempotencyKey.size() > s_longestIdempotencyKey) {
-        return failed(FailureKind::InvalidRequest, absl::StrCat("Idempotency-Key must have at most ", s_longestIdempotencyKey, " bytes"));
+    if (request.idempotencyKey.size() > s_maxIdempotencyKeyBytes) {
+        return failed(FailureKind::InvalidRequest, absl::StrCat("Idempotency-Key must have at most ", s_maxIdempotencyKeyBytes, " bytes"));
     }
     const std::string_view path = exchange.path();
     absl::Status status = absl::OkStatus();
     if (path == s_chatPath || path == s_completionPath) {
-        status = readBody(exchange, configuration, request);
+        status = readCompletionCall(exchange, configuration, request);
     } else if (path.starts_with(s_servicesPath)) {
         status = readServiceCall(exchange, configuration, request);
     } else if (path != s_modelsPath) {
@@ -119,7 +120,7 @@
     return request;
 }
 
-absl::Status CallerApi::readBody(const HttpExchange &exchange, const Configuration &configuration, RoutedRequest &request) const
+absl::Status CallerApi::readCompletionCall(const HttpExchange &exchange, const Configuration &configuration, RoutedRequest &request) const
 {
     if (exchange.request().method() != http::verb::post) {
         return failed(FailureKind::InvalidRequest, "this path takes POST");
@@ -129,10 +130,10 @@
         return completion.status();
     }
     const auto &models = configuration.inventory().models;
-    const bool known = std::any_of(models.begin(), models.end(), [&completion](const Model &model) {
+    const bool exists = std::any_of(models.begin(), models.end(), [&completion](const Model &model) {
         return model.name == completion->model;
     });
-    if (!known) {
+    if (!exists) {
         return failed(FailureKind::UnknownModel, absl::StrCat("no model '", completion->model, "'"));
     }
     if (!configuration.inventory().mayUseModel(request.team, completion->model)) {
@@ -155,10 +156,10 @@
     request.service = std::string(rest.substr(0, slash));
     request.path = slash == rest.size() ? "/" : std::string(rest.substr(slash));
     const auto &targets = configuration.inventory().targets;
-    const bool known = std::any_of(targets.begin(), targets.end(), [&request](const Target &entry) {
+    const bool exists = std::any_of(targets.begin(), targets.end(), [&request](const Target &entry) {
         return entry.isService() && entry.service == request.service;
     });
-    if (!known) {
+    if (!exists) {
         return failed(FailureKind::UnknownService, absl::StrCat("no service '", request.service, "'"));
     }
     if (!configuration.inventory().mayUseService(request.team, request.service)) {
--- a/src/caller/callerapi.h
+++ b/src/caller/callerapi.h
@@ -34,11 +34,11 @@
     }
 
 private:
-    absl::StatusOr<RoutedRequest> admit(const HttpExchange &exchange, const Configuration &configuration) const;
-    absl::Status readBody(const HttpExchange &exchange, const Configuration &configuration, RoutedRequest &request) const;
+    absl::StatusOr<RoutedRequest> parseRequest(const HttpExchange &exchange, const Configuration &configuration) const;
+    absl::Status readCompletionCall(const HttpExchange &exchange, const Configuration &configuration, RoutedRequest &request) const;
     absl::Status readServiceCall(const HttpExchange &exchange, const Configuration &configuration, RoutedRequest &request) const;
-    absl::StatusOr<Duration> deadlineOf(const HttpExchange &exchange) const;
-    asio::awaitable<void> refuse(HttpExchange &exchange, const Failure &failure);
+    absl::StatusOr<Duration> requestedDeadline(const HttpExchange &exchange) const;
+    asio::awaitable<void> rejectRequest(HttpExchange &exchange, const Failure &failure);
     static std::string modelList(const Configuration &configuration);
 
     RequestDriver &m_driver;
--- a/src/caller/completionrequest.cpp
+++ b/src/caller/completionrequest.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 /// Tokens that a chat template may add around the messages.
-constexpr Tokens s_templateTokens = 64;
-constexpr std::int64_t s_mostChoices = 16;
+constexpr Tokens s_chatTemplateTokens = 64;
+constexpr std::int64_t s_maxChoices = 16;
 
 absl::Status invalid(std::string_view detail)
 {
@@ -21,14 +21,14 @@
 }
 
 absl::StatusOr<std::int64_t>
-numberWithin(const boost::json::object &object, std::string_view field, std::int64_t highest, std::int64_t fallback)
+integerInRange(const boost::json::object &object, std::string_view field, std::int64_t max, std::int64_t defaultValue)
 {
     const auto *value = object.if_contains({field.data(), field.size()});
     if (value == nullptr || value->is_null()) {
-        return fallback;
+        return defaultValue;
     }
-    if (!value->is_int64() || value->get_int64() < 1 || value->get_int64() > highest) {
-        return invalid(absl::StrCat("'", std::string(field), "' must be a whole number from 1 to ", highest));
+    if (!value->is_int64() || value->get_int64() < 1 || value->get_int64() > max) {
+        return invalid(absl::StrCat("'", std::string(field), "' must be a whole number from 1 to ", max));
     }
     return value->get_int64();
 }
@@ -58,8 +58,8 @@
     }
     request.streamed = stream != nullptr && stream->get_bool();
     const std::string_view limitField = object.contains("max_completion_tokens") ? "max_completion_tokens" : "max_tokens";
-    const auto limit = numberWithin(object, limitField, limits.highest, limits.fallback);
-    const auto choices = numberWithin(object, "n", s_mostChoices, 1);
+    const auto limit = integerInRange(object, limitField, limits.maxLimit, limits.defaultLimit);
+    const auto choices = integerInRange(object, "n", s_maxChoices, 1);
     if (!limit.ok()) {
         return limit.status();
     }
@@ -73,7 +73,7 @@
         object["stream_options"] = {{"include_usage", true}, {"continuous_usage_stats", true}};
     }
     request.engineBody = boost::json::serialize(object);
-    request.bound = static_cast<Tokens>(request.engineBody.size()) + s_templateTokens + request.outputLimit;
+    request.bound = static_cast<Tokens>(request.engineBody.size()) + s_chatTemplateTokens + request.outputLimit;
     return request;
 }
 
--- a/src/caller/completionrequest.h
+++ b/src/caller/completionrequest.h
@@ -11,8 +11,8 @@
 
 /// Bounds on the output limit of a request.
 struct OutputLimits {
-    Tokens fallback = 256;
-    Tokens highest = 8192;
+    Tokens defaultLimit = 256;
+    Tokens maxLimit = 8192;
 };
 
 /// A caller's completion request, checked and made ready for an engine.
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -73,7 +73,7 @@
                 [this] {
                     return configuration();
                 },
-                {.limits = {.fallback = settings.defaultOutputTokens, .highest = settings.maxOutputTokens},
+                {.limits = {.defaultLimit = settings.defaultOutputTokens, .maxLimit = settings.maxOutputTokens},
                  .defaultDeadline = settings.defaultDeadline})
     , m_peers({.self = m_identity.incarnation, .silence = settings.reclaimAfter})
     , m_relay(pool.mainLoop().get_executor(),
--- a/src/tests/completionrequesttest.cpp
+++ b/src/tests/completionrequesttest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr OutputLimits s_limits{.fallback = 50, .highest = 1000};
+constexpr OutputLimits s_limits{.defaultLimit = 50, .maxLimit = 1000};
 
 }
 
