--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-constexpr Duration s_queuePoll = std::chrono::milliseconds(5);
-constexpr Duration s_silenceCheck = std::chrono::milliseconds(500);
-constexpr std::int64_t s_retryClaimedMs = 2'000;
-constexpr std::uint64_t s_initialCredit = 256 * 1024;
-constexpr std::size_t s_creditBatch = 64 * 1024;
+constexpr Duration s_queuePollInterval = std::chrono::milliseconds(5);
+constexpr Duration s_frameTimeout = std::chrono::milliseconds(500);
+constexpr std::int64_t s_claimedRetryAfterMs = 2'000;
+constexpr std::uint64_t s_initialCreditBytes = 256 * 1024;
+constexpr std::size_t s_creditBatchBytes = 64 * 1024;
 
-std::vector<HttpHeader> answerHeaders(const RoutedRequest &request)
+std::vector<HttpHeader> responseHeaders(const RoutedRequest &request)
 {
     return {{.name = "X-Request-Id", .value = request.requestId}};
 }
@@ -27,18 +27,18 @@
 }
 
 /// One request's state while it is in this router.
-struct RequestDriver::Journey {
+struct RequestDriver::ActiveRequest {
     HttpExchange &exchange;
     RoutedRequest request;
     RequestCourse course;
     std::shared_ptr<AnswerMailbox> mailbox;
     TargetChoice choice;
-    Instant begin;
+    Instant startTime;
     std::optional<Instant> firstByte;
     unsigned status = 200;
     std::string contentType;
     std::string body;
-    std::size_t uncredited = 0;
+    std::size_t uncreditedBytes = 0;
     std::uint64_t earliestFlush = 0;
     /// The peer whose grant pays; empty for this router's own.
     std::string payer;
@@ -47,7 +47,7 @@
     bool cancelSent = false;
     Instant cancelSentAt{};
     /// The caller has its final answer, or hung up; only the settlement is still to come.
-    bool callerDone = false;
+    bool callerFinished = false;
 };
 
 RequestDriver::RequestDriver(BudgetService &budgets,
@@ -82,198 +82,198 @@
     accessor->second->push(fromWire(message));
 }
 
-std::optional<Instant> RequestDriver::oldestBegin() const
+std::optional<Instant> RequestDriver::oldestStartTime() const
 {
-    const std::lock_guard lock(m_beginsMutex);
-    return m_begins.empty() ? std::nullopt : std::optional(*m_begins.begin());
+    const std::lock_guard lock(m_startTimesMutex);
+    return m_startTimes.empty() ? std::nullopt : std::optional(*m_startTimes.begin());
 }
 
 asio::awaitable<void> RequestDriver::serve(HttpExchange &exchange, RoutedRequest request)
 {
-    Journey journey{.exchange = exchange,
-                    .request = std::move(request),
-                    .course = RequestCourse({.maxAttempts = m_options.maxAttempts}),
-                    .mailbox = std::make_shared<AnswerMailbox>(exchange.executor()),
-                    .begin = steadyNow()};
-    exchange.onHangUp([mailbox = journey.mailbox] {
+    ActiveRequest active{.exchange = exchange,
+                         .request = std::move(request),
+                         .course = RequestCourse({.maxAttempts = m_options.maxAttempts}),
+                         .mailbox = std::make_shared<AnswerMailbox>(exchange.executor()),
+                         .startTime = steadyNow()};
+    exchange.onHangUp([mailbox = active.mailbox] {
         mailbox->hangUp();
     });
-    if (journey.request.nonIdempotent && !journey.request.idempotencyKey.empty()) {
-        const bool mine = co_await claim(journey);
-        if (!mine) {
-            observe(journey);
+    if (active.request.nonIdempotent && !active.request.idempotencyKey.empty()) {
+        const bool acquired = co_await claim(active);
+        if (!acquired) {
+            recordMetrics(active);
             co_return;
         }
     }
-    if (!journey.request.plainService()) {
-        const absl::Status reserved = co_await reserve(journey);
+    if (!active.request.plainService()) {
+        const absl::Status reserved = co_await reserve(active);
         if (!reserved.ok()) {
-            journey.course.onNoTarget(toFailure(reserved));
-            co_await closeClaim(journey);
-            co_await answer(journey);
-            observe(journey);
+            active.course.onNoTarget(toFailure(reserved));
+            co_await finishClaim(active);
+            co_await sendResponse(active);
+            recordMetrics(active);
             co_return;
         }
     }
     {
-        const std::lock_guard lock(m_beginsMutex);
-        m_begins.insert(journey.begin);
+        const std::lock_guard lock(m_startTimesMutex);
+        m_startTimes.insert(active.startTime);
     }
-    m_mailboxes.emplace(journey.request.requestId, journey.mailbox);
-    co_await travel(journey);
-    m_mailboxes.erase(journey.request.requestId);
+    m_mailboxes.emplace(active.request.requestId, active.mailbox);
+    co_await attemptUntilFinished(active);
+    m_mailboxes.erase(active.request.requestId);
     // Settled before the caller has its answer's end: whoever asks for the budget next sees this request in it.
-    settle(journey);
+    settle(active);
     {
-        const std::lock_guard lock(m_beginsMutex);
-        m_begins.extract(journey.begin);
+        const std::lock_guard lock(m_startTimesMutex);
+        m_startTimes.extract(active.startTime);
     }
-    co_await closeClaim(journey);
-    co_await answer(journey);
-    observe(journey);
+    co_await finishClaim(active);
+    co_await sendResponse(active);
+    recordMetrics(active);
 }
 
-asio::awaitable<bool> RequestDriver::claim(Journey &journey)
+asio::awaitable<bool> RequestDriver::claim(ActiveRequest &active)
 {
-    Claim wanted{.key = claimKey(journey.request.team, journey.request.idempotencyKey),
-                 .requestId = journey.request.requestId,
+    Claim wanted{.key = claimKey(active.request.team, active.request.idempotencyKey),
+                 .requestId = active.request.requestId,
                  .router = m_options.incarnation};
     const auto result = co_await m_claims.take(wanted);
     if (!result.ok()) {
-        journey.course.onNoTarget(toFailure(result.status()));
-        co_await answer(journey);
+        active.course.onNoTarget(toFailure(result.status()));
+        co_await sendResponse(active);
         co_return false;
     }
     if (result->taken) {
         wanted.version = result->version;
-        journey.claim = std::move(wanted);
+        active.claim = std::move(wanted);
         co_return true;
     }
-    Claim standing = result->standing;
-    co_await answerFromClaim(journey, std::move(standing));
+    Claim existing = result->standing;
+    co_await respondFromClaim(active, std::move(existing));
     co_return false;
 }
 
-asio::awaitable<void> RequestDriver::answerFromClaim(Journey &journey, Claim standing)
+asio::awaitable<void> RequestDriver::respondFromClaim(ActiveRequest &active, Claim existing)
 {
-    Failure failure{.kind = FailureKind::AlreadyRunning, .executed = Executed::Unknown, .retryAfterMs = s_retryClaimedMs};
+    Failure failure{.kind = FailureKind::AlreadyRunning, .executed = Executed::Unknown, .retryAfterMs = s_claimedRetryAfterMs};
     failure.detail =
-        absl::StrCat("request ", standing.requestId, " with this idempotency key is under way or was lost; it is not run again");
-    if (standing.state == Claim::State::Done && standing.outcome == outcomeName(Outcome::Answered)) {
-        const auto body = co_await m_claims.result(standing.resultObject);
+        absl::StrCat("request ", existing.requestId, " with this idempotency key is under way or was lost; it is not run again");
+    if (existing.state == Claim::State::Done && existing.outcome == outcomeName(Outcome::Answered)) {
+        const auto body = co_await m_claims.result(existing.resultObject);
         if (body.ok()) {
-            std::vector<HttpHeader> headers = answerHeaders(journey.request);
-            headers.front().value = standing.requestId;
+            std::vector<HttpHeader> headers = responseHeaders(active.request);
+            headers.front().value = existing.requestId;
             headers.push_back({.name = "Idempotent-Replayed", .value = "true"});
-            co_await journey.exchange.respond(standing.status, standing.contentType, *body, std::move(headers));
-            journey.callerDone = true;
+            co_await active.exchange.respond(existing.status, existing.contentType, *body, std::move(headers));
+            active.callerFinished = true;
         }
-    } else if (standing.state == Claim::State::Done) {
-        const bool ran = standing.outcome == outcomeName(Outcome::FailedAfterRunning);
+    } else if (existing.state == Claim::State::Done) {
+        const bool ran = existing.outcome == outcomeName(Outcome::FailedAfterRunning);
         failure = Failure{.kind = FailureKind::EngineFailed, .executed = ran ? Executed::Yes : Executed::Unknown};
         failure.detail =
-            absl::StrCat("request ", standing.requestId, " with this idempotency key ended as ", standing.outcome, "; it is not run again");
+            absl::StrCat("request ", existing.requestId, " with this idempotency key ended as ", existing.outcome, "; it is not run again");
     }
-    journey.course.onStanding(std::move(failure));
-    if (!journey.callerDone) {
-        co_await answerFailure(journey, journey.course.failure());
+    active.course.onStanding(std::move(failure));
+    if (!active.callerFinished) {
+        co_await sendFailure(active, active.course.failure());
     }
 }
 
-asio::awaitable<void> RequestDriver::closeClaim(Journey &journey)
+asio::awaitable<void> RequestDriver::finishClaim(ActiveRequest &active)
 {
-    if (!journey.claim) {
+    if (!active.claim) {
         co_return;
     }
-    Claim claim = *journey.claim;
-    if (journey.course.outcome() == Outcome::NotRun) {
+    Claim claim = *active.claim;
+    if (active.course.outcome() == Outcome::NotRun) {
         co_await m_claims.release(std::move(claim));
         co_return;
     }
     claim.state = Claim::State::Done;
-    claim.outcome = outcomeName(journey.course.outcome());
-    if (journey.course.outcome() == Outcome::Answered) {
-        claim.resultObject = absl::StrCat("result/", journey.request.requestId);
-        claim.status = journey.status;
-        claim.contentType = journey.contentType;
+    claim.outcome = outcomeName(active.course.outcome());
+    if (active.course.outcome() == Outcome::Answered) {
+        claim.resultObject = absl::StrCat("result/", active.request.requestId);
+        claim.status = active.status;
+        claim.contentType = active.contentType;
     }
     // Without an answer from the table the claim stays as it is, and a retry is told that the request may have run.
-    const absl::Status written = co_await m_claims.finish(std::move(claim), journey.body);
+    const absl::Status written = co_await m_claims.finish(std::move(claim), active.body);
     if (!written.ok()) {
-        logLine(Severity::Warning, "a claim's end could not be written", {{"request", journey.request.requestId}});
+        logLine(Severity::Warning, "a claim's end could not be written", {{"request", active.request.requestId}});
     }
 }
 
-asio::awaitable<absl::Status> RequestDriver::reserve(Journey &journey)
+asio::awaitable<absl::Status> RequestDriver::reserve(ActiveRequest &active)
 {
-    const RoutedRequest &request = journey.request;
-    const Duration patience = request.deadline - steadyNow();
-    const absl::Status reserved = co_await m_budgets.reserve(request.budget, request.requestId, request.bound, patience);
-    journey.earliestFlush = m_budgets.nextFlush();
+    const RoutedRequest &request = active.request;
+    const Duration timeout = request.deadline - steadyNow();
+    const absl::Status reserved = co_await m_budgets.reserve(request.budget, request.requestId, request.bound, timeout);
+    active.earliestFlush = m_budgets.nextFlush();
     if (reserved.ok() || toFailure(reserved).kind != FailureKind::BudgetUnreachable) {
         co_return reserved;
     }
-    Sponsorship::UnfundedRequest need{.requestId = request.requestId,
-                                      .budget = request.budget,
-                                      .team = request.team,
-                                      .bound = request.bound,
-                                      .endsWithin = request.deadline - steadyNow() + m_options.targetSilence};
-    const auto sponsor = co_await m_sponsors.findSponsor(std::move(need));
+    Sponsorship::UnfundedRequest unfunded{.requestId = request.requestId,
+                                          .budget = request.budget,
+                                          .team = request.team,
+                                          .bound = request.bound,
+                                          .endsWithin = request.deadline - steadyNow() + m_options.targetTimeout};
+    const auto sponsor = co_await m_sponsors.findSponsor(std::move(unfunded));
     if (!sponsor) {
         co_return reserved;
     }
-    journey.payer = sponsor->payer;
-    journey.earliestFlush = sponsor->earliestFlush;
+    active.payer = sponsor->payer;
+    active.earliestFlush = sponsor->earliestFlush;
     co_return absl::OkStatus();
 }
 
-asio::awaitable<void> RequestDriver::travel(Journey &journey)
+asio::awaitable<void> RequestDriver::attemptUntilFinished(ActiveRequest &active)
 {
     CourseStep step = CourseStep::TryElsewhere;
     while (step == CourseStep::TryElsewhere) {
-        const bool sent = co_await openAttempt(journey);
+        const bool sent = co_await dispatchAttempt(active);
         if (!sent) {
             co_return;
         }
-        step = co_await takeFrames(journey);
+        step = co_await processFrames(active);
     }
 }
 
-asio::awaitable<bool> RequestDriver::openAttempt(Journey &journey)
+asio::awaitable<bool> RequestDriver::dispatchAttempt(ActiveRequest &active)
 {
-    const Instant patienceEnds = std::min(journey.request.deadline, steadyNow() + m_options.queuePatience);
+    const Instant queueDeadline = std::min(active.request.deadline, steadyNow() + m_options.queueTimeout);
     while (true) {
         std::optional<TargetChoice> choice;
         {
             const std::lock_guard lock(m_routingMutex);
-            const TargetWish wish{.model = journey.request.model, .service = journey.request.service, .except = {}};
+            const TargetWish wish{.model = active.request.model, .service = active.request.service, .except = {}};
             choice = m_targets.choose(wish, steadyNow());
             if (choice) {
                 m_targets.sent(choice->target);
             }
         }
         if (choice) {
-            journey.choice = *choice;
-            const std::uint32_t attempt = journey.course.beginAttempt(choice->target);
-            sendDispatch(journey, *choice, attempt);
+            active.choice = *choice;
+            const std::uint32_t attempt = active.course.beginAttempt(choice->target);
+            sendDispatch(active, *choice, attempt);
             co_return true;
         }
-        if (journey.mailbox->hungUp()) {
-            journey.callerDone = true;
-            journey.course.onNoTarget({.kind = FailureKind::Cancelled, .detail = "the caller hung up"});
+        if (active.mailbox->hungUp()) {
+            active.callerFinished = true;
+            active.course.onNoTarget({.kind = FailureKind::Cancelled, .detail = "the caller hung up"});
             co_return false;
         }
-        if (steadyNow() >= patienceEnds) {
-            journey.course.onNoTarget({.kind = FailureKind::NoTarget, .detail = "no target with room answers now", .retryAfterMs = 1000});
+        if (steadyNow() >= queueDeadline) {
+            active.course.onNoTarget({.kind = FailureKind::NoTarget, .detail = "no target with room answers now", .retryAfterMs = 1000});
             co_return false;
         }
-        co_await pause(s_queuePoll);
+        co_await pause(s_queuePollInterval);
     }
 }
 
-void RequestDriver::sendDispatch(const Journey &journey, const TargetChoice &choice, std::uint32_t attempt)
+void RequestDriver::sendDispatch(const ActiveRequest &active, const TargetChoice &choice, std::uint32_t attempt)
 {
-    const RoutedRequest &request = journey.request;
+    const RoutedRequest &request = active.request;
     wire::Envelope envelope;
     wire::Dispatch &dispatch = *envelope.mutable_dispatch();
     dispatch.set_request_id(request.requestId);
@@ -287,86 +287,86 @@
     dispatch.set_content_type(request.contentType);
     dispatch.set_body(request.body);
     dispatch.set_plain_service(request.plainService());
-    dispatch.set_credit_bytes(s_initialCredit);
-    dispatch.set_earliest_flush(journey.earliestFlush);
-    dispatch.set_payer(journey.payer);
+    dispatch.set_credit_bytes(s_initialCreditBytes);
+    dispatch.set_earliest_flush(active.earliestFlush);
+    dispatch.set_payer(active.payer);
     dispatch.set_expires_in_ms(std::chrono::duration_cast<std::chrono::milliseconds>(request.deadline - steadyNow()).count());
     m_link->send(choice.target, envelope);
 }
 
-void RequestDriver::sendCancel(const Journey &journey)
+void RequestDriver::sendCancel(const ActiveRequest &active)
 {
     wire::Envelope envelope;
-    envelope.mutable_cancel()->set_request_id(journey.request.requestId);
-    envelope.mutable_cancel()->set_attempt(journey.course.attempt());
-    m_link->send(journey.choice.target, envelope);
+    envelope.mutable_cancel()->set_request_id(active.request.requestId);
+    envelope.mutable_cancel()->set_attempt(active.course.attempt());
+    m_link->send(active.choice.target, envelope);
 }
 
-void RequestDriver::giveCredit(Journey &journey, std::size_t bytes)
+void RequestDriver::grantCredit(ActiveRequest &active, std::size_t bytes)
 {
-    journey.uncredited += bytes;
-    if (journey.uncredited < s_creditBatch) {
+    active.uncreditedBytes += bytes;
+    if (active.uncreditedBytes < s_creditBatchBytes) {
         return;
     }
     wire::Envelope envelope;
-    envelope.mutable_credit()->set_request_id(journey.request.requestId);
-    envelope.mutable_credit()->set_attempt(journey.course.attempt());
-    envelope.mutable_credit()->set_bytes(std::exchange(journey.uncredited, 0));
-    m_link->send(journey.choice.target, envelope);
+    envelope.mutable_credit()->set_request_id(active.request.requestId);
+    envelope.mutable_credit()->set_attempt(active.course.attempt());
+    envelope.mutable_credit()->set_bytes(std::exchange(active.uncreditedBytes, 0));
+    m_link->send(active.choice.target, envelope);
 }
 
-asio::awaitable<void> RequestDriver::giveUpIfDue(Journey &journey)
+asio::awaitable<void> RequestDriver::cancelIfDue(ActiveRequest &active)
 {
-    const bool late = steadyNow() >= journey.request.deadline;
-    const bool hungUp = journey.mailbox->hungUp();
-    if (journey.cancelSent || (!late && !hungUp)) {
+    const bool deadlinePassed = steadyNow() >= active.request.deadline;
+    const bool hungUp = active.mailbox->hungUp();
+    if (active.cancelSent || (!deadlinePassed && !hungUp)) {
         co_return;
     }
     // The run goes on until the engine confirms the cancellation: only then is it known what to charge. The caller need not wait for that.
-    journey.cancelSent = true;
-    journey.cancelSentAt = steadyNow();
-    sendCancel(journey);
+    active.cancelSent = true;
+    active.cancelSentAt = steadyNow();
+    sendCancel(active);
     if (!hungUp) {
-        const Executed ran = journey.course.begun() ? Executed::Yes : Executed::Unknown;
+        const Executed ran = active.course.begun() ? Executed::Yes : Executed::Unknown;
         Failure failure{.kind = FailureKind::DeadlineExceeded, .detail = "the deadline passed", .executed = ran};
-        co_await answerFailure(journey, std::move(failure));
+        co_await sendFailure(active, std::move(failure));
     }
-    journey.callerDone = true;
+    active.callerFinished = true;
 }
 
-CourseStep RequestDriver::onSilence(Journey &journey)
+CourseStep RequestDriver::onFrameTimeout(ActiveRequest &active)
 {
     // A frame lost on a broken connection is not sent again by itself; without this bound its request would wait for ever and keep a drain
     // from ending.
-    if (journey.cancelSent && steadyNow() - journey.cancelSentAt >= m_options.cancelPatience) {
-        return journey.course.onLost(FailureKind::TargetLost);
+    if (active.cancelSent && steadyNow() - active.cancelSentAt >= m_options.cancelTimeout) {
+        return active.course.onLost(FailureKind::TargetLost);
     }
-    std::string heard;
+    std::string currentIncarnation;
     {
         const std::lock_guard lock(m_routingMutex);
-        heard = m_targets.liveIncarnation(journey.choice.target, steadyNow(), m_options.targetSilence);
+        currentIncarnation = m_targets.liveIncarnation(active.choice.target, steadyNow(), m_options.targetTimeout);
     }
-    return heard == journey.choice.incarnation ? CourseStep::Ignore : journey.course.onLost(FailureKind::TargetLost);
+    return currentIncarnation == active.choice.incarnation ? CourseStep::Ignore : active.course.onLost(FailureKind::TargetLost);
 }
 
-void RequestDriver::closeAttempt(Journey &journey, CourseStep step, const AnswerFrame &frame)
+void RequestDriver::releaseTarget(ActiveRequest &active, CourseStep step, const AnswerFrame &frame)
 {
     const std::lock_guard lock(m_routingMutex);
-    m_targets.done(journey.choice.target);
+    m_targets.done(active.choice.target);
     if (step == CourseStep::TryElsewhere) {
         const auto *refused = std::get_if<AnswerFrame::Refused>(&frame.content);
-        m_targets.refused(journey.choice.target, refused != nullptr && refused->reason == RunRefusal::Leaving, steadyNow());
+        m_targets.refused(active.choice.target, refused != nullptr && refused->reason == RunRefusal::Leaving, steadyNow());
     }
 }
 
-asio::awaitable<CourseStep> RequestDriver::takeFrames(Journey &journey)
+asio::awaitable<CourseStep> RequestDriver::processFrames(ActiveRequest &active)
 {
     while (true) {
-        auto frame = co_await journey.mailbox->next(s_silenceCheck);
-        co_await giveUpIfDue(journey);
-        const CourseStep step = frame ? journey.course.onFrame(*frame) : onSilence(journey);
+        auto frame = co_await active.mailbox->next(s_frameTimeout);
+        co_await cancelIfDue(active);
+        const CourseStep step = frame ? active.course.onFrame(*frame) : onFrameTimeout(active);
         if (!frame) {
-            co_await pause(s_queuePoll);
+            co_await pause(s_queuePollInterval);
             frame.emplace();
         }
         switch (step) {
@@ -374,62 +374,62 @@
             break;
         case CourseStep::Tighten:
             // A sponsored request's reservation is at its payer; nothing is known of it here, and lowering it is then without effect.
-            m_budgets.lowerReservation(journey.request.budget,
-                                       journey.request.requestId,
-                                       std::get<AnswerFrame::PromptCounted>(frame->content).tokens + journey.request.outputLimit);
+            m_budgets.lowerReservation(active.request.budget,
+                                       active.request.requestId,
+                                       std::get<AnswerFrame::PromptCounted>(frame->content).tokens + active.request.outputLimit);
             break;
         case CourseStep::Deliver:
-            co_await deliver(journey, *frame);
+            co_await deliver(active, *frame);
             break;
         case CourseStep::TryElsewhere:
         case CourseStep::Finish:
-            closeAttempt(journey, step, *frame);
+            releaseTarget(active, step, *frame);
             co_return step;
         }
     }
 }
 
-asio::awaitable<void> RequestDriver::deliver(Journey &journey, const AnswerFrame &frame)
+asio::awaitable<void> RequestDriver::deliver(ActiveRequest &active, const AnswerFrame &frame)
 {
     if (const auto *head = std::get_if<AnswerFrame::Head>(&frame.content)) {
-        journey.status = head->status;
-        journey.contentType = head->contentType;
-        journey.streaming = journey.request.streamed && head->status == 200;
-        if (journey.streaming) {
-            co_await journey.exchange.beginStream(200, head->contentType, answerHeaders(journey.request));
+        active.status = head->status;
+        active.contentType = head->contentType;
+        active.streaming = active.request.streamed && head->status == 200;
+        if (active.streaming) {
+            co_await active.exchange.beginStream(200, head->contentType, responseHeaders(active.request));
         }
         co_return;
     }
     const std::string &bytes = std::get<AnswerFrame::Data>(frame.content).bytes;
-    if (!journey.firstByte) {
-        journey.firstByte = steadyNow();
+    if (!active.firstByte) {
+        active.firstByte = steadyNow();
     }
     // The whole answer is kept where a retry of the request has to get it again.
-    if (!journey.streaming || journey.claim) {
-        journey.body += bytes;
+    if (!active.streaming || active.claim) {
+        active.body += bytes;
     }
-    if (!journey.streaming) {
-        giveCredit(journey, bytes.size());
+    if (!active.streaming) {
+        grantCredit(active, bytes.size());
         co_return;
     }
-    if (!journey.callerDone) {
-        const bool taken = co_await journey.exchange.writeChunk(bytes);
+    if (!active.callerFinished) {
+        const bool taken = co_await active.exchange.writeChunk(bytes);
         if (!taken) {
-            journey.mailbox->hangUp();
+            active.mailbox->hangUp();
         }
     }
-    giveCredit(journey, bytes.size());
+    grantCredit(active, bytes.size());
 }
 
-void RequestDriver::settle(const Journey &journey)
+void RequestDriver::settle(const ActiveRequest &active)
 {
-    const RequestCourse &course = journey.course;
-    const RoutedRequest &request = journey.request;
+    const RequestCourse &course = active.course;
+    const RoutedRequest &request = active.request;
     if (request.plainService() && course.outcome() == Outcome::NotRun) {
         return;
     }
-    if (!journey.payer.empty()) {
-        m_sponsors.reportEnd(journey.payer, request.requestId, course);
+    if (!active.payer.empty()) {
+        m_sponsors.reportEnd(active.payer, request.requestId, course);
         return;
     }
     Charge charge{.requestId = request.requestId,
@@ -448,54 +448,55 @@
     m_budgets.settle(std::move(charge), course.charged().value_or(request.bound));
 }
 
-asio::awaitable<void> RequestDriver::answer(Journey &journey)
+asio::awaitable<void> RequestDriver::sendResponse(ActiveRequest &active)
 {
-    if (journey.callerDone) {
+    if (active.callerFinished) {
         co_return;
     }
-    if (journey.course.outcome() != Outcome::Answered) {
-        co_await answerFailure(journey, journey.course.failure());
+    if (active.course.outcome() != Outcome::Answered) {
+        co_await sendFailure(active, active.course.failure());
         co_return;
     }
-    if (journey.streaming) {
-        co_await journey.exchange.endStream();
+    if (active.streaming) {
+        co_await active.exchange.endStream();
         co_return;
     }
-    co_await journey.exchange.respond(journey.status, journey.contentType, std::move(journey.body), answerHeaders(journey.request));
+    co_await active.exchange.respond(active.status, active.contentType, std::move(active.body), responseHeaders(active.request));
 }
 
-asio::awaitable<void> RequestDriver::answerFailure(Journey &journey, Failure failure)
+asio::awaitable<void> RequestDriver::sendFailure(ActiveRequest &active, Failure failure)
 {
-    const std::string body = errorBody(failure, journey.request.requestId);
-    if (journey.streaming) {
+    const std::string body = errorBody(failure, active.request.requestId);
+    if (active.streaming) {
         // The chunked body is left without its end, so that no client takes what it has for the whole answer.
-        co_await journey.exchange.writeChunk(absl::StrCat("data: ", body, "\n\n"));
-        journey.exchange.cut();
+        co_await active.exchange.writeChunk(absl::StrCat("data: ", body, "\n\n"));
+        active.exchange.cut();
         co_return;
     }
-    std::vector<HttpHeader> headers = answerHeaders(journey.request);
+    std::vector<HttpHeader> headers = responseHeaders(active.request);
     appendRetryAfter(headers, failure);
-    co_await journey.exchange.respond(httpStatus(failure.kind), "application/json", body, std::move(headers));
+    co_await active.exchange.respond(httpStatus(failure.kind), "application/json", body, std::move(headers));
 }
 
-void RequestDriver::observe(const Journey &journey)
+void RequestDriver::recordMetrics(const ActiveRequest &active)
 {
-    const RequestCourse &course = journey.course;
+    const RequestCourse &course = active.course;
     const std::string_view outcome = outcomeName(course.outcome());
     m_metrics.count("bamboohold_requests_total", {.name = "outcome", .value = outcome});
-    m_metrics.observe("bamboohold_request_seconds", {.name = "team", .value = journey.request.team}, seconds(steadyNow() - journey.begin));
-    const std::string_view requestClass = journey.request.plainService() ? "service" : journey.streaming ? "streamed" : "whole";
-    if (journey.firstByte) {
+    m_metrics.observe(
+        "bamboohold_request_seconds", {.name = "team", .value = active.request.team}, seconds(steadyNow() - active.startTime));
+    const std::string_view requestClass = active.request.plainService() ? "service" : active.streaming ? "streamed" : "whole";
+    if (active.firstByte) {
         m_metrics.observe(
-            "bamboohold_first_byte_seconds", {.name = "class", .value = requestClass}, seconds(*journey.firstByte - journey.begin));
+            "bamboohold_first_byte_seconds", {.name = "class", .value = requestClass}, seconds(*active.firstByte - active.startTime));
     }
     if (course.outcome() != Outcome::Answered) {
         const std::string_view type = failureName(course.failure().kind);
         m_metrics.count("bamboohold_failures_total", {.name = "type", .value = type});
         logLine(Severity::Info,
                 "request not answered",
-                {{"request", journey.request.requestId},
-                 {"team", journey.request.team},
+                {{"request", active.request.requestId},
+                 {"team", active.request.team},
                  {"outcome", outcome},
                  {"type", type},
                  {"detail", course.failure().detail}});
--- a/src/caller/requestdriver.h
+++ b/src/caller/requestdriver.h
@@ -57,11 +57,11 @@
 public:
     struct Options {
         /// Time a request may wait for a target with room.
-        Duration queuePatience = std::chrono::seconds(10);
+        Duration queueTimeout = std::chrono::seconds(10);
         /// Silence of a target after which a request it has is lost.
-        Duration targetSilence = std::chrono::seconds(5);
+        Duration targetTimeout = std::chrono::seconds(5);
         /// Time that a target has to confirm a cancellation before its run counts as lost.
-        Duration cancelPatience = std::chrono::seconds(10);
+        Duration cancelTimeout = std::chrono::seconds(10);
         unsigned maxAttempts = 8;
         /// This router's incarnation, named in claims.
         std::string incarnation;
@@ -91,7 +91,7 @@
     }
 
     /// When the oldest request in flight began; empty when there is none.
-    std::optional<Instant> oldestBegin() const;
+    std::optional<Instant> oldestStartTime() const;
 
     /// Frames that were late, doubled or nobody's.
     std::uint64_t strayFrames() const
@@ -100,27 +100,27 @@
     }
 
 private:
-    struct Journey;
+    struct ActiveRequest;
     using Mailboxes = oneapi::tbb::concurrent_hash_map<std::string, std::shared_ptr<AnswerMailbox>>;
 
-    asio::awaitable<absl::Status> reserve(Journey &journey);
-    asio::awaitable<bool> claim(Journey &journey);
-    asio::awaitable<void> answerFromClaim(Journey &journey, Claim standing);
-    asio::awaitable<void> closeClaim(Journey &journey);
-    asio::awaitable<void> travel(Journey &journey);
-    asio::awaitable<bool> openAttempt(Journey &journey);
-    asio::awaitable<CourseStep> takeFrames(Journey &journey);
-    asio::awaitable<void> deliver(Journey &journey, const AnswerFrame &frame);
-    asio::awaitable<void> answer(Journey &journey);
-    asio::awaitable<void> answerFailure(Journey &journey, Failure failure);
-    asio::awaitable<void> giveUpIfDue(Journey &journey);
-    CourseStep onSilence(Journey &journey);
-    void closeAttempt(Journey &journey, CourseStep step, const AnswerFrame &frame);
-    void sendDispatch(const Journey &journey, const TargetChoice &choice, std::uint32_t attempt);
-    void sendCancel(const Journey &journey);
-    void giveCredit(Journey &journey, std::size_t bytes);
-    void settle(const Journey &journey);
-    void observe(const Journey &journey);
+    asio::awaitable<absl::Status> reserve(ActiveRequest &active);
+    asio::awaitable<bool> claim(ActiveRequest &active);
+    asio::awaitable<void> respondFromClaim(ActiveRequest &active, Claim existing);
+    asio::awaitable<void> finishClaim(ActiveRequest &active);
+    asio::awaitable<void> attemptUntilFinished(ActiveRequest &active);
+    asio::awaitable<bool> dispatchAttempt(ActiveRequest &active);
+    asio::awaitable<CourseStep> processFrames(ActiveRequest &active);
+    asio::awaitable<void> deliver(ActiveRequest &active, const AnswerFrame &frame);
+    asio::awaitable<void> sendResponse(ActiveRequest &active);
+    asio::awaitable<void> sendFailure(ActiveRequest &active, Failure failure);
+    asio::awaitable<void> cancelIfDue(ActiveRequest &active);
+    CourseStep onFrameTimeout(ActiveRequest &active);
+    void releaseTarget(ActiveRequest &active, CourseStep step, const AnswerFrame &frame);
+    void sendDispatch(const ActiveRequest &active, const TargetChoice &choice, std::uint32_t attempt);
+    void sendCancel(const ActiveRequest &active);
+    void grantCredit(ActiveRequest &active, std::size_t bytes);
+    void settle(const ActiveRequest &active);
+    void recordMetrics(const ActiveRequest &active);
 
     BudgetService &m_budgets;
     Sponsorship &m_sponsors;
@@ -131,9 +131,9 @@
     Options m_options;
     LinkHub *m_link = nullptr;
     Mailboxes m_mailboxes;
-    mutable std::mutex m_beginsMutex;
+    mutable std::mutex m_startTimesMutex;
     /// When each request that is not settled yet began.
-    std::multiset<Instant> m_begins;
+    std::multiset<Instant> m_startTimes;
     std::atomic<std::uint64_t> m_strayFrames = 0;
 };
 
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -374,7 +374,7 @@
         envelope.mutable_heartbeat()->set_host(m_settings.host);
         envelope.mutable_heartbeat()->set_leaving(m_draining);
         // In this order: a flush that is still to come when the earlier requests are over covers all their charges.
-        const std::optional<Instant> oldestBegin = m_driver.oldestBegin();
+        const std::optional<Instant> oldestBegin = m_driver.oldestStartTime();
         const std::uint64_t nextFlush = m_budgets.nextFlush();
         {
             const std::lock_guard lock(m_peersMutex);
