--- a/src/caller/callerapi.cpp
+++ b/src/caller/callerapi.cpp
@@ -166,7 +166,7 @@
         return failed(FailureKind::Forbidden, absl::StrCat("team '", request.team, "' may not use service '", request.service, "'"));
     }
     request.body = exchange.request().body();
-    // The caller's header may mark more calls than the rules do, never fewer.
+    // The caller's header can mark a call as non-idempotent, but cannot override a configured rule that does so.
     request.nonIdempotent =
         request.nonIdempotent || configuration.inventory().isNonIdempotent(request.service, request.method, request.path);
     return absl::OkStatus();
--- a/src/caller/callerapi.h
+++ b/src/caller/callerapi.h
@@ -8,9 +8,8 @@
 
 namespace bamboohold {
 
-/// The callers' interface: authenticates, checks, and hands requests to the RequestDriver. Speaks the OpenAI-compatible interface and
-/// passes
-/// `/services/NAME/…` on to plain services.
+/// The HTTP API for callers: authenticates and validates requests and passes them to the RequestDriver. Implements the OpenAI-compatible
+/// endpoints and forwards `/services/NAME/…` to plain services.
 class CallerApi
 {
 public:
@@ -19,15 +18,15 @@
         Duration defaultDeadline = std::chrono::minutes(2);
     };
 
-    /// The configuration in force, or null before the first.
+    /// Returns the active configuration, or null until the first one has been loaded.
     using ConfigurationSource = std::function<ConfigurationPointer()>;
 
     CallerApi(RequestDriver &driver, ConfigurationSource configuration, Options options);
 
-    /// Answers one request.
+    /// Handles one HTTP request and writes its response.
     asio::awaitable<void> handle(HttpExchange &exchange);
 
-    /// From now on new requests are refused as draining, not run.
+    /// Rejects all later requests with FailureKind::Draining. Requests that are already being handled continue.
     void beginDrain()
     {
         m_draining = true;
--- a/src/caller/completionrequest.cpp
+++ b/src/caller/completionrequest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Tokens that a chat template may add around the messages.
+/// Maximum number of tokens that a chat template adds around the messages.
 constexpr Tokens s_chatTemplateTokens = 64;
 constexpr std::int64_t s_maxChoices = 16;
 
--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -26,7 +26,7 @@
 
 }
 
-/// One request's state while it is in this router.
+/// The state of one request that this router is processing.
 struct RequestDriver::ActiveRequest {
     HttpExchange &exchange;
     RoutedRequest request;
@@ -40,13 +40,13 @@
     std::string body;
     std::size_t uncreditedBytes = 0;
     std::uint64_t earliestFlush = 0;
-    /// The peer whose grant pays; empty for this router's own.
+    /// The peer whose grant pays for the request; empty if this router's own grant does.
     std::string payer;
     std::optional<Claim> claim;
     bool streaming = false;
     bool cancelSent = false;
     Instant cancelSentAt{};
-    /// The caller has its final answer, or hung up; only the settlement is still to come.
+    /// True once the caller has received its final response or has disconnected; only the settlement remains.
     bool callerFinished = false;
 };
 
@@ -122,7 +122,7 @@
     m_mailboxes.emplace(active.request.requestId, active.mailbox);
     co_await attemptUntilFinished(active);
     m_mailboxes.erase(active.request.requestId);
-    // Settled before the caller has its answer's end: whoever asks for the budget next sees this request in it.
+    // Settle before the response ends, so that a caller who reads the budget after its response sees this request's charge.
     settle(active);
     {
         const std::lock_guard lock(m_startTimesMutex);
@@ -197,10 +197,10 @@
         claim.status = active.status;
         claim.contentType = active.contentType;
     }
-    // Without an answer from the table the claim stays as it is, and a retry is told that the request may have run.
+    // If the table cannot be reached, the claim stays open and a retry is told that the request may have run.
     const absl::Status written = co_await m_claims.finish(std::move(claim), active.body);
     if (!written.ok()) {
-        logLine(Severity::Warning, "a claim's end could not be written", {{"request", active.request.requestId}});
+        logLine(Severity::Warning, "cannot record the outcome of an idempotency claim", {{"request", active.request.requestId}});
     }
 }
 
@@ -322,7 +322,8 @@
     if (active.cancelSent || (!deadlinePassed && !hungUp)) {
         co_return;
     }
-    // The run goes on until the engine confirms the cancellation: only then is it known what to charge. The caller need not wait for that.
+    // The charge is known only when the engine has confirmed the cancellation, so the run stays open until then. The caller gets its
+    // failure at once.
     active.cancelSent = true;
     active.cancelSentAt = steadyNow();
     sendCancel(active);
@@ -336,8 +337,8 @@
 
 CourseStep RequestDriver::onFrameTimeout(ActiveRequest &active)
 {
-    // A frame lost on a broken connection is not sent again by itself; without this bound its request would wait for ever and keep a drain
-    // from ending.
+    // The link does not resend frames that were lost with a broken connection. Without this timeout, a request whose last frame was lost
+    // would wait forever and block a drain.
     if (active.cancelSent && steadyNow() - active.cancelSentAt >= m_options.cancelTimeout) {
         return active.course.onLost(FailureKind::TargetLost);
     }
@@ -373,7 +374,7 @@
         case CourseStep::Ignore:
             break;
         case CourseStep::Tighten:
-            // A sponsored request's reservation is at its payer; nothing is known of it here, and lowering it is then without effect.
+            // The reservation of a sponsored request is held by its payer. It is unknown here, and lowering it has no effect.
             m_budgets.lowerReservation(active.request.budget,
                                        active.request.requestId,
                                        std::get<AnswerFrame::PromptCounted>(frame->content).tokens + active.request.outputLimit);
@@ -404,7 +405,7 @@
     if (!active.firstByte) {
         active.firstByte = steadyNow();
     }
-    // The whole answer is kept where a retry of the request has to get it again.
+    // Keep the whole response if it is not streamed, or if a claim stores it to answer retries of the request.
     if (!active.streaming || active.claim) {
         active.body += bytes;
     }
@@ -468,7 +469,7 @@
 {
     const std::string body = errorBody(failure, active.request.requestId);
     if (active.streaming) {
-        // The chunked body is left without its end, so that no client takes what it has for the whole answer.
+        // Close the connection without the final chunk, so that no client mistakes the partial response for a complete one.
         co_await active.exchange.writeChunk(absl::StrCat("data: ", body, "\n\n"));
         active.exchange.cut();
         co_return;
--- a/src/caller/requestdriver.h
+++ b/src/caller/requestdriver.h
@@ -21,7 +21,7 @@
 
 namespace bamboohold {
 
-/// A checked request on its way through the router.
+/// A validated request, as the router processes it.
 struct RoutedRequest {
     std::string requestId;
     std::string team;
@@ -34,36 +34,37 @@
     std::string body;
     bool streamed = false;
     bool nonIdempotent = false;
-    /// The caller's name for the request, empty when it gave none.
+    /// The caller's Idempotency-Key header; empty if there is none.
     std::string idempotencyKey;
+    /// Upper bound on the tokens used by the request; this many are reserved.
     Tokens bound = 0;
     Tokens outputLimit = 0;
     Instant deadline;
 
-    /// True for a call of a plain service, which costs no tokens.
+    /// True if the request calls a plain service, which costs no tokens.
     bool plainService() const
     {
         return !service.empty();
     }
 };
 
-/// Carries one request from reservation to settlement: asks TargetTable where to go, lets RequestCourse decide what each frame means, and
-/// writes to the caller.
+/// Processes requests from the budget reservation to the settlement. TargetTable chooses the target, RequestCourse decides how to react to
+/// each frame, and the driver writes the response to the caller.
 ///
-/// Locks: the mailboxes are a concurrent map; m_routingMutex guards the target table, m_beginsMutex the begins. None is held while the
-/// other, or the budget's lock, is taken.
+/// Locks: m_mailboxes is a concurrent map; m_routingMutex guards the target table and m_startTimesMutex guards m_startTimes. Neither mutex
+/// is held while the other, or the lock of the budgets, is acquired.
 class RequestDriver
 {
 public:
     struct Options {
-        /// Time a request may wait for a target with room.
+        /// Maximum time for which a request waits for a target with free capacity.
         Duration queueTimeout = std::chrono::seconds(10);
-        /// Silence of a target after which a request it has is lost.
+        /// A request in flight at a target is lost if nothing has been received from the target for this long.
         Duration targetTimeout = std::chrono::seconds(5);
-        /// Time that a target has to confirm a cancellation before its run counts as lost.
+        /// Maximum time for which a target may take to confirm a cancellation; after that the run counts as lost.
         Duration cancelTimeout = std::chrono::seconds(10);
         unsigned maxAttempts = 8;
-        /// This router's incarnation, named in claims.
+        /// This router's incarnation, which is recorded in claims.
         std::string incarnation;
     };
 
@@ -75,25 +76,25 @@
                   Metrics &metrics,
                   Options options);
 
-    /// The link to send on; set before the first request.
+    /// Sets the link on which messages are sent. Must be called before the first request.
     void setLink(LinkHub *link);
 
-    /// Serves a request to its end, the answer or the typed failure included.
+    /// Processes a request to its end and writes the response, or an error body with the type of the failure, to the caller.
     asio::awaitable<void> serve(HttpExchange &exchange, RoutedRequest request);
 
-    /// A frame arrived from a sidecar. Called on the link's thread.
+    /// Passes a frame from a sidecar to its request. Called on the link's thread.
     void onFrame(wire::Frame &message);
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     std::size_t inFlight() const
     {
         return m_mailboxes.size();
     }
 
-    /// When the oldest request in flight began; empty when there is none.
+    /// Start time of the oldest request that is not yet settled; empty if there is none.
     std::optional<Instant> oldestStartTime() const;
 
-    /// Frames that were late, doubled or nobody's.
+    /// Number of frames received for requests that are not in flight at this router.
     std::uint64_t strayFrames() const
     {
         return m_strayFrames;
@@ -132,7 +133,7 @@
     LinkHub *m_link = nullptr;
     Mailboxes m_mailboxes;
     mutable std::mutex m_startTimesMutex;
-    /// When each request that is not settled yet began.
+    /// Start times of all requests that are not yet settled.
     std::multiset<Instant> m_startTimes;
     std::atomic<std::uint64_t> m_strayFrames = 0;
 };
