--- a/src/engine/runtable.cpp
+++ b/src/engine/runtable.cpp
@@ -27,24 +27,24 @@
 {
 }
 
-void RunTable::begin(std::span<const std::string> live, std::span<const std::string> dead)
+void RunTable::setKnownRouters(std::span<const std::string> live, std::span<const std::string> dead)
 {
-    m_hadEarlierProcess.insert(live.begin(), live.end());
+    m_mayHaveEarlierRuns.insert(live.begin(), live.end());
     // Also those being recovered now: between their being declared dead and this process's start, an earlier one here may have run their
     // requests.
-    m_hadEarlierProcess.insert(dead.begin(), dead.end());
+    m_mayHaveEarlierRuns.insert(dead.begin(), dead.end());
     m_sealed.insert(dead.begin(), dead.end());
-    m_begun = true;
+    m_routersKnown = true;
 }
 
-void RunTable::earlierProcessesSettled(std::string_view router)
+void RunTable::clearEarlierRuns(std::string_view router)
 {
-    m_hadEarlierProcess.erase(std::string(router));
+    m_mayHaveEarlierRuns.erase(std::string(router));
 }
 
 std::optional<RunRefusal> RunTable::admit(const Attempt &attempt, Instant now)
 {
-    if (!m_begun) {
+    if (!m_routersKnown) {
         return RunRefusal::Leaving;
     }
     // A paused router that wakes after it was declared dead still believes in its grant. Its tokens may be in other hands by now, so
@@ -62,7 +62,7 @@
     if (m_records.contains(attempt.requestId)) {
         return RunRefusal::Duplicate;
     }
-    if (m_leaving) {
+    if (m_draining) {
         return RunRefusal::Leaving;
     }
     if (attempt.expiresIn <= Duration::zero()) {
@@ -113,31 +113,31 @@
 
 void RunTable::heard(std::string_view router, Instant now)
 {
-    m_heard.insert_or_assign(std::string(router), now);
+    m_lastHeard.insert_or_assign(std::string(router), now);
 }
 
-SealVerdict RunTable::probe(std::string_view router, Instant now) const
+SealResult RunTable::probe(std::string_view router, Instant now) const
 {
-    const auto heardAt = m_heard.find(std::string(router));
-    return {.alive = heardAt != m_heard.end() && now - heardAt->second < m_options.livenessWindow};
+    const auto lastHeard = m_lastHeard.find(std::string(router));
+    return {.alive = lastHeard != m_lastHeard.end() && now - lastHeard->second < m_options.livenessWindow};
 }
 
-SealVerdict RunTable::seal(std::string_view router)
+SealResult RunTable::seal(std::string_view router)
 {
     const std::string name(router);
-    SealVerdict verdict{.complete = m_begun && !m_hadEarlierProcess.contains(name)};
+    SealResult result{.complete = m_routersKnown && !m_mayHaveEarlierRuns.contains(name)};
     m_sealed.insert(name);
     for (const auto &[requestId, record] : m_records) {
         if (record.router == name) {
-            verdict.runs.push_back(record);
+            result.runs.push_back(record);
         }
     }
-    return verdict;
+    return result;
 }
 
 void RunTable::beginDrain()
 {
-    m_leaving = true;
+    m_draining = true;
 }
 
 const RunRecord *RunTable::find(std::string_view requestId) const
--- a/src/engine/runtable.h
+++ b/src/engine/runtable.h
@@ -57,7 +57,7 @@
 };
 
 /// A sidecar's answer to a reclaimer.
-struct SealVerdict {
+struct SealResult {
     /// True when the incarnation spoke here a moment ago and is therefore not dead.
     bool alive = false;
     /// False when an earlier process at this target may have run things for the incarnation that this one knows nothing of.
@@ -101,10 +101,10 @@
 
     /// What the platform's table said of router incarnations when this process began. Nothing is admitted before: an incarnation declared
     /// dead while no process stood here would otherwise find an open door. Incarnations alive then may have had runs at an earlier process.
-    void begin(std::span<const std::string> live, std::span<const std::string> dead);
+    void setKnownRouters(std::span<const std::string> live, std::span<const std::string> dead);
 
     /// The router has billed all that it gave to earlier processes here.
-    void earlierProcessesSettled(std::string_view router);
+    void clearEarlierRuns(std::string_view router);
 
     /// Takes an attempt in, or says why not. A request id that is known here is not run again.
     std::optional<RunRefusal> admit(const Attempt &attempt, Instant now);
@@ -119,24 +119,24 @@
     void heard(std::string_view router, Instant now);
 
     /// Asks whether the incarnation is alive, without consequence.
-    SealVerdict probe(std::string_view router, Instant now) const;
+    SealResult probe(std::string_view router, Instant now) const;
 
     /// Refuses all later attempts of the incarnation, which the table has declared dead, and tells what it ran.
-    SealVerdict seal(std::string_view router);
+    SealResult seal(std::string_view router);
 
     /// From now on every attempt is refused as leaving.
     void beginDrain();
 
     /// True after begin().
-    bool begun() const
+    bool routersKnown() const
     {
-        return m_begun;
+        return m_routersKnown;
     }
 
     /// True once draining.
-    bool leaving() const
+    bool draining() const
     {
-        return m_leaving;
+        return m_draining;
     }
 
     /// Runs at the engine now.
@@ -149,7 +149,7 @@
     const RunRecord *find(std::string_view requestId) const;
 
     /// Records kept, running or unbilled.
-    std::size_t records() const
+    std::size_t recordCount() const
     {
         return m_records.size();
     }
@@ -164,11 +164,11 @@
     Options m_options;
     absl::flat_hash_map<std::string, RunRecord> m_records;
     absl::flat_hash_set<std::string> m_sealed;
-    absl::flat_hash_set<std::string> m_hadEarlierProcess;
-    absl::flat_hash_map<std::string, Instant> m_heard;
+    absl::flat_hash_set<std::string> m_mayHaveEarlierRuns;
+    absl::flat_hash_map<std::string, Instant> m_lastHeard;
     std::uint32_t m_running = 0;
-    bool m_begun = false;
-    bool m_leaving = false;
+    bool m_routersKnown = false;
+    bool m_draining = false;
 };
 
 }
--- a/src/engine/sidecar.cpp
+++ b/src/engine/sidecar.cpp
@@ -141,7 +141,7 @@
         (isLive ? live : dead).push_back(row.key.substr(s_nodePrefix.size()));
     }
     const std::lock_guard lock(m_mutex);
-    m_table.begin(live, dead);
+    m_table.setKnownRouters(live, dead);
 }
 
 void Sidecar::onMessage(std::string_view peer, wire::Envelope &message)
@@ -187,7 +187,7 @@
     case wire::Envelope::kHeartbeat:
         if (message.heartbeat().settled_before_incarnation() == m_incarnation) {
             const std::lock_guard lock(m_mutex);
-            m_table.earlierProcessesSettled(peer);
+            m_table.clearEarlierRuns(peer);
         }
         break;
     case wire::Envelope::kSeal:
@@ -260,10 +260,10 @@
     {
         const std::lock_guard lock(m_mutex);
         const bool probe = seal.epoch() == 0;
-        const SealVerdict verdict = probe ? m_table.probe(seal.incarnation(), steadyNow()) : m_table.seal(seal.incarnation());
-        answer.set_alive(verdict.alive);
-        answer.set_complete(verdict.complete);
-        for (const RunRecord &record : verdict.runs) {
+        const SealResult result = probe ? m_table.probe(seal.incarnation(), steadyNow()) : m_table.seal(seal.incarnation());
+        answer.set_alive(result.alive);
+        answer.set_complete(result.complete);
+        for (const RunRecord &record : result.runs) {
             wire::SealedRun &run = *answer.add_runs();
             run.set_request_id(record.requestId);
             run.set_budget(record.budget);
@@ -441,7 +441,7 @@
     wire::Report report;
     report.set_target(m_settings.target);
     report.set_incarnation(m_incarnation);
-    report.set_leaving(m_table.leaving() || !m_table.begun());
+    report.set_leaving(m_table.draining() || !m_table.routersKnown());
     report.set_running(m_table.running());
     report.set_waiting(m_engineWaiting);
     report.set_slots(m_settings.slots);
@@ -496,10 +496,10 @@
     std::string status;
     {
         const std::lock_guard lock(m_mutex);
-        ready = m_engineReachable && m_table.begun() && !m_table.leaving();
+        ready = m_engineReachable && m_table.routersKnown() && !m_table.draining();
         status =
             absl::StrCat("{\"target\":\"", m_settings.target, "\",\"incarnation\":\"", m_incarnation, "\",\"running\":", m_table.running());
-        absl::StrAppend(&status, ",\"records\":", m_table.records(), ",\"leaving\":", m_table.leaving() ? "true" : "false", "}");
+        absl::StrAppend(&status, ",\"records\":", m_table.recordCount(), ",\"leaving\":", m_table.draining() ? "true" : "false", "}");
     }
     if (path == "/healthz") {
         co_await exchange.respond(200, "application/json", "{}");
--- a/src/measure/capacity.cpp
+++ b/src/measure/capacity.cpp
@@ -299,7 +299,7 @@
     for (const int runs : {100, 500, 1000, 2000, 5000}) {
         const double before = heapBytes();
         auto table = std::make_unique<RunTable>(RunTable::Options{.incarnation = "target~1", .limit = UINT32_MAX});
-        table->begin({}, {});
+        table->setKnownRouters({}, {});
         for (int index = 0; index < runs; ++index) {
             (void)table->admit({.requestId = numbered("0123456789abcdef0123456789abcde", index),
                                 .router = numbered("router-0123456789abcdef-", index % 330),
--- a/src/measure/grantpolicy.cpp
+++ b/src/measure/grantpolicy.cpp
@@ -23,7 +23,7 @@
     , m_options(options)
     , m_witness({.incarnation = "target~1", .limit = UINT32_MAX})
 {
-    m_witness.begin({}, {});
+    m_witness.setKnownRouters({}, {});
     for (const TeamLoad &team : simulation.scenario().teams) {
         (void)m_table.transact({.operations = {putRow(budgetKey(team.budget), newBudgetFields(team.prepaid), 0)}});
     }
--- a/src/membership/reclamation.h
+++ b/src/membership/reclamation.h
@@ -20,7 +20,7 @@
 struct WitnessAnswer {
     std::string target;
     std::uint64_t epoch = 0;
-    SealVerdict verdict;
+    SealResult verdict;
 };
 
 /// A transaction that closes part of a dead incarnation's grants, and the ledger page that must be stored before it is sent.
@@ -119,7 +119,7 @@
     Phase m_phase = Phase::Probing;
     TableRow m_nodeRow;
     std::uint64_t m_epoch = 0;
-    std::map<std::string, SealVerdict> m_answers;
+    std::map<std::string, SealResult> m_answers;
     std::vector<WitnessedRun> m_runs;
     absl::flat_hash_set<std::string> m_billed;
     std::vector<TableRow> m_grants;
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -68,7 +68,7 @@
     Sidecar &sidecar = m_sidecars[target];
     sidecar.incarnation = absl::StrCat(targetName(target), "~", m_nextId++);
     sidecar.table = std::make_unique<RunTable>(RunTable::Options{.incarnation = sidecar.incarnation, .limit = 1000});
-    sidecar.table->begin(live, dead);
+    sidecar.table->setKnownRouters(live, dead);
 }
 
 FakeFleet::RouterProcess *FakeFleet::findRouter(const std::string &incarnation)
@@ -345,7 +345,7 @@
         if (sidecar.cut) {
             continue;
         }
-        const SealVerdict verdict =
+        const SealResult verdict =
             epoch == 0 ? sidecar.table->probe(m_reclaimedIncarnation, m_now) : sidecar.table->seal(m_reclaimedIncarnation);
         m_reclamation->onWitness({.target = targetName(target), .epoch = epoch, .verdict = verdict});
     }
@@ -455,7 +455,7 @@
         for (std::size_t target = 0; target < m_options.targets; ++target) {
             for (const RouterProcess &router : m_routers) {
                 if (router.ledger->idle() && !router.ledger->fenced()) {
-                    m_sidecars[target].table->earlierProcessesSettled(router.incarnation);
+                    m_sidecars[target].table->clearEarlierRuns(router.incarnation);
                 }
             }
         }
--- a/src/tests/runtabletest.cpp
+++ b/src/tests/runtabletest.cpp
@@ -24,19 +24,19 @@
             .expiresIn = std::chrono::seconds(1)};
 }
 
-RunTable begun(std::vector<std::string> live = {}, std::vector<std::string> dead = {})
+RunTable tableKnowing(std::vector<std::string> live = {}, std::vector<std::string> dead = {})
 {
     RunTable table({.incarnation = "target~1", .limit = 2});
-    table.begin(live, dead);
+    table.setKnownRouters(live, dead);
     return table;
 }
 
 }
 
-BOOST_AUTO_TEST_CASE(refusesWithItsReason)
+BOOST_AUTO_TEST_CASE(admitGivesTheReasonOfARefusal)
 {
     struct Case {
-        const char *story;
+        const char *description;
         RunRefusal reason;
         std::function<RunTable::Attempt(RunTable &)> prepare;
     };
@@ -82,78 +82,78 @@
              return attempt("a");
          }},
     };
-    for (const Case &one : cases) {
-        RunTable table = begun();
-        const auto refusal = table.admit(one.prepare(table), at(2));
-        BOOST_TEST_CONTEXT(one.story)
+    for (const Case &testCase : cases) {
+        RunTable table = tableKnowing();
+        const auto refusal = table.admit(testCase.prepare(table), at(2));
+        BOOST_TEST_CONTEXT(testCase.description)
         {
             BOOST_REQUIRE(refusal.has_value());
-            BOOST_TEST((*refusal == one.reason));
+            BOOST_TEST((*refusal == testCase.reason));
         }
     }
 }
 
 // A sidecar restarts while a router that was declared dead is still paused. When it wakes it must find the new process closed to it as
 // well.
-BOOST_AUTO_TEST_CASE(admitsNothingBeforeItKnowsWhoIsDead)
+BOOST_AUTO_TEST_CASE(admitsNothingUntilDeadRoutersAreKnown)
 {
     RunTable table({.incarnation = "target~1", .limit = 2});
     BOOST_TEST((table.admit(attempt("a"), at(1)) == RunRefusal::Leaving));
-    table.begin({}, std::vector<std::string>{"router~1"});
+    table.setKnownRouters({}, std::vector<std::string>{"router~1"});
     BOOST_TEST((table.admit(attempt("a"), at(1)) == RunRefusal::Sealed));
     BOOST_TEST(!table.admit(attempt("a", "router~2"), at(1)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(chargesTheCountOrTheBound)
+BOOST_AUTO_TEST_CASE(chargesReportedUsageOrTheBound)
 {
     struct Case {
         RunEnd end;
         std::optional<TokenUsage> usage;
         Tokens charged;
     };
-    for (const Case &one : {Case{RunEnd::Complete, TokenUsage{.prompt = 10, .output = 20}, 30},
-                            Case{RunEnd::Complete, TokenUsage{.prompt = 90, .output = 90}, 100},
-                            Case{RunEnd::Complete, std::nullopt, 100},
-                            Case{RunEnd::FailedAfterRunning, std::nullopt, 100},
-                            Case{RunEnd::Unknown, std::nullopt, 100},
-                            Case{RunEnd::NotRun, std::nullopt, 0}}) {
-        RunTable table = begun();
+    for (const Case &testCase : {Case{RunEnd::Complete, TokenUsage{.prompt = 10, .output = 20}, 30},
+                                 Case{RunEnd::Complete, TokenUsage{.prompt = 90, .output = 90}, 100},
+                                 Case{RunEnd::Complete, std::nullopt, 100},
+                                 Case{RunEnd::FailedAfterRunning, std::nullopt, 100},
+                                 Case{RunEnd::Unknown, std::nullopt, 100},
+                                 Case{RunEnd::NotRun, std::nullopt, 0}}) {
+        RunTable table = tableKnowing();
         (void)table.admit(attempt("a"), at(1));
-        BOOST_TEST(table.finish("a", one.end, one.usage) == one.charged);
+        BOOST_TEST(table.finish("a", testCase.end, testCase.usage) == testCase.charged);
         BOOST_TEST(table.running() == 0);
     }
 }
 
-BOOST_AUTO_TEST_CASE(vouchesOnlyForWhatItSaw)
+BOOST_AUTO_TEST_CASE(sealIsCompleteOnlyWithoutEarlierRuns)
 {
-    RunTable table = begun({"router~1"});
+    RunTable table = tableKnowing({"router~1"});
     BOOST_TEST(!table.seal("router~1").complete);
     BOOST_TEST(table.seal("router~2").complete);
-    BOOST_TEST(!begun({}, {"router~1"}).seal("router~1").complete);
-    RunTable told = begun({"router~1"});
-    told.earlierProcessesSettled("router~1");
-    BOOST_TEST(told.seal("router~1").complete);
+    BOOST_TEST(!tableKnowing({}, {"router~1"}).seal("router~1").complete);
+    RunTable settled = tableKnowing({"router~1"});
+    settled.clearEarlierRuns("router~1");
+    BOOST_TEST(settled.seal("router~1").complete);
 }
 
-BOOST_AUTO_TEST_CASE(aProbeHasNoConsequence)
+BOOST_AUTO_TEST_CASE(probeDoesNotSeal)
 {
-    RunTable table = begun();
+    RunTable table = tableKnowing();
     table.heard("router~1", at(10));
     BOOST_TEST(table.probe("router~1", at(12)).alive);
     BOOST_TEST(!table.probe("router~1", at(20)).alive);
     BOOST_TEST(!table.admit(attempt("a"), at(21)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(keepsRunsUntilTheyAreBilled)
+BOOST_AUTO_TEST_CASE(keepsRunsUntilBilled)
 {
-    RunTable table = begun();
+    RunTable table = tableKnowing();
     (void)table.admit(attempt("a"), at(1));
     table.forget("a");
-    BOOST_TEST(table.records() == 1);
+    BOOST_TEST(table.recordCount() == 1);
     table.finish("a", RunEnd::Complete, TokenUsage{.prompt = 1, .output = 2});
     BOOST_TEST(table.seal("router~1").runs.size() == 1);
     table.forget("a");
-    BOOST_TEST(table.records() == 0);
+    BOOST_TEST(table.recordCount() == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
