--- a/src/engine/usagescanner.cpp
+++ b/src/engine/usagescanner.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr std::string_view s_usageMark = "\"usage\":{";
-constexpr std::string_view s_endMark = "data: [DONE]";
+constexpr std::string_view s_usagePrefix = "\"usage\":{";
+constexpr std::string_view s_endOfStreamMarker = "data: [DONE]";
 /// Longest usage object looked for; it bounds what is kept between pieces.
 constexpr std::size_t s_maxUsageBytes = 512;
 
@@ -44,14 +44,14 @@
 
 }
 
-void UsageScanner::feed(std::string_view piece)
+void UsageScanner::feed(std::string_view chunk)
 {
-    m_tail.append(piece);
-    m_endOfStream = m_endOfStream || m_tail.find(s_endMark) != std::string::npos;
+    m_tail.append(chunk);
+    m_endOfStream = m_endOfStream || m_tail.find(s_endOfStreamMarker) != std::string::npos;
     // The newest object may still be cut; the one before it is then the newest whole one.
-    for (std::size_t mark = m_tail.rfind(s_usageMark); mark != std::string::npos;
-         mark = mark == 0 ? std::string::npos : m_tail.rfind(s_usageMark, mark - 1)) {
-        const std::string_view object = objectAt(m_tail, mark + s_usageMark.size() - 1);
+    for (std::size_t position = m_tail.rfind(s_usagePrefix); position != std::string::npos;
+         position = position == 0 ? std::string::npos : m_tail.rfind(s_usagePrefix, position - 1)) {
+        const std::string_view object = objectAt(m_tail, position + s_usagePrefix.size() - 1);
         if (const auto usage = object.empty() ? std::nullopt : parseUsage(object)) {
             m_usage = usage;
             break;
--- a/src/engine/usagescanner.h
+++ b/src/engine/usagescanner.h
@@ -24,7 +24,7 @@
 {
 public:
     /// Takes the next piece of the answer, cut anywhere.
-    void feed(std::string_view piece);
+    void feed(std::string_view chunk);
 
     /// The newest usage seen; empty while the engine has reported none.
     const std::optional<TokenUsage> &usage() const
--- a/src/tests/usagescannertest.cpp
+++ b/src/tests/usagescannertest.cpp
@@ -19,7 +19,7 @@
 
 // A request would be billed by a count that was cut in two. The answer arrives in pieces cut anywhere; the newest whole count must be found
 // all the same.
-BOOST_AUTO_TEST_CASE(findsTheNewestCountHoweverTheAnswerIsCut)
+BOOST_AUTO_TEST_CASE(findsTheLatestUsageForAnyChunking)
 {
     const bool holds = rc::check([] {
         UsageScanner scanner;
@@ -37,7 +37,7 @@
     BOOST_TEST(holds);
 }
 
-BOOST_AUTO_TEST_CASE(withoutACountThereIsNone)
+BOOST_AUTO_TEST_CASE(incompleteUsageIsIgnored)
 {
     UsageScanner scanner;
     scanner.feed("data: {\"choices\":[]}\n\n\"usage\":null \"usage\":{\"broken\":");
