--- a/src/engine/sidecar.cpp
+++ b/src/engine/sidecar.cpp
@@ -24,14 +24,14 @@
 
 /// Four reports within the silence after which a router sends a target nothing new.
 constexpr Duration s_reportInterval = std::chrono::milliseconds(500);
-constexpr Duration s_enginePoll = std::chrono::milliseconds(500);
+constexpr Duration s_enginePollInterval = std::chrono::milliseconds(500);
 constexpr Duration s_engineTimeout = std::chrono::seconds(60);
 constexpr Duration s_engineProbeTimeout = std::chrono::seconds(2);
-constexpr Duration s_routerForgottenAfter = std::chrono::seconds(30);
+constexpr Duration s_routerExpiry = std::chrono::seconds(30);
 /// A router that gives no credit for this long no longer reads; its run is cancelled.
-constexpr Duration s_creditPatience = std::chrono::seconds(30);
-constexpr Duration s_drainPoll = std::chrono::milliseconds(20);
-constexpr std::uint64_t s_repeatedEndSequence = UINT64_MAX;
+constexpr Duration s_creditTimeout = std::chrono::seconds(30);
+constexpr Duration s_drainPollInterval = std::chrono::milliseconds(20);
+constexpr std::uint64_t s_resentEndSequence = UINT64_MAX;
 
 }
 
@@ -66,7 +66,7 @@
     , m_table({.incarnation = m_incarnation, .limit = settings.slots + settings.slots / 4})
 {
     for (std::size_t index = 0; index < pool.size(); ++index) {
-        m_engines.push_back(std::make_unique<HttpClient>(pool.loop(index).get_executor(), settings.engine));
+        m_engineClients.push_back(std::make_unique<HttpClient>(pool.loop(index).get_executor(), settings.engine));
     }
 }
 
@@ -81,7 +81,7 @@
         });
     m_operations = std::make_unique<HttpServer>(
         m_pool, HttpServer::Options{.address = m_settings.address, .port = m_settings.operationsPort}, [this](HttpExchange &exchange) {
-            return answerOperations(exchange);
+            return handleOperations(exchange);
         });
     if (const absl::Status status = m_operations->open(); !status.ok()) {
         return status;
@@ -89,8 +89,8 @@
     if (const absl::Status status = m_link->open(); !status.ok()) {
         return status;
     }
-    asio::co_spawn(m_pool.mainLoop(), begin(), asio::detached);
-    asio::co_spawn(m_pool.mainLoop(), report(), asio::detached);
+    asio::co_spawn(m_pool.mainLoop(), loadKnownRouters(), asio::detached);
+    asio::co_spawn(m_pool.mainLoop(), sendReports(), asio::detached);
     asio::co_spawn(m_pool.mainLoop(), pollEngine(), asio::detached);
     logLine(Severity::Info, "sidecar is up", {{"incarnation", m_incarnation}, {"target", m_settings.target}});
     return absl::OkStatus();
@@ -111,27 +111,27 @@
     const Instant limit = steadyNow() + m_settings.drainLimit;
     bool busy = true;
     while (busy && steadyNow() < limit) {
-        co_await pause(s_drainPoll);
+        co_await pause(s_drainPollInterval);
         const std::lock_guard lock(m_mutex);
-        busy = !m_live.empty();
+        busy = !m_liveRuns.empty();
     }
     // The last frames are in the link's queue: give it time to send them before the process ends.
     co_await pause(s_reportInterval);
     std::int64_t unfinished = 0;
     {
         const std::lock_guard lock(m_mutex);
-        unfinished = static_cast<std::int64_t>(m_live.size());
+        unfinished = static_cast<std::int64_t>(m_liveRuns.size());
     }
     logLine(Severity::Info, "drained", {{"unfinished", unfinished}});
     m_pool.stop();
 }
 
-asio::awaitable<void> Sidecar::begin()
+asio::awaitable<void> Sidecar::loadKnownRouters()
 {
     PlatformClient platform(m_pool.mainLoop().get_executor(), m_settings.platform, m_settings.platformTimeout);
     auto rows = co_await platform.scan(s_nodePrefix);
     while (!rows.ok()) {
-        co_await pause(s_enginePoll);
+        co_await pause(s_enginePollInterval);
         rows = co_await platform.scan(s_nodePrefix);
     }
     std::vector<std::string> live;
@@ -148,7 +148,7 @@
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_routers[std::string(peer)] = steadyNow();
+        m_routersLastSeen[std::string(peer)] = steadyNow();
         m_table.heard(peer, steadyNow());
     }
     switch (message.body_case()) {
@@ -161,11 +161,11 @@
         const std::string &requestId = cancel ? message.cancel().request_id() : message.credit().request_id();
         const std::uint64_t bytes = cancel ? 0 : message.credit().bytes();
         const std::lock_guard lock(m_mutex);
-        const auto found = m_live.find(requestId);
-        if (found == m_live.end() && cancel) {
-            repeatEnd(peer, requestId);
+        const auto found = m_liveRuns.find(requestId);
+        if (found == m_liveRuns.end() && cancel) {
+            resendEnd(peer, requestId);
         }
-        if (found != m_live.end()) {
+        if (found != m_liveRuns.end()) {
             asio::post(found->second->executor, [this, run = found->second, cancel, bytes] {
                 run->creditBytes += bytes;
                 run->creditTimer.cancel();
@@ -198,7 +198,7 @@
     }
 }
 
-void Sidecar::repeatEnd(std::string_view peer, const std::string &requestId)
+void Sidecar::resendEnd(std::string_view peer, const std::string &requestId)
 {
     const RunRecord *record = m_table.find(requestId);
     if (record == nullptr || record->running) {
@@ -206,7 +206,7 @@
     }
     // A router that still waits for a run which is over has lost its last frame, for example while it was paused. Far behind any frame of
     // the answer, this end closes the request without passing for the rest of it.
-    AnswerFrame frame{.attempt = record->attempt, .sequence = s_repeatedEndSequence};
+    AnswerFrame frame{.attempt = record->attempt, .sequence = s_resentEndSequence};
     frame.content = AnswerFrame::End{.end = record->end, .usage = record->usage, .charged = record->charged};
     wire::Envelope envelope;
     *envelope.mutable_frame() = toWire(requestId, frame);
@@ -240,12 +240,12 @@
             return;
         }
     }
-    const std::size_t index = m_nextLoop++ % m_pool.size();
+    const std::size_t index = m_nextLoopIndex++ % m_pool.size();
     auto run = std::make_shared<LiveRun>(m_pool.loop(index).get_executor(), peer, std::move(dispatch));
     run->loopIndex = index;
     {
         const std::lock_guard lock(m_mutex);
-        m_live.emplace(run->dispatch.request_id(), run);
+        m_liveRuns.emplace(run->dispatch.request_id(), run);
     }
     asio::co_spawn(run->executor, execute(run), asio::detached);
 }
@@ -279,9 +279,9 @@
                 run.mutable_usage()->set_output_tokens(record.usage->output);
             }
             // Nobody reads its answer any more, and its tokens come back sooner when it stops.
-            if (const auto live = m_live.find(record.requestId); record.running && live != m_live.end()) {
-                asio::post(live->second->executor, [this, orphan = live->second] {
-                    cancel(orphan);
+            if (const auto live = m_liveRuns.find(record.requestId); record.running && live != m_liveRuns.end()) {
+                asio::post(live->second->executor, [this, abandoned = live->second] {
+                    cancel(abandoned);
                 });
             }
         }
@@ -296,7 +296,7 @@
     m_link->send(run.router, envelope);
 }
 
-void Sidecar::tellPayer(const LiveRun &run, const AnswerFrame::End &end)
+void Sidecar::notifyPayer(const LiveRun &run, const AnswerFrame::End &end)
 {
     // Only an attempt that ran settles the matter: one that did not may be tried elsewhere by the router that sent it.
     if (run.dispatch.payer().empty() || end.end == RunEnd::NotRun) {
@@ -311,7 +311,7 @@
     m_link->send(run.dispatch.payer(), envelope);
 }
 
-HttpCallOptions Sidecar::callOptions(const LiveRun &run) const
+HttpCallOptions Sidecar::engineCallOptions(const LiveRun &run) const
 {
     const wire::Dispatch &dispatch = run.dispatch;
     return {.method = dispatch.method(),
@@ -324,7 +324,7 @@
 
 asio::awaitable<void> Sidecar::execute(std::shared_ptr<LiveRun> run)
 {
-    HttpStreamCall call(*m_engines[run->loopIndex], callOptions(*run));
+    HttpStreamCall call(*m_engineClients[run->loopIndex], engineCallOptions(*run));
     run->call = &call;
     AnswerFrame::End end;
     absl::Status started = failed(FailureKind::Cancelled, "cancelled before it was sent", Executed::No);
@@ -332,7 +332,7 @@
         started = co_await call.start();
     }
     if (started.ok()) {
-        end = co_await relay(*run, call);
+        end = co_await relayResponse(*run, call);
     } else {
         const Executed ran = toFailure(started).executed;
         end.end = ran == Executed::No ? RunEnd::NotRun : RunEnd::Unknown;
@@ -343,10 +343,10 @@
     {
         const std::lock_guard lock(m_mutex);
         end.charged = m_table.finish(requestId, end.end, end.usage);
-        m_live.erase(requestId);
+        m_liveRuns.erase(requestId);
     }
     sendFrame(*run, {.attempt = run->dispatch.attempt(), .sequence = run->sequence++, .content = end});
-    tellPayer(*run, end);
+    notifyPayer(*run, end);
     m_metrics.count("bamboohold_runs_total", {.name = "end", .value = runEndName(end.end)});
 }
 
@@ -362,7 +362,7 @@
 
 asio::awaitable<void> Sidecar::cancelAtEngine(std::shared_ptr<LiveRun> run)
 {
-    HttpClient &engine = *m_engines[run->loopIndex];
+    HttpClient &engine = *m_engineClients[run->loopIndex];
     HttpCallOptions options{
         .method = "POST", .path = absl::StrCat("/v1/cancel?request=", run->dispatch.request_id()), .timeout = s_engineProbeTimeout};
     const auto reply = co_await engine.call(std::move(options));
@@ -376,7 +376,7 @@
 asio::awaitable<void> Sidecar::waitForCredit(LiveRun &run)
 {
     while (run.sentBytes >= run.creditBytes && !run.cancelled) {
-        run.creditTimer.expires_after(s_creditPatience);
+        run.creditTimer.expires_after(s_creditTimeout);
         const auto [error] = co_await run.creditTimer.async_wait(asio::as_tuple(asio::use_awaitable));
         if (!error) {
             cancel(run.shared_from_this());
@@ -384,37 +384,37 @@
     }
 }
 
-asio::awaitable<AnswerFrame::End> Sidecar::relay(LiveRun &run, HttpStreamCall &call)
+asio::awaitable<AnswerFrame::End> Sidecar::relayResponse(LiveRun &run, HttpStreamCall &call)
 {
     UsageScanner scanner;
     AnswerFrame::End end{.end = RunEnd::Complete};
     const std::uint32_t attempt = run.dispatch.attempt();
     const std::string type = call.contentType();
     const bool eventStream = type.starts_with("text/event-stream");
-    bool promptKnown = false;
+    bool promptReported = false;
     sendFrame(run,
               {.attempt = attempt, .sequence = run.sequence++, .content = AnswerFrame::Head{.status = call.status(), .contentType = type}});
     while (true) {
-        auto piece = co_await call.readSome();
-        if (!piece.ok()) {
+        auto chunk = co_await call.readSome();
+        if (!chunk.ok()) {
             end.end = RunEnd::FailedAfterRunning;
             break;
         }
-        if (piece->empty()) {
+        if (chunk->empty()) {
             break;
         }
-        scanner.feed(*piece);
+        scanner.feed(*chunk);
         if (run.cancelled) {
             continue;
         }
-        if (scanner.usage() && !promptKnown) {
-            promptKnown = true;
+        if (scanner.usage() && !promptReported) {
+            promptReported = true;
             sendFrame(
                 run,
                 {.attempt = attempt, .sequence = run.sequence++, .content = AnswerFrame::PromptCounted{.tokens = scanner.usage()->prompt}});
         }
-        run.sentBytes += piece->size();
-        sendFrame(run, {.attempt = attempt, .sequence = run.sequence++, .content = AnswerFrame::Data{.bytes = *std::move(piece)}});
+        run.sentBytes += chunk->size();
+        sendFrame(run, {.attempt = attempt, .sequence = run.sequence++, .content = AnswerFrame::Data{.bytes = *std::move(chunk)}});
         co_await waitForCredit(run);
     }
     // An engine that dies can close its connection in good order; only the stream's own end mark shows that the answer is whole.
@@ -449,7 +449,7 @@
     return report;
 }
 
-asio::awaitable<void> Sidecar::report()
+asio::awaitable<void> Sidecar::sendReports()
 {
     while (true) {
         wire::Envelope envelope;
@@ -458,10 +458,10 @@
             const std::lock_guard lock(m_mutex);
             *envelope.mutable_report() = makeReport();
             const Instant now = steadyNow();
-            absl::erase_if(m_routers, [now](const auto &entry) {
-                return now - entry.second > s_routerForgottenAfter;
+            absl::erase_if(m_routersLastSeen, [now](const auto &entry) {
+                return now - entry.second > s_routerExpiry;
             });
-            for (const auto &[router, heardAt] : m_routers) {
+            for (const auto &[router, lastSeen] : m_routersLastSeen) {
                 routers.push_back(router);
             }
         }
@@ -485,11 +485,11 @@
             const boost::json::value load = reply.ok() ? boost::json::parse(reply->body, error) : boost::json::value();
             m_engineWaiting = load.is_object() ? static_cast<std::uint32_t>(integerField(load.get_object(), "waiting")) : 0;
         }
-        co_await pause(s_enginePoll);
+        co_await pause(s_enginePollInterval);
     }
 }
 
-asio::awaitable<void> Sidecar::answerOperations(HttpExchange &exchange)
+asio::awaitable<void> Sidecar::handleOperations(HttpExchange &exchange)
 {
     const std::string_view path = exchange.path();
     bool ready = false;
--- a/src/engine/sidecar.h
+++ b/src/engine/sidecar.h
@@ -42,21 +42,21 @@
     void onDispatch(std::string_view peer, wire::Dispatch &dispatch);
     void onSeal(std::string_view peer, const wire::Seal &seal);
     void sendFrame(const LiveRun &run, AnswerFrame frame);
-    void tellPayer(const LiveRun &run, const AnswerFrame::End &end);
-    void repeatEnd(std::string_view peer, const std::string &requestId);
+    void notifyPayer(const LiveRun &run, const AnswerFrame::End &end);
+    void resendEnd(std::string_view peer, const std::string &requestId);
     void refuse(std::string_view peer, const wire::Dispatch &dispatch, RunRefusal reason);
 
     asio::awaitable<void> execute(std::shared_ptr<LiveRun> run);
-    asio::awaitable<AnswerFrame::End> relay(LiveRun &run, HttpStreamCall &call);
+    asio::awaitable<AnswerFrame::End> relayResponse(LiveRun &run, HttpStreamCall &call);
     asio::awaitable<void> waitForCredit(LiveRun &run);
     void cancel(const std::shared_ptr<LiveRun> &run);
     asio::awaitable<void> cancelAtEngine(std::shared_ptr<LiveRun> run);
-    HttpCallOptions callOptions(const LiveRun &run) const;
-    asio::awaitable<void> begin();
-    asio::awaitable<void> report();
+    HttpCallOptions engineCallOptions(const LiveRun &run) const;
+    asio::awaitable<void> loadKnownRouters();
+    asio::awaitable<void> sendReports();
     asio::awaitable<void> pollEngine();
     asio::awaitable<void> drainLoop();
-    asio::awaitable<void> answerOperations(HttpExchange &exchange);
+    asio::awaitable<void> handleOperations(HttpExchange &exchange);
     wire::Report makeReport();
 
     WorkerPool &m_pool;
@@ -65,11 +65,11 @@
     Metrics m_metrics;
     std::mutex m_mutex;
     RunTable m_table;
-    absl::flat_hash_map<std::string, std::shared_ptr<LiveRun>> m_live;
-    absl::flat_hash_map<std::string, Instant> m_routers;
-    std::vector<std::unique_ptr<HttpClient>> m_engines;
+    absl::flat_hash_map<std::string, std::shared_ptr<LiveRun>> m_liveRuns;
+    absl::flat_hash_map<std::string, Instant> m_routersLastSeen;
+    std::vector<std::unique_ptr<HttpClient>> m_engineClients;
     /// Used on the link's thread only.
-    std::size_t m_nextLoop = 0;
+    std::size_t m_nextLoopIndex = 0;
     bool m_engineReachable = false;
     std::uint32_t m_engineWaiting = 0;
     std::unique_ptr<LinkHub> m_link;
