--- a/src/engine/runtable.cpp
+++ b/src/engine/runtable.cpp
@@ -30,8 +30,7 @@
 void RunTable::setKnownRouters(std::span<const std::string> live, std::span<const std::string> dead)
 {
     m_mayHaveEarlierRuns.insert(live.begin(), live.end());
-    // Also those being recovered now: between their being declared dead and this process's start, an earlier one here may have run their
-    // requests.
+    // Dead incarnations are included: an earlier process of this sidecar may have run their requests before this process started.
     m_mayHaveEarlierRuns.insert(dead.begin(), dead.end());
     m_sealed.insert(dead.begin(), dead.end());
     m_routersKnown = true;
@@ -47,15 +46,15 @@
     if (!m_routersKnown) {
         return RunRefusal::Leaving;
     }
-    // A paused router that wakes after it was declared dead still believes in its grant. Its tokens may be in other hands by now, so
-    // nothing it sends may start here, however late it arrives.
+    // A router that was paused while it was declared dead still uses its grant when it resumes. The tokens of that grant may have been
+    // granted to other routers by then, so none of its attempts may start here, however late they arrive.
     const std::string &payer = attempt.payer.empty() ? attempt.router : attempt.payer;
     if (m_sealed.contains(attempt.router) || m_sealed.contains(payer)) {
         return RunRefusal::Sealed;
     }
     heard(attempt.router, now);
-    // An attempt queued for an earlier process at this place arrives when the connection is back; its router may have counted it as lost by
-    // then.
+    // An attempt that was queued for an earlier process is delivered once the connection is restored. Its router may have counted it as
+    // lost by then.
     if (attempt.targetIncarnation != m_options.incarnation) {
         return RunRefusal::WrongIncarnation;
     }
--- a/src/engine/runtable.h
+++ b/src/engine/runtable.h
@@ -14,7 +14,7 @@
 
 namespace bamboohold {
 
-/// Why a sidecar declines an attempt. Each means that the engine has not had it: not run.
+/// Why a sidecar refused an attempt. A refused attempt was never sent to the engine, so it did not run.
 enum class RunRefusal {
     Full,
     Leaving,
@@ -34,59 +34,59 @@
     Unknown,
 };
 
-/// The stable name of a run's end, as in metrics.
+/// Returns the name of a run's end as used in metrics. The names do not change between versions.
 std::string_view runEndName(RunEnd end);
 
-/// What a sidecar remembers of a run until its router says that it is billed.
+/// A sidecar's record of a run. It is kept until the router confirms that the run has been billed.
 struct RunRecord {
     std::string requestId;
     std::uint32_t attempt = 0;
-    /// The incarnation whose grant pays.
+    /// The router incarnation whose grant pays for the run.
     std::string router;
     std::string team;
     std::string budget;
-    /// Worst case that the router has reserved.
+    /// Upper bound on the tokens used by the run, as reserved by the router.
     Tokens bound = 0;
-    /// Number of the router's flush that can bill the run at the earliest; bounds a reclaimer's search of the ledger.
+    /// Number of the router's earliest flush that can bill the run. A reclaimer starts its search of the ledger there.
     std::uint64_t earliestFlush = 0;
     bool running = true;
     RunEnd end = RunEnd::Unknown;
     std::optional<TokenUsage> usage;
-    /// What the run costs: known once it has ended, the bound until then.
+    /// Tokens charged for the run; equal to the bound until the run has ended.
     Tokens charged = 0;
 };
 
-/// A sidecar's answer to a reclaimer.
+/// A sidecar's reply to a router that is reclaiming the grants of a router incarnation.
 struct SealResult {
-    /// True when the incarnation spoke here a moment ago and is therefore not dead.
+    /// True if the sidecar has received a message from the incarnation within Options::livenessWindow, so it is not dead.
     bool alive = false;
-    /// False when an earlier process at this target may have run things for the incarnation that this one knows nothing of.
+    /// False if an earlier sidecar process of this target may have run requests of the incarnation, of which this process has no record.
     bool complete = true;
-    /// Runs of the incarnation that are not yet known to be billed.
+    /// The incarnation's runs that are not confirmed as billed.
     std::vector<RunRecord> runs;
 };
 
-/// What a sidecar lets its engine run, and what it knows of it. It is the fence (nothing of a sealed router incarnation starts) and the
-/// witness (it remembers what ran even when the router is gone).
+/// Decides which attempts a sidecar admits to its engine and records the runs. It fences router incarnations (no attempt of a sealed
+/// incarnation starts), and its records show what ran for a router that has died.
 ///
-/// Pure: the sidecar's runtime drives it under one lock.
+/// Performs no I/O and is not thread-safe: Sidecar accesses it under its mutex.
 class RunTable
 {
 public:
     struct Options {
-        /// This sidecar's own incarnation; an attempt meant for an earlier one is refused.
+        /// This sidecar's incarnation. Attempts addressed to an earlier one are refused.
         std::string incarnation;
-        /// Runs at a time, waiting ones at the engine included.
+        /// Maximum number of concurrent runs, including those queued at the engine.
         std::uint32_t limit = 1;
-        /// An incarnation heard of within this time is not sealed.
+        /// A router incarnation from which a message was received within this time counts as alive.
         Duration livenessWindow = std::chrono::seconds(5);
     };
 
-    /// What an attempt brings with it.
+    /// An attempt to run a request, as received from a router.
     struct Attempt {
         std::string requestId;
         std::uint32_t attempt = 0;
-        /// Who sends it, and whose grant pays: the sender's own when empty.
+        /// The router incarnation that sent the attempt, and the one whose grant pays; if `payer` is empty, the sender's own grant pays.
         std::string router;
         std::string payer;
         std::string targetIncarnation;
@@ -94,61 +94,64 @@
         std::string budget;
         Tokens bound = 0;
         std::uint64_t earliestFlush = 0;
+        /// Time left until the request's deadline.
         Duration expiresIn{};
     };
 
     explicit RunTable(Options options);
 
-    /// What the platform's table said of router incarnations when this process began. Nothing is admitted before: an incarnation declared
-    /// dead while no process stood here would otherwise find an open door. Incarnations alive then may have had runs at an earlier process.
+    /// Sets the router incarnations that the platform's table listed when this process started. Until then no attempt is admitted, since an
+    /// incarnation may have been declared dead while no sidecar was running here. All listed incarnations may have runs at an earlier
+    /// process.
     void setKnownRouters(std::span<const std::string> live, std::span<const std::string> dead);
 
-    /// The router has billed all that it gave to earlier processes here.
+    /// Called when the router has billed all of its requests that earlier processes of this sidecar ran.
     void clearEarlierRuns(std::string_view router);
 
-    /// Takes an attempt in, or says why not. A request id that is known here is not run again.
+    /// Admits an attempt, or returns the reason for refusing it. An attempt whose request id is already recorded is refused as a duplicate.
     std::optional<RunRefusal> admit(const Attempt &attempt, Instant now);
 
-    /// The run ended. Returns what it costs: the engine's count within the bound; the whole bound when the engine ran it and gave none.
+    /// Records the end of a run and returns the tokens to charge: the engine's count, limited to the bound, or the whole bound if the
+    /// engine may have run the request but gave no count. A request that did not run costs nothing and is removed.
     Tokens finish(std::string_view requestId, RunEnd end, const std::optional<TokenUsage> &usage);
 
-    /// The router has these in the table; they need not be remembered.
+    /// Removes the record of a finished run that its router has written to the table.
     void forget(std::string_view requestId);
 
-    /// A router incarnation gave a sign of life.
+    /// Records that a message from the router incarnation was received.
     void heard(std::string_view router, Instant now);
 
-    /// Asks whether the incarnation is alive, without consequence.
+    /// Returns whether the incarnation is alive, without sealing it.
     SealResult probe(std::string_view router, Instant now) const;
 
-    /// Refuses all later attempts of the incarnation, which the table has declared dead, and tells what it ran.
+    /// Seals an incarnation that the table has declared dead: all its later attempts are refused. Returns the runs recorded for it.
     SealResult seal(std::string_view router);
 
-    /// From now on every attempt is refused as leaving.
+    /// Refuses all later attempts with RunRefusal::Leaving.
     void beginDrain();
 
-    /// True after begin().
+    /// True after setKnownRouters().
     bool routersKnown() const
     {
         return m_routersKnown;
     }
 
-    /// True once draining.
+    /// True after beginDrain().
     bool draining() const
     {
         return m_draining;
     }
 
-    /// Runs at the engine now.
+    /// Number of current runs.
     std::uint32_t running() const
     {
         return m_running;
     }
 
-    /// The record of a request, or null.
+    /// Returns the record of a request, or null if there is none.
     const RunRecord *find(std::string_view requestId) const;
 
-    /// Records kept, running or unbilled.
+    /// Number of records: current runs and runs that are not confirmed as billed.
     std::size_t recordCount() const
     {
         return m_records.size();
--- a/src/engine/sidecar.cpp
+++ b/src/engine/sidecar.cpp
@@ -22,20 +22,20 @@
 
 namespace {
 
-/// Four reports within the silence after which a router sends a target nothing new.
+/// A quarter of the time without reports after which routers send a target no new requests.
 constexpr Duration s_reportInterval = std::chrono::milliseconds(500);
 constexpr Duration s_enginePollInterval = std::chrono::milliseconds(500);
 constexpr Duration s_engineTimeout = std::chrono::seconds(60);
 constexpr Duration s_engineProbeTimeout = std::chrono::seconds(2);
 constexpr Duration s_routerExpiry = std::chrono::seconds(30);
-/// A router that gives no credit for this long no longer reads; its run is cancelled.
+/// A run is cancelled if its router grants no credit for this long, because the router is then no longer reading.
 constexpr Duration s_creditTimeout = std::chrono::seconds(30);
 constexpr Duration s_drainPollInterval = std::chrono::milliseconds(20);
 constexpr std::uint64_t s_resentEndSequence = UINT64_MAX;
 
 }
 
-/// One attempt while the engine has it. Shared by its coroutine and by the table through which cancellations and credit find it.
+/// An attempt that is running at the engine. Owned jointly by its coroutine and by m_liveRuns, where cancellations and credit look it up.
 struct Sidecar::LiveRun : std::enable_shared_from_this<LiveRun> {
     LiveRun(asio::any_io_executor loop, std::string_view routerName, wire::Dispatch message)
         : executor(std::move(loop))
@@ -54,7 +54,7 @@
     HttpStreamCall *call = nullptr;
     std::uint64_t sequence = 0;
     std::uint64_t sentBytes = 0;
-    /// Bytes that may be sent before the router has given more credit; the dispatch brings the first.
+    /// Total number of bytes that the router has allowed to be sent, starting with the credit in the dispatch.
     std::uint64_t creditBytes = 0;
     bool cancelled = false;
 };
@@ -92,7 +92,7 @@
     asio::co_spawn(m_pool.mainLoop(), loadKnownRouters(), asio::detached);
     asio::co_spawn(m_pool.mainLoop(), sendReports(), asio::detached);
     asio::co_spawn(m_pool.mainLoop(), pollEngine(), asio::detached);
-    logLine(Severity::Info, "sidecar is up", {{"incarnation", m_incarnation}, {"target", m_settings.target}});
+    logLine(Severity::Info, "sidecar started", {{"incarnation", m_incarnation}, {"target", m_settings.target}});
     return absl::OkStatus();
 }
 
@@ -115,7 +115,7 @@
         const std::lock_guard lock(m_mutex);
         busy = !m_liveRuns.empty();
     }
-    // The last frames are in the link's queue: give it time to send them before the process ends.
+    // Give the link time to send the last queued frames before the process exits.
     co_await pause(s_reportInterval);
     std::int64_t unfinished = 0;
     {
@@ -204,8 +204,8 @@
     if (record == nullptr || record->running) {
         return;
     }
-    // A router that still waits for a run which is over has lost its last frame, for example while it was paused. Far behind any frame of
-    // the answer, this end closes the request without passing for the rest of it.
+    // A router that cancels a finished run has missed the last frame, for example while it was paused. The sequence number of this frame is
+    // greater than that of any frame of the response, so it ends the request but cannot be mistaken for the missing rest of the response.
     AnswerFrame frame{.attempt = record->attempt, .sequence = s_resentEndSequence};
     frame.content = AnswerFrame::End{.end = record->end, .usage = record->usage, .charged = record->charged};
     wire::Envelope envelope;
@@ -278,7 +278,7 @@
                 run.mutable_usage()->set_prompt_tokens(record.usage->prompt);
                 run.mutable_usage()->set_output_tokens(record.usage->output);
             }
-            // Nobody reads its answer any more, and its tokens come back sooner when it stops.
+            // The router that would read the response is dead, and stopping the run returns its tokens sooner.
             if (const auto live = m_liveRuns.find(record.requestId); record.running && live != m_liveRuns.end()) {
                 asio::post(live->second->executor, [this, abandoned = live->second] {
                     cancel(abandoned);
@@ -298,7 +298,7 @@
 
 void Sidecar::notifyPayer(const LiveRun &run, const AnswerFrame::End &end)
 {
-    // Only an attempt that ran settles the matter: one that did not may be tried elsewhere by the router that sent it.
+    // An attempt that did not run does not end the request: the router that sent it can retry it at another target.
     if (run.dispatch.payer().empty() || end.end == RunEnd::NotRun) {
         return;
     }
@@ -366,7 +366,7 @@
     HttpCallOptions options{
         .method = "POST", .path = absl::StrCat("/v1/cancel?request=", run->dispatch.request_id()), .timeout = s_engineProbeTimeout};
     const auto reply = co_await engine.call(std::move(options));
-    // An engine that cannot cancel by name stops when its connection goes; what it ran until then it does not tell.
+    // An engine that cannot cancel a request by its id stops when the connection is closed, but then does not report its usage.
     const bool stopped = reply.ok() && reply->status == 200;
     if (!stopped && run->call != nullptr) {
         run->call->cancel();
@@ -417,11 +417,11 @@
         sendFrame(run, {.attempt = attempt, .sequence = run.sequence++, .content = AnswerFrame::Data{.bytes = *std::move(chunk)}});
         co_await waitForCredit(run);
     }
-    // An engine that dies can close its connection in good order; only the stream's own end mark shows that the answer is whole.
+    // The connection of a crashed engine can be closed normally; only the end-of-stream marker shows that a stream is complete.
     if (end.end == RunEnd::Complete && eventStream && !scanner.sawEndOfStream()) {
         end.end = RunEnd::FailedAfterRunning;
     }
-    // The last count before a cut is older than what the engine ran: only the count of an answer that ended in good order is the truth, and
+    // The usage of an interrupted response is lower than what the engine really used. Only the usage of a complete response is trusted;
     // without it the whole reservation is charged.
     if (end.end == RunEnd::Complete) {
         end.usage = scanner.usage();
--- a/src/engine/sidecar.h
+++ b/src/engine/sidecar.h
@@ -18,21 +18,21 @@
 
 namespace bamboohold {
 
-/// The process beside one target: the only one that talks to its engine. It drives RunTable, carries answers to routers frame by frame
-/// within the credit they give, and reports the target's load.
+/// The daemon's sidecar role: runs next to one target and is the only process that calls its engine. It admits attempts through RunTable,
+/// sends responses to routers as frames, limited by the credit that they grant, and reports the target's load.
 ///
-/// Locks: m_mutex guards the run table, the live runs and the routers; it is held for table work only, never across a wait, and nothing
-/// else is locked under it but Metrics.
+/// Locks: m_mutex guards m_table, m_liveRuns, m_routersLastSeen and the state of the engine. It is never held across a wait, and no lock
+/// other than that of Metrics is acquired while it is held.
 class Sidecar
 {
 public:
     Sidecar(WorkerPool &pool, const Settings &settings);
     ~Sidecar();
 
-    /// Opens the ports and starts reporting.
+    /// Opens the ports and starts sending load reports to routers. Returns an error if a port cannot be opened.
     absl::Status open();
 
-    /// Takes no new work from now on; done when the last run ended or the limit passed, then the pool stops.
+    /// Refuses new attempts, waits until all runs have ended or Settings::drainLimit has passed, and stops the worker pool.
     void drain();
 
 private:
@@ -68,7 +68,7 @@
     absl::flat_hash_map<std::string, std::shared_ptr<LiveRun>> m_liveRuns;
     absl::flat_hash_map<std::string, Instant> m_routersLastSeen;
     std::vector<std::unique_ptr<HttpClient>> m_engineClients;
-    /// Used on the link's thread only.
+    /// Accessed only on the link's thread.
     std::size_t m_nextLoopIndex = 0;
     bool m_engineReachable = false;
     std::uint32_t m_engineWaiting = 0;
--- a/src/engine/usagescanner.cpp
+++ b/src/engine/usagescanner.cpp
@@ -12,10 +12,10 @@
 
 constexpr std::string_view s_usagePrefix = "\"usage\":{";
 constexpr std::string_view s_endOfStreamMarker = "data: [DONE]";
-/// Longest usage object looked for; it bounds what is kept between pieces.
+/// Maximum size of a usage object that is found across chunks; bounds the bytes kept between chunks.
 constexpr std::size_t s_maxUsageBytes = 512;
 
-/// The object that begins at the position, empty when its end is not there yet.
+/// Returns the JSON object that begins at the given position, or an empty view if its end has not been received yet.
 std::string_view objectAt(std::string_view text, std::size_t begin)
 {
     int depth = 0;
@@ -48,7 +48,7 @@
 {
     m_tail.append(chunk);
     m_endOfStream = m_endOfStream || m_tail.find(s_endOfStreamMarker) != std::string::npos;
-    // The newest object may still be cut; the one before it is then the newest whole one.
+    // The last object can still be incomplete; the one before it is then the latest complete one.
     for (std::size_t position = m_tail.rfind(s_usagePrefix); position != std::string::npos;
          position = position == 0 ? std::string::npos : m_tail.rfind(s_usagePrefix, position - 1)) {
         const std::string_view object = objectAt(m_tail, position + s_usagePrefix.size() - 1);
--- a/src/engine/usagescanner.h
+++ b/src/engine/usagescanner.h
@@ -8,7 +8,7 @@
 
 namespace bamboohold {
 
-/// Tokens of a run as its engine counted them.
+/// Token counts of a run as reported by its engine.
 struct TokenUsage {
     Tokens prompt = 0;
     Tokens output = 0;
@@ -19,20 +19,20 @@
     }
 };
 
-/// Finds the newest usage object in an answer as its pieces go by, streamed or whole, without holding the answer. Pure.
+/// Incrementally extracts the latest usage object from a response, streamed or not, without buffering the response. Performs no I/O.
 class UsageScanner
 {
 public:
-    /// Takes the next piece of the answer, cut anywhere.
+    /// Processes the next chunk of the response. Chunk boundaries can be anywhere.
     void feed(std::string_view chunk);
 
-    /// The newest usage seen; empty while the engine has reported none.
+    /// The latest complete usage object found; empty if there is none yet.
     const std::optional<TokenUsage> &usage() const
     {
         return m_usage;
     }
 
-    /// True once the mark that ends a stream of server-sent events has gone by.
+    /// True once the marker that ends the event stream (`data: [DONE]`) has been found.
     bool sawEndOfStream() const
     {
         return m_endOfStream;
--- a/src/tests/runtabletest.cpp
+++ b/src/tests/runtabletest.cpp
@@ -41,21 +41,21 @@
         std::function<RunTable::Attempt(RunTable &)> prepare;
     };
     const std::vector<Case> cases{
-        {"two run already",
+        {"two runs in progress",
          RunRefusal::Full,
          [](RunTable &table) {
              (void)table.admit(attempt("a"), at(1));
              (void)table.admit(attempt("b"), at(1));
              return attempt("c");
          }},
-        {"the same request again",
+        {"request already recorded",
          RunRefusal::Duplicate,
          [](RunTable &table) {
              (void)table.admit(attempt("a"), at(1));
              table.finish("a", RunEnd::Complete, TokenUsage{.prompt = 1, .output = 1});
              return attempt("a");
          }},
-        {"meant for an earlier process",
+        {"addressed to an earlier process",
          RunRefusal::WrongIncarnation,
          [](RunTable &) {
              RunTable::Attempt late = attempt("a");
@@ -93,8 +93,8 @@
     }
 }
 
-// A sidecar restarts while a router that was declared dead is still paused. When it wakes it must find the new process closed to it as
-// well.
+// A sidecar restarts while a router that was declared dead is paused. When the router resumes, the new sidecar process must refuse its
+// attempts as the earlier one did.
 BOOST_AUTO_TEST_CASE(admitsNothingUntilDeadRoutersAreKnown)
 {
     RunTable table({.incarnation = "target~1", .limit = 2});
--- a/src/tests/usagescannertest.cpp
+++ b/src/tests/usagescannertest.cpp
@@ -17,8 +17,8 @@
 
 }
 
-// A request would be billed by a count that was cut in two. The answer arrives in pieces cut anywhere; the newest whole count must be found
-// all the same.
+// Guards against billing a request by a partial or outdated usage object. The chunks of a response can end anywhere, also within a usage
+// object; the latest complete one must be found for any chunk sizes.
 BOOST_AUTO_TEST_CASE(findsTheLatestUsageForAnyChunking)
 {
     const bool holds = rc::check([] {
