--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -13,7 +13,7 @@
 
 using namespace bamboohold;
 
-constexpr int s_exitSetting = 2;
+constexpr int s_exitStartupError = 2;
 
 /// Runs one role until it has drained after SIGTERM or SIGINT.
 template<typename RoleProcess>
@@ -22,14 +22,14 @@
     WorkerPool pool(settings.workers);
     boost::asio::signal_set signals(pool.mainLoop(), SIGTERM, SIGINT);
     RoleProcess process(pool, settings);
-    signals.async_wait([&process](const boost::system::error_code &error, int) {
-        if (!error) {
+    signals.async_wait([&process](const boost::system::error_code &signalError, int) {
+        if (!signalError) {
             process.drain();
         }
     });
     if (const absl::Status status = process.open(); !status.ok()) {
         logLine(Severity::Error, "cannot start", {{"type", failureName(toFailure(status).kind)}, {"detail", toFailure(status).detail}});
-        return s_exitSetting;
+        return s_exitStartupError;
     }
     pool.run();
     return 0;
@@ -40,18 +40,18 @@
 int main(int argc, char **argv)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    const SettingsReading reading = readSettings(argc, argv);
-    if (!reading.information.empty()) {
-        std::cout << reading.information;
+    const SettingsResult result = readSettings(argc, argv);
+    if (!result.infoText.empty()) {
+        std::cout << result.infoText;
         return 0;
     }
-    for (const Failure &mistake : reading.mistakes) {
-        std::cerr << failureName(mistake.kind) << ": " << mistake.detail << "\n";
+    for (const Failure &error : result.errors) {
+        std::cerr << failureName(error.kind) << ": " << error.detail << "\n";
     }
-    if (!reading.settings) {
-        return s_exitSetting;
+    if (!result.settings) {
+        return s_exitStartupError;
     }
-    const Settings &settings = *reading.settings;
+    const Settings &settings = *result.settings;
     initLog({.role = settings.role == Role::Router ? "router" : "sidecar", .host = settings.host, .failureDomain = settings.failureDomain},
             Severity::Info);
     return settings.role == Role::Router ? runRole<Router>(settings) : runRole<Sidecar>(settings);
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -44,7 +44,7 @@
 AccountPolicy policyOf(const Settings &settings)
 {
     AccountPolicy policy;
-    policy.holdingHorizon = settings.horizon;
+    policy.holdingHorizon = settings.grantHorizon;
     return policy;
 }
 
@@ -75,7 +75,7 @@
                 },
                 {.limits = {.defaultLimit = settings.defaultOutputTokens, .maxLimit = settings.maxOutputTokens},
                  .defaultDeadline = settings.defaultDeadline})
-    , m_peers({.self = m_identity.incarnation, .silence = settings.reclaimAfter})
+    , m_peers({.self = m_identity.incarnation, .silence = settings.reclaimTimeout})
     , m_relay(pool.mainLoop().get_executor(),
               m_platform,
               [this] {
@@ -280,7 +280,7 @@
 {
     while (true) {
         co_await fetchConfiguration();
-        co_await pause(m_settings.configurationPoll);
+        co_await pause(m_settings.configurationPollInterval);
     }
 }
 
@@ -301,7 +301,7 @@
             const std::lock_guard lock(m_routingMutex);
             m_targets.setEvacuated(std::move(domains));
         }
-        co_await pause(m_settings.configurationPoll);
+        co_await pause(m_settings.configurationPollInterval);
     }
 }
 
@@ -404,7 +404,7 @@
 
 asio::awaitable<void> Router::drainLoop()
 {
-    const Instant limit = steadyNow() + m_settings.drainLimit;
+    const Instant limit = steadyNow() + m_settings.drainTimeout;
     while (m_driver.inFlight() > 0 && steadyNow() < limit) {
         co_await pause(s_drainPoll);
     }
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -42,38 +42,38 @@
 constexpr std::string_view s_environmentPrefix = "BAMBOOHOLD_";
 
 /// Collects mistakes while settings are read.
-class Checker
+class SettingsValidator
 {
 public:
-    explicit Checker(std::vector<Failure> &mistakes)
-        : m_mistakes(mistakes)
+    explicit SettingsValidator(std::vector<Failure> &errors)
+        : m_errors(errors)
     {
     }
 
-    void mistake(std::string_view flag, std::string_view value, std::string_view accepted)
+    void addError(std::string_view flag, std::string_view value, std::string_view expected)
     {
-        m_mistakes.push_back(
+        m_errors.push_back(
             {.kind = FailureKind::InvalidSetting,
-             .detail = std::string("--").append(flag).append("='").append(value).append("': accepted is ").append(accepted)});
+             .detail = std::string("--").append(flag).append("='").append(value).append("': accepted is ").append(expected)});
     }
 
-    std::int64_t within(std::string_view flag, std::int64_t value, std::int64_t lowest, std::int64_t highest)
+    std::int64_t inRange(std::string_view flag, std::int64_t value, std::int64_t min, std::int64_t max)
     {
-        if (value < lowest || value > highest) {
-            mistake(flag, absl::StrCat(value), absl::StrCat("a whole number from ", lowest, " to ", highest));
+        if (value < min || value > max) {
+            addError(flag, absl::StrCat(value), absl::StrCat("a whole number from ", min, " to ", max));
         }
         return value;
     }
 
     std::uint16_t port(std::string_view flag, std::int64_t value)
     {
-        return static_cast<std::uint16_t>(within(flag, value, 1, s_maxPort));
+        return static_cast<std::uint16_t>(inRange(flag, value, 1, s_maxPort));
     }
 
     std::string required(std::string_view flag, const std::string &value)
     {
         if (value.empty()) {
-            mistake(flag, value, "a non-empty name");
+            addError(flag, value, "a non-empty name");
         }
         return value;
     }
@@ -85,14 +85,14 @@
         const auto address = boost::asio::ip::make_address(parts.first, error);
         std::int64_t number = 0;
         if (error || !absl::SimpleAtoi(parts.second, &number) || number < 1 || number > s_maxPort) {
-            mistake(flag, value, "an IP address and port, such as 127.0.0.1:9000");
+            addError(flag, value, "an IP address and port, such as 127.0.0.1:9000");
             return {};
         }
         return {address, static_cast<std::uint16_t>(number)};
     }
 
 private:
-    std::vector<Failure> &m_mistakes;
+    std::vector<Failure> &m_errors;
 };
 
 Duration milliseconds(std::int64_t value)
@@ -100,7 +100,7 @@
     return std::chrono::milliseconds(value);
 }
 
-std::vector<gflags::CommandLineFlagInfo> ownFlags()
+std::vector<gflags::CommandLineFlagInfo> daemonFlags()
 {
     std::vector<gflags::CommandLineFlagInfo> all;
     gflags::GetAllFlags(&all);
@@ -114,7 +114,7 @@
 {
     std::string text = "bambooholdd: bamboohold's daemon\n\nUsage: bambooholdd --role=router|sidecar [--FLAG=VALUE ...]\n"
                        "Each flag can also be set as an environment variable BAMBOOHOLD_FLAG; the command line goes first.\n\n";
-    for (const gflags::CommandLineFlagInfo &flag : ownFlags()) {
+    for (const gflags::CommandLineFlagInfo &flag : daemonFlags()) {
         absl::StrAppend(&text,
                         "  --",
                         flag.name,
@@ -126,34 +126,34 @@
     return text;
 }
 
-void setFlag(const std::string &name, const std::string &value, std::string_view source, SettingsReading &reading)
+void setFlag(const std::string &name, const std::string &value, std::string_view source, SettingsResult &result)
 {
     gflags::CommandLineFlagInfo info;
     const bool known = gflags::GetCommandLineFlagInfo(name.c_str(), &info) && info.filename.find("settings.cpp") != std::string::npos;
     if (!known) {
-        reading.mistakes.push_back({.kind = FailureKind::InvalidSetting,
-                                    .detail = std::string(source).append(" '").append(name).append("': not a known flag; see --help")});
+        result.errors.push_back({.kind = FailureKind::InvalidSetting,
+                                 .detail = std::string(source).append(" '").append(name).append("': not a known flag; see --help")});
         return;
     }
     if (gflags::SetCommandLineOption(name.c_str(), value.c_str()).empty()) {
-        Checker(reading.mistakes).mistake(name, value, std::string("a value of type ").append(info.type));
+        SettingsValidator(result.errors).addError(name, value, std::string("a value of type ").append(info.type));
     }
 }
 
-void readCommandLine(int argc, char **argv, SettingsReading &reading, absl::flat_hash_set<std::string> &given)
+void readCommandLine(int argc, char **argv, SettingsResult &result, absl::flat_hash_set<std::string> &givenOnCommandLine)
 {
     for (int index = 1; index < argc; ++index) {
         std::string argument = argv[index];
         if (argument == "--help" || argument == "-h") {
-            reading.information = helpText();
+            result.infoText = helpText();
             return;
         }
         if (argument == "--version") {
-            reading.information = std::string("bambooholdd ").append(s_version).append("\n");
+            result.infoText = std::string("bambooholdd ").append(s_version).append("\n");
             return;
         }
         if (!argument.starts_with("--")) {
-            reading.mistakes.push_back(
+            result.errors.push_back(
                 {.kind = FailureKind::InvalidSetting, .detail = absl::StrCat("'", argument, "': arguments have the form --flag=value")});
             continue;
         }
@@ -162,83 +162,83 @@
         if (argument.find('=') == std::string::npos && index + 1 < argc) {
             value = argv[++index];
         }
-        setFlag(parts.first, value, "flag", reading);
-        given.insert(parts.first);
+        setFlag(parts.first, value, "flag", result);
+        givenOnCommandLine.insert(parts.first);
     }
 }
 
-void readEnvironment(SettingsReading &reading, const absl::flat_hash_set<std::string> &given)
+void readEnvironment(SettingsResult &result, const absl::flat_hash_set<std::string> &givenOnCommandLine)
 {
-    for (const gflags::CommandLineFlagInfo &flag : ownFlags()) {
+    for (const gflags::CommandLineFlagInfo &flag : daemonFlags()) {
         const std::string variable = std::string(s_environmentPrefix).append(absl::AsciiStrToUpper(flag.name));
         const char *value = std::getenv(variable.c_str());
-        if (value != nullptr && !given.contains(flag.name)) {
-            setFlag(flag.name, value, "environment variable", reading);
+        if (value != nullptr && !givenOnCommandLine.contains(flag.name)) {
+            setFlag(flag.name, value, "environment variable", result);
         }
     }
 }
 
-Settings checkedSettings(Checker &checker)
+Settings validateSettings(SettingsValidator &validator)
 {
     Settings settings;
     if (FLAGS_role != "router" && FLAGS_role != "sidecar") {
-        checker.mistake("role", FLAGS_role, "'router' or 'sidecar'");
+        validator.addError("role", FLAGS_role, "'router' or 'sidecar'");
     }
     settings.role = FLAGS_role == "sidecar" ? Role::Sidecar : Role::Router;
-    settings.host = checker.required("host", FLAGS_host);
-    settings.failureDomain = checker.required("failure_domain", FLAGS_failure_domain);
+    settings.host = validator.required("host", FLAGS_host);
+    settings.failureDomain = validator.required("failure_domain", FLAGS_failure_domain);
     boost::system::error_code error;
     boost::asio::ip::make_address(FLAGS_address, error);
     if (error) {
-        checker.mistake("address", FLAGS_address, "an IP address");
+        validator.addError("address", FLAGS_address, "an IP address");
     }
     settings.address = FLAGS_address;
-    settings.callerPort = checker.port("caller_port", FLAGS_caller_port);
-    settings.operationsPort = checker.port("operations_port", FLAGS_operations_port);
-    settings.linkPort = checker.port("link_port", FLAGS_link_port);
-    const bool samePort =
+    settings.callerPort = validator.port("caller_port", FLAGS_caller_port);
+    settings.operationsPort = validator.port("operations_port", FLAGS_operations_port);
+    settings.linkPort = validator.port("link_port", FLAGS_link_port);
+    const bool portConflict =
         settings.linkPort == settings.operationsPort || (settings.role == Role::Router && settings.callerPort == settings.operationsPort);
-    if (samePort) {
-        checker.mistake("operations_port", absl::StrCat(FLAGS_operations_port), "a port that no other flag names");
+    if (portConflict) {
+        validator.addError("operations_port", absl::StrCat(FLAGS_operations_port), "a port that no other flag names");
     }
-    settings.platform = checker.endpoint("platform", FLAGS_platform);
+    settings.platform = validator.endpoint("platform", FLAGS_platform);
     if (settings.role == Role::Sidecar) {
-        settings.target = checker.required("target", FLAGS_target);
-        settings.engine = checker.endpoint("engine", FLAGS_engine);
+        settings.target = validator.required("target", FLAGS_target);
+        settings.engine = validator.endpoint("engine", FLAGS_engine);
     } else if (!FLAGS_target.empty() || !FLAGS_engine.empty()) {
-        checker.mistake("target", FLAGS_target, "only with --role=sidecar, like --engine");
-    }
-    settings.slots = static_cast<std::uint32_t>(checker.within("slots", FLAGS_slots, 1, 100'000));
-    settings.workers = static_cast<int>(checker.within("workers", FLAGS_workers, 1, 64));
-    settings.maxOutputTokens = checker.within("max_output_tokens", FLAGS_max_output_tokens, 1, 1'000'000);
-    settings.defaultOutputTokens = checker.within("default_output_tokens", FLAGS_default_output_tokens, 1, FLAGS_max_output_tokens);
-    settings.horizon = milliseconds(checker.within("grant_horizon_ms", FLAGS_grant_horizon_ms, 100, 86'400'000));
-    settings.flushInterval = milliseconds(checker.within("flush_interval_ms", FLAGS_flush_interval_ms, 10, 60'000));
-    settings.platformTimeout = milliseconds(checker.within("platform_timeout_ms", FLAGS_platform_timeout_ms, 10, 60'000));
-    settings.configurationPoll = milliseconds(checker.within("configuration_poll_ms", FLAGS_configuration_poll_ms, 10, 60'000));
-    settings.drainLimit = milliseconds(checker.within("drain_limit_ms", FLAGS_drain_limit_ms, 0, 3'600'000));
-    settings.defaultDeadline = milliseconds(checker.within("default_deadline_ms", FLAGS_default_deadline_ms, 100, 3'600'000));
-    settings.reclaimAfter = milliseconds(checker.within("reclaim_after_ms", FLAGS_reclaim_after_ms, 1'000, 3'600'000));
+        validator.addError("target", FLAGS_target, "only with --role=sidecar, like --engine");
+    }
+    settings.slots = static_cast<std::uint32_t>(validator.inRange("slots", FLAGS_slots, 1, 100'000));
+    settings.workers = static_cast<int>(validator.inRange("workers", FLAGS_workers, 1, 64));
+    settings.maxOutputTokens = validator.inRange("max_output_tokens", FLAGS_max_output_tokens, 1, 1'000'000);
+    settings.defaultOutputTokens = validator.inRange("default_output_tokens", FLAGS_default_output_tokens, 1, FLAGS_max_output_tokens);
+    settings.grantHorizon = milliseconds(validator.inRange("grant_horizon_ms", FLAGS_grant_horizon_ms, 100, 86'400'000));
+    settings.flushInterval = milliseconds(validator.inRange("flush_interval_ms", FLAGS_flush_interval_ms, 10, 60'000));
+    settings.platformTimeout = milliseconds(validator.inRange("platform_timeout_ms", FLAGS_platform_timeout_ms, 10, 60'000));
+    settings.configurationPollInterval = milliseconds(validator.inRange("configuration_poll_ms", FLAGS_configuration_poll_ms, 10, 60'000));
+    settings.drainTimeout = milliseconds(validator.inRange("drain_limit_ms", FLAGS_drain_limit_ms, 0, 3'600'000));
+    settings.defaultDeadline = milliseconds(validator.inRange("default_deadline_ms", FLAGS_default_deadline_ms, 100, 3'600'000));
+    settings.reclaimTimeout = milliseconds(validator.inRange("reclaim_after_ms", FLAGS_reclaim_after_ms, 1'000, 3'600'000));
     return settings;
 }
 
 }
 
-SettingsReading readSettings(int argc, char **argv)
+SettingsResult readSettings(int argc, char **argv)
 {
-    SettingsReading reading;
-    absl::flat_hash_set<std::string> given;
-    readCommandLine(argc, argv, reading, given);
-    if (!reading.information.empty()) {
-        return reading;
-    }
-    readEnvironment(reading, given);
-    Checker checker(reading.mistakes);
-    Settings settings = checkedSettings(checker);
-    if (reading.mistakes.empty()) {
-        reading.settings = std::move(settings);
-    }
-    return reading;
+    SettingsResult result;
+    absl::flat_hash_set<std::string> givenOnCommandLine;
+    readCommandLine(argc, argv, result, givenOnCommandLine);
+    if (!result.infoText.empty()) {
+        return result;
+    }
+    readEnvironment(result, givenOnCommandLine);
+    SettingsValidator validator(result.errors);
+    Settings settings = validateSettings(validator);
+    if (result.errors.empty()) {
+        result.settings = std::move(settings);
+    }
+    return result;
 }
 
 }
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -36,27 +36,27 @@
     int workers = 2;
     Tokens defaultOutputTokens = 0;
     Tokens maxOutputTokens = 0;
-    Duration horizon{};
+    Duration grantHorizon{};
     Duration flushInterval{};
     Duration platformTimeout{};
-    Duration configurationPoll{};
-    Duration drainLimit{};
+    Duration configurationPollInterval{};
+    Duration drainTimeout{};
     Duration defaultDeadline{};
     /// A router not heard of for this long is taken for dead and its grants are reclaimed.
-    Duration reclaimAfter{};
+    Duration reclaimTimeout{};
 };
 
 /// What the command line asked for.
-struct SettingsReading {
+struct SettingsResult {
     std::optional<Settings> settings;
     /// All mistakes at once.
-    std::vector<Failure> mistakes;
+    std::vector<Failure> errors;
     /// Text to print and exit with 0: help or version.
-    std::string information;
+    std::string infoText;
 };
 
 /// Reads flags (`--name=value`), then environment variables (`BAMBOOHOLD_NAME`) for flags not given. Names the flag, the value and what is
 /// accepted in each mistake.
-SettingsReading readSettings(int argc, char **argv);
+SettingsResult readSettings(int argc, char **argv);
 
 }
--- a/src/engine/sidecar.cpp
+++ b/src/engine/sidecar.cpp
@@ -108,7 +108,7 @@
 
 asio::awaitable<void> Sidecar::drainLoop()
 {
-    const Instant limit = steadyNow() + m_settings.drainLimit;
+    const Instant limit = steadyNow() + m_settings.drainTimeout;
     bool busy = true;
     while (busy && steadyNow() < limit) {
         co_await pause(s_drainPollInterval);
--- a/src/engine/sidecar.h
+++ b/src/engine/sidecar.h
@@ -32,7 +32,7 @@
     /// Opens the ports and starts sending load reports to routers. Returns an error if a port cannot be opened.
     absl::Status open();
 
-    /// Refuses new attempts, waits until all runs have ended or Settings::drainLimit has passed, and stops the worker pool.
+    /// Refuses new attempts, waits until all runs have ended or Settings::drainTimeout has passed, and stops the worker pool.
     void drain();
 
 private:
