--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -21,11 +21,11 @@
 namespace {
 
 constexpr Duration s_heartbeatInterval = std::chrono::seconds(1);
-constexpr Duration s_peerPoll = std::chrono::seconds(2);
-constexpr Duration s_drainPoll = std::chrono::milliseconds(20);
-constexpr Duration s_returnLimit = std::chrono::seconds(5);
+constexpr Duration s_peerPollInterval = std::chrono::seconds(2);
+constexpr Duration s_drainPollInterval = std::chrono::milliseconds(20);
+constexpr Duration s_returnTimeout = std::chrono::seconds(5);
 
-std::vector<TargetPlace> placesOf(const Inventory &inventory, std::string_view ownDomain)
+std::vector<TargetPlace> targetPlaces(const Inventory &inventory, std::string_view ownDomain)
 {
     std::vector<TargetPlace> places;
     for (const Target &target : inventory.targets) {
@@ -41,7 +41,7 @@
     return places;
 }
 
-AccountPolicy policyOf(const Settings &settings)
+AccountPolicy accountPolicy(const Settings &settings)
 {
     AccountPolicy policy;
     policy.holdingHorizon = settings.grantHorizon;
@@ -59,30 +59,30 @@
     , m_platform(pool.mainLoop().get_executor(), settings.platform, settings.platformTimeout)
     , m_budgets(pool.mainLoop().get_executor(),
                 m_platform,
-                {.identity = m_identity, .policy = policyOf(settings), .flushInterval = settings.flushInterval})
+                {.identity = m_identity, .policy = accountPolicy(settings), .flushInterval = settings.flushInterval})
     , m_sponsors(pool.mainLoop().get_executor(),
                  m_budgets,
                  [this] {
-                     return helpers();
+                     return responsivePeers();
                  },
                  {})
     , m_claims(pool.mainLoop().get_executor(), m_platform, {})
     , m_targets({})
     , m_driver(m_budgets, m_sponsors, m_claims, m_targets, m_routingMutex, m_metrics, {.incarnation = m_identity.incarnation})
-    , m_callers(m_driver,
-                [this] {
-                    return configuration();
-                },
-                {.limits = {.defaultLimit = settings.defaultOutputTokens, .maxLimit = settings.maxOutputTokens},
-                 .defaultDeadline = settings.defaultDeadline})
+    , m_callerApi(m_driver,
+                  [this] {
+                      return configuration();
+                  },
+                  {.limits = {.defaultLimit = settings.defaultOutputTokens, .maxLimit = settings.maxOutputTokens},
+                   .defaultDeadline = settings.defaultDeadline})
     , m_peers({.self = m_identity.incarnation, .silence = settings.reclaimTimeout})
     , m_relay(pool.mainLoop().get_executor(),
               m_platform,
               [this] {
-                  return helpers();
+                  return responsivePeers();
               },
               {.timeout = settings.platformTimeout})
-    , m_reclaims(m_platform, {.reclaimer = m_identity.incarnation})
+    , m_reclaimService(m_platform, {.reclaimer = m_identity.incarnation})
 {
     m_platform.setRelay([this](const HttpCallOptions &options) {
         return m_relay.call(options);
@@ -91,7 +91,7 @@
         onBilled(billed);
     });
     m_budgets.setRecallHandler([this](const std::string &budget, Tokens need) {
-        askPeers(budget, need);
+        requestRecall(budget, need);
     });
 }
 
@@ -106,15 +106,15 @@
         });
     m_driver.setLink(m_link.get());
     m_relay.setLink(m_link.get());
-    m_reclaims.setLink(m_link.get());
+    m_reclaimService.setLink(m_link.get());
     m_sponsors.setLink(m_link.get());
     m_callerServer = std::make_unique<HttpServer>(
         m_pool, HttpServer::Options{.address = m_settings.address, .port = m_settings.callerPort}, [this](HttpExchange &exchange) {
-            return answerCaller(exchange);
+            return handleCaller(exchange);
         });
     m_operationsServer = std::make_unique<HttpServer>(
         m_pool, HttpServer::Options{.address = m_settings.address, .port = m_settings.operationsPort}, [this](HttpExchange &exchange) {
-            return answerOperations(exchange);
+            return handleOperations(exchange);
         });
     for (const absl::Status &status : {m_link->open(), m_callerServer->open(), m_operationsServer->open()}) {
         if (!status.ok()) {
@@ -125,7 +125,7 @@
     asio::co_spawn(loop, followConfiguration(), asio::detached);
     asio::co_spawn(loop, followEvacuations(), asio::detached);
     asio::co_spawn(loop, followPeers(), asio::detached);
-    asio::co_spawn(loop, heartbeats(), asio::detached);
+    asio::co_spawn(loop, sendHeartbeats(), asio::detached);
     asio::co_spawn(loop, m_budgets.run(), asio::detached);
     asio::co_spawn(loop, watchForDeadRouters(), asio::detached);
     asio::co_spawn(loop, watchForFencing(), asio::detached);
@@ -172,7 +172,7 @@
         m_sponsors.onEnd(message.sponsored_end());
         break;
     case wire::Envelope::kSealAnswer:
-        m_reclaims.onSealAnswer(message.seal_answer());
+        m_reclaimService.onSealAnswer(message.seal_answer());
         break;
     default:
         break;
@@ -196,7 +196,7 @@
                        steadyNow());
 }
 
-void Router::askPeers(const std::string &budget, Tokens need)
+void Router::requestRecall(const std::string &budget, Tokens need)
 {
     wire::Envelope envelope;
     envelope.mutable_recall()->set_budget(budget);
@@ -225,7 +225,7 @@
     const Inventory &inventory = configuration->inventory();
     {
         const std::lock_guard lock(m_routingMutex);
-        m_targets.setPlaces(placesOf(inventory, m_settings.failureDomain));
+        m_targets.setPlaces(targetPlaces(inventory, m_settings.failureDomain));
     }
     {
         const std::lock_guard lock(m_peersMutex);
@@ -235,8 +235,8 @@
             addresses.emplace(target.name, absl::StrCat("tcp://", host->address, ":", target.linkPort));
         }
         for (const auto &[target, address] : m_targetAddresses) {
-            const auto kept = addresses.find(target);
-            if (kept == addresses.end() || kept->second != address) {
+            const auto found = addresses.find(target);
+            if (found == addresses.end() || found->second != address) {
                 m_link->disconnect(target, address);
             }
         }
@@ -266,14 +266,14 @@
     if (!document.ok()) {
         co_return;
     }
-    InventoryReading reading = readInventory(*document);
-    if (!reading.inventory) {
+    InventoryReading inventoryReading = readInventory(*document);
+    if (!inventoryReading.inventory) {
         logLine(Severity::Error,
                 "the accepted configuration cannot be read",
-                {{"path", reading.errors.front().path}, {"detail", reading.errors.front().message}});
+                {{"path", inventoryReading.errors.front().path}, {"detail", inventoryReading.errors.front().message}});
         co_return;
     }
-    applyConfiguration(std::make_shared<const Configuration>(version, *std::move(reading.inventory)));
+    applyConfiguration(std::make_shared<const Configuration>(version, *std::move(inventoryReading.inventory)));
 }
 
 asio::awaitable<void> Router::followConfiguration()
@@ -286,7 +286,7 @@
 
 asio::awaitable<void> Router::followEvacuations()
 {
-    std::set<std::string> inForce;
+    std::set<std::string> evacuated;
     while (true) {
         const auto rows = co_await m_platform.scan(s_evacuationRowPrefix);
         if (rows.ok()) {
@@ -294,9 +294,9 @@
             for (const TableRow &row : *rows) {
                 domains.insert(row.key.substr(s_evacuationRowPrefix.size()));
             }
-            if (domains != inForce) {
+            if (domains != evacuated) {
                 logLine(Severity::Info, "evacuations.in_force", {{"domains", absl::StrJoin(domains, ",")}});
-                inForce = domains;
+                evacuated = domains;
             }
             const std::lock_guard lock(m_routingMutex);
             m_targets.setEvacuated(std::move(domains));
@@ -324,11 +324,11 @@
             }
             m_budgets.setRouterCount(routers);
         }
-        co_await pause(s_peerPoll);
+        co_await pause(s_peerPollInterval);
     }
 }
 
-std::vector<std::string> Router::helpers()
+std::vector<std::string> Router::responsivePeers()
 {
     const std::lock_guard lock(m_peersMutex);
     return m_peers.helpers(steadyNow());
@@ -336,9 +336,9 @@
 
 asio::awaitable<void> Router::watchForDeadRouters()
 {
-    std::size_t turn = 0;
+    std::size_t nextSuspect = 0;
     while (!m_draining) {
-        co_await pause(s_peerPoll);
+        co_await pause(s_peerPollInterval);
         std::vector<TableRow> suspects;
         {
             const std::lock_guard lock(m_peersMutex);
@@ -352,8 +352,8 @@
         for (const Target &target : current->inventory().targets) {
             targets.push_back(target.name);
         }
-        const TableRow suspect = suspects[turn++ % suspects.size()];
-        co_await m_reclaims.reclaim(suspect, std::move(targets));
+        const TableRow suspect = suspects[nextSuspect++ % suspects.size()];
+        co_await m_reclaimService.reclaim(suspect, std::move(targets));
     }
 }
 
@@ -367,7 +367,7 @@
     drain();
 }
 
-asio::awaitable<void> Router::heartbeats()
+asio::awaitable<void> Router::sendHeartbeats()
 {
     while (true) {
         wire::Envelope envelope;
@@ -397,7 +397,7 @@
     if (m_draining.exchange(true)) {
         return;
     }
-    m_callers.beginDrain();
+    m_callerApi.beginDrain();
     logLine(Severity::Info, "draining");
     asio::co_spawn(m_pool.mainLoop(), drainLoop(), asio::detached);
 }
@@ -406,12 +406,12 @@
 {
     const Instant limit = steadyNow() + m_settings.drainTimeout;
     while (m_driver.inFlight() > 0 && steadyNow() < limit) {
-        co_await pause(s_drainPoll);
+        co_await pause(s_drainPollInterval);
     }
     m_callerServer->close();
-    co_await m_budgets.returnHoldings(s_returnLimit);
+    co_await m_budgets.returnHoldings(s_returnTimeout);
     logLine(Severity::Info, "drained", {{"unfinished", static_cast<std::int64_t>(m_driver.inFlight())}});
-    co_await pause(s_drainPoll);
+    co_await pause(s_drainPollInterval);
     m_pool.stop();
 }
 
@@ -464,7 +464,7 @@
     return m_metrics.text();
 }
 
-asio::awaitable<bool> Router::answerHealth(HttpExchange &exchange)
+asio::awaitable<bool> Router::handleHealth(HttpExchange &exchange)
 {
     const std::string_view path = exchange.path();
     if (path == "/healthz") {
@@ -482,18 +482,18 @@
     co_return true;
 }
 
-asio::awaitable<void> Router::answerCaller(HttpExchange &exchange)
+asio::awaitable<void> Router::handleCaller(HttpExchange &exchange)
 {
-    const bool answered = co_await answerHealth(exchange);
+    const bool answered = co_await handleHealth(exchange);
     if (answered) {
         co_return;
     }
-    co_await m_callers.handle(exchange);
+    co_await m_callerApi.handle(exchange);
 }
 
-asio::awaitable<void> Router::answerOperations(HttpExchange &exchange)
+asio::awaitable<void> Router::handleOperations(HttpExchange &exchange)
 {
-    const bool answered = co_await answerHealth(exchange);
+    const bool answered = co_await handleHealth(exchange);
     if (answered) {
         co_return;
     }
--- a/src/daemon/router.h
+++ b/src/daemon/router.h
@@ -42,7 +42,7 @@
     void onMessage(std::string_view peer, wire::Envelope &message);
     void onReport(std::string_view peer, const wire::Report &report);
     void onBilled(const std::vector<Charge> &billed);
-    void askPeers(const std::string &budget, Tokens need);
+    void requestRecall(const std::string &budget, Tokens need);
     void applyConfiguration(ConfigurationPointer configuration);
     ConfigurationPointer configuration() const;
 
@@ -50,14 +50,14 @@
     asio::awaitable<void> fetchConfiguration();
     asio::awaitable<void> followEvacuations();
     asio::awaitable<void> followPeers();
-    asio::awaitable<void> heartbeats();
+    asio::awaitable<void> sendHeartbeats();
     asio::awaitable<void> watchForDeadRouters();
     asio::awaitable<void> watchForFencing();
-    std::vector<std::string> helpers();
+    std::vector<std::string> responsivePeers();
     asio::awaitable<void> drainLoop();
-    asio::awaitable<void> answerCaller(HttpExchange &exchange);
-    asio::awaitable<void> answerOperations(HttpExchange &exchange);
-    asio::awaitable<bool> answerHealth(HttpExchange &exchange);
+    asio::awaitable<void> handleCaller(HttpExchange &exchange);
+    asio::awaitable<void> handleOperations(HttpExchange &exchange);
+    asio::awaitable<bool> handleHealth(HttpExchange &exchange);
     bool ready() const;
     std::string statusJson();
     std::string metricsText();
@@ -73,7 +73,7 @@
     std::mutex m_routingMutex;
     TargetTable m_targets;
     RequestDriver m_driver;
-    CallerApi m_callers;
+    CallerApi m_callerApi;
     mutable std::mutex m_configurationMutex;
     ConfigurationPointer m_configuration;
     std::mutex m_peersMutex;
@@ -81,7 +81,7 @@
     Handover m_handover;
     std::map<std::string, std::string> m_targetAddresses;
     StoreRelay m_relay;
-    ReclaimService m_reclaims;
+    ReclaimService m_reclaimService;
     std::unique_ptr<LinkHub> m_link;
     std::unique_ptr<HttpServer> m_callerServer;
     std::unique_ptr<HttpServer> m_operationsServer;
