--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -15,7 +15,7 @@
 
 constexpr int s_exitStartupError = 2;
 
-/// Runs one role until it has drained after SIGTERM or SIGINT.
+/// Runs the daemon in one role until it has drained after SIGTERM or SIGINT. Returns the exit status of the process.
 template<typename RoleProcess>
 int runRole(const Settings &settings)
 {
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -130,7 +130,7 @@
     asio::co_spawn(loop, watchForDeadRouters(), asio::detached);
     asio::co_spawn(loop, watchForFencing(), asio::detached);
     asio::co_spawn(loop, m_sponsors.settleOverdueRuns(), asio::detached);
-    logLine(Severity::Info, "router is up", {{"incarnation", m_identity.incarnation}});
+    logLine(Severity::Info, "router started", {{"incarnation", m_identity.incarnation}});
     return absl::OkStatus();
 }
 
@@ -245,7 +245,7 @@
         }
         m_targetAddresses = std::move(addresses);
     }
-    logLine(Severity::Info, "configuration in force", {{"version", static_cast<std::int64_t>(configuration->version())}});
+    logLine(Severity::Info, "configuration applied", {{"version", static_cast<std::int64_t>(configuration->version())}});
     const std::lock_guard lock(m_configurationMutex);
     m_configuration = std::move(configuration);
 }
@@ -258,7 +258,7 @@
     }
     const auto version = static_cast<std::uint64_t>(integerField(head->fields, "version"));
     const ConfigurationPointer current = configuration();
-    // Forward only: a slow read that comes back after a newer one must not undo it.
+    // Ignore older versions: a slow read that completes after a newer one must not revert it.
     if (current != nullptr && version <= current->version()) {
         co_return;
     }
@@ -269,7 +269,7 @@
     InventoryReading inventoryReading = readInventory(*document);
     if (!inventoryReading.inventory) {
         logLine(Severity::Error,
-                "the accepted configuration cannot be read",
+                "cannot parse the accepted configuration",
                 {{"path", inventoryReading.errors.front().path}, {"detail", inventoryReading.errors.front().message}});
         co_return;
     }
@@ -316,7 +316,8 @@
                 m_peers.rowsRead(*rows, steadyNow());
                 routers = m_peers.routers();
                 for (const PeerDirectory::Peer &peer : m_peers.peers()) {
-                    // One connection between two routers, opened by the lesser name: two would fight over one identity.
+                    // Two routers share one connection, opened by the one whose incarnation sorts first: the link accepts only one
+                    // connection per identity.
                     if (m_identity.incarnation < peer.incarnation) {
                         m_link->connect(peer.incarnation, absl::StrCat("tcp://", peer.address));
                     }
@@ -362,8 +363,9 @@
     while (!m_budgets.fenced()) {
         co_await pause(s_heartbeatInterval);
     }
-    // Declared dead while it was paused or cut off: what it held is in other hands. It ends, and its supervisor starts a new incarnation.
-    logLine(Severity::Error, "this router was declared dead; it stops so that a new incarnation can start");
+    // This router was declared dead while it was paused or disconnected, and its grants have been reclaimed. It exits so that its
+    // supervisor starts a new incarnation.
+    logLine(Severity::Error, "this router was declared dead; exiting so that a new incarnation can start");
     drain();
 }
 
@@ -373,7 +375,8 @@
         wire::Envelope envelope;
         envelope.mutable_heartbeat()->set_host(m_settings.host);
         envelope.mutable_heartbeat()->set_leaving(m_draining);
-        // In this order: a flush that is still to come when the earlier requests are over covers all their charges.
+        // Read the oldest start time before the flush number: a flush that begins after the earlier requests have ended includes all of
+        // their charges.
         const std::optional<Instant> oldestBegin = m_driver.oldestStartTime();
         const std::uint64_t nextFlush = m_budgets.nextFlush();
         {
--- a/src/daemon/router.h
+++ b/src/daemon/router.h
@@ -22,20 +22,22 @@
 
 namespace bamboohold {
 
-/// The daemon's router role: wires the callers' interface, budgets, routing and links together and follows the configuration.
+/// The daemon's router role: connects the callers' API, budgets, routing and links, and applies new versions of the configuration.
 ///
-/// Lock order, where more than one is ever needed: budgets, then routing, then peers, then metrics. In fact none is held while another is
-/// taken.
+/// Lock order, if more than one should be needed: budgets, routing, peers, metrics. At present no lock is held while another one is
+/// acquired.
 class Router
 {
 public:
     Router(WorkerPool &pool, const Settings &settings);
     ~Router();
 
-    /// Opens the ports and starts; readiness follows once a configuration is in force and the table knows this router.
+    /// Opens the ports and starts the background tasks. The router reports that it is ready once a configuration is active. Returns an
+    /// error if a port cannot be opened.
     absl::Status open();
 
-    /// Takes no new request from now on, lets streams finish, returns the grants and stops the pool.
+    /// Rejects new requests, waits until requests in flight have ended or Settings::drainTimeout has passed, returns the grants and stops
+    /// the worker pool.
     void drain();
 
 private:
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -15,24 +15,24 @@
 DEFINE_string(role, "", "router or sidecar");
 DEFINE_string(host, "", "name of this host in the inventory");
 DEFINE_string(failure_domain, "", "failure domain of this host");
-DEFINE_string(address, "", "IP address to listen on and to be reached at");
+DEFINE_string(address, "", "IP address to listen on; peers connect to it");
 DEFINE_int32(caller_port, 8080, "router: port for callers, 1 to 65535");
 DEFINE_int32(operations_port, 7401, "port for health, metrics and status, 1 to 65535");
-DEFINE_int32(link_port, 7400, "port for the fleet's own messages, 1 to 65535");
+DEFINE_int32(link_port, 7400, "port for messages between routers and sidecars, 1 to 65535");
 DEFINE_string(platform, "", "IP:port of the platform's table and object store");
-DEFINE_string(target, "", "sidecar: name of the target it stands beside");
+DEFINE_string(target, "", "sidecar: name of its target");
 DEFINE_string(engine, "", "sidecar: IP:port of its engine or plain service");
-DEFINE_int32(slots, 32, "sidecar: requests at a time, 1 to 100000");
-DEFINE_int32(workers, 2, "event loops, 1 to 64");
-DEFINE_int64(default_output_tokens, 256, "output limit of a request that names none, 1 to max_output_tokens");
-DEFINE_int64(max_output_tokens, 8192, "highest output limit a request may name, 1 to 1000000");
-DEFINE_int64(grant_horizon_ms, 900000, "how much of its own demand a router holds ahead, in ms, 100 to 86400000");
-DEFINE_int64(flush_interval_ms, 1000, "time between two flushes to the table, in ms, 10 to 60000");
-DEFINE_int64(platform_timeout_ms, 2000, "time the platform has for an answer, in ms, 10 to 60000");
-DEFINE_int64(configuration_poll_ms, 1000, "time between two looks at the configuration, in ms, 10 to 60000");
-DEFINE_int64(drain_limit_ms, 30000, "time that streams have to finish at shutdown, in ms, 0 to 3600000");
-DEFINE_int64(default_deadline_ms, 120000, "deadline of a request that names none, in ms, 100 to 3600000");
-DEFINE_int64(reclaim_after_ms, 15000, "silence after which a router is taken for dead, in ms, 1000 to 3600000");
+DEFINE_int32(slots, 32, "sidecar: concurrent requests that its target can run, 1 to 100000");
+DEFINE_int32(workers, 2, "number of event loops, 1 to 64");
+DEFINE_int64(default_output_tokens, 256, "output limit, in tokens, of a request that sets none, 1 to max_output_tokens");
+DEFINE_int64(max_output_tokens, 8192, "maximum output limit, in tokens, that a request may set, 1 to 1000000");
+DEFINE_int64(grant_horizon_ms, 900000, "time whose expected token demand a router holds in advance, in ms, 100 to 86400000");
+DEFINE_int64(flush_interval_ms, 1000, "interval between flushes to the table, in ms, 10 to 60000");
+DEFINE_int64(platform_timeout_ms, 2000, "timeout of calls to the platform, in ms, 10 to 60000");
+DEFINE_int64(configuration_poll_ms, 1000, "interval at which the configuration is polled, in ms, 10 to 60000");
+DEFINE_int64(drain_limit_ms, 30000, "maximum time for requests in flight to finish at shutdown, in ms, 0 to 3600000");
+DEFINE_int64(default_deadline_ms, 120000, "deadline of a request that sets none, in ms, 100 to 3600000");
+DEFINE_int64(reclaim_after_ms, 15000, "inactivity after which a router is considered dead, in ms, 1000 to 3600000");
 
 namespace bamboohold {
 
@@ -41,7 +41,7 @@
 constexpr std::int64_t s_maxPort = 65535;
 constexpr std::string_view s_environmentPrefix = "BAMBOOHOLD_";
 
-/// Collects mistakes while settings are read.
+/// Validates single settings and collects the errors.
 class SettingsValidator
 {
 public:
@@ -52,9 +52,8 @@
 
     void addError(std::string_view flag, std::string_view value, std::string_view expected)
     {
-        m_errors.push_back(
-            {.kind = FailureKind::InvalidSetting,
-             .detail = std::string("--").append(flag).append("='").append(value).append("': accepted is ").append(expected)});
+        m_errors.push_back({.kind = FailureKind::InvalidSetting,
+                            .detail = std::string("--").append(flag).append("='").append(value).append("': expected ").append(expected)});
     }
 
     std::int64_t inRange(std::string_view flag, std::int64_t value, std::int64_t min, std::int64_t max)
@@ -113,7 +112,7 @@
 std::string helpText()
 {
     std::string text = "bambooholdd: bamboohold's daemon\n\nUsage: bambooholdd --role=router|sidecar [--FLAG=VALUE ...]\n"
-                       "Each flag can also be set as an environment variable BAMBOOHOLD_FLAG; the command line goes first.\n\n";
+                       "Each flag can also be set as an environment variable BAMBOOHOLD_FLAG; the command line takes precedence.\n\n";
     for (const gflags::CommandLineFlagInfo &flag : daemonFlags()) {
         absl::StrAppend(&text,
                         "  --",
@@ -132,7 +131,7 @@
     const bool known = gflags::GetCommandLineFlagInfo(name.c_str(), &info) && info.filename.find("settings.cpp") != std::string::npos;
     if (!known) {
         result.errors.push_back({.kind = FailureKind::InvalidSetting,
-                                 .detail = std::string(source).append(" '").append(name).append("': not a known flag; see --help")});
+                                 .detail = std::string(source).append(" '").append(name).append("': unknown flag; see --help")});
         return;
     }
     if (gflags::SetCommandLineOption(name.c_str(), value.c_str()).empty()) {
@@ -153,8 +152,8 @@
             return;
         }
         if (!argument.starts_with("--")) {
-            result.errors.push_back(
-                {.kind = FailureKind::InvalidSetting, .detail = absl::StrCat("'", argument, "': arguments have the form --flag=value")});
+            result.errors.push_back({.kind = FailureKind::InvalidSetting,
+                                     .detail = absl::StrCat("'", argument, "': arguments must have the form --flag=value")});
             continue;
         }
         const std::pair<std::string, std::string> parts = absl::StrSplit(argument.substr(2), absl::MaxSplits('=', 1));
@@ -199,14 +198,14 @@
     const bool portConflict =
         settings.linkPort == settings.operationsPort || (settings.role == Role::Router && settings.callerPort == settings.operationsPort);
     if (portConflict) {
-        validator.addError("operations_port", absl::StrCat(FLAGS_operations_port), "a port that no other flag names");
+        validator.addError("operations_port", absl::StrCat(FLAGS_operations_port), "a port that no other flag uses");
     }
     settings.platform = validator.endpoint("platform", FLAGS_platform);
     if (settings.role == Role::Sidecar) {
         settings.target = validator.required("target", FLAGS_target);
         settings.engine = validator.endpoint("engine", FLAGS_engine);
     } else if (!FLAGS_target.empty() || !FLAGS_engine.empty()) {
-        validator.addError("target", FLAGS_target, "only with --role=sidecar, like --engine");
+        validator.addError("target", FLAGS_target, "no value without --role=sidecar; the same applies to --engine");
     }
     settings.slots = static_cast<std::uint32_t>(validator.inRange("slots", FLAGS_slots, 1, 100'000));
     settings.workers = static_cast<int>(validator.inRange("workers", FLAGS_workers, 1, 64));
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -13,13 +13,13 @@
 
 namespace bamboohold {
 
-/// Which of the daemon's two roles a process has.
+/// The role in which the daemon runs.
 enum class Role {
     Router,
     Sidecar,
 };
 
-/// Everything a daemon is told at its start, checked. The only place that knows flags.
+/// The validated settings of a daemon. Other code reads settings only from here, never from flags.
 struct Settings {
     Role role = Role::Router;
     std::string host;
@@ -29,34 +29,37 @@
     std::uint16_t operationsPort = 0;
     std::uint16_t linkPort = 0;
     boost::asio::ip::tcp::endpoint platform;
-    /// Sidecar only.
+    /// Name of the target; set for sidecars only, as is the engine's endpoint.
     std::string target;
     boost::asio::ip::tcp::endpoint engine;
     std::uint32_t slots = 0;
     int workers = 2;
     Tokens defaultOutputTokens = 0;
     Tokens maxOutputTokens = 0;
+    /// Time whose expected token demand a router holds in advance.
     Duration grantHorizon{};
     Duration flushInterval{};
     Duration platformTimeout{};
     Duration configurationPollInterval{};
+    /// Maximum time for which a shutdown waits for requests in flight.
     Duration drainTimeout{};
     Duration defaultDeadline{};
-    /// A router not heard of for this long is taken for dead and its grants are reclaimed.
+    /// A router that has been inactive for this long is considered dead and its grants are reclaimed.
     Duration reclaimTimeout{};
 };
 
-/// What the command line asked for.
+/// The result of reading the command line and the environment.
 struct SettingsResult {
+    /// Empty if there are errors or if there is text to print.
     std::optional<Settings> settings;
-    /// All mistakes at once.
+    /// All errors found.
     std::vector<Failure> errors;
-    /// Text to print and exit with 0: help or version.
+    /// Help or version text to print before exiting with status 0.
     std::string infoText;
 };
 
-/// Reads flags (`--name=value`), then environment variables (`BAMBOOHOLD_NAME`) for flags not given. Names the flag, the value and what is
-/// accepted in each mistake.
+/// Reads flags (`--name=value`), then environment variables (`BAMBOOHOLD_NAME`) for flags that were not given. Each error names the flag,
+/// its value and the accepted values.
 SettingsResult readSettings(int argc, char **argv);
 
 }
--- a/src/daemon/version.h
+++ b/src/daemon/version.h
@@ -4,7 +4,7 @@
 
 namespace bamboohold {
 
-/// Version of the daemon and the client, as --version prints it.
+/// Version of the daemon and the command-line client, as printed by --version.
 inline constexpr std::string_view s_version = "0.1.0";
 
 }
