--- a/src/cli/arguments.cpp
+++ b/src/cli/arguments.cpp
@@ -23,28 +23,28 @@
 
 namespace {
 
-constexpr std::string_view s_prefix = "cli_";
+constexpr std::string_view s_flagPrefix = "cli_";
 
-std::vector<gflags::CommandLineFlagInfo> ownFlags()
+std::vector<gflags::CommandLineFlagInfo> clientFlags()
 {
     std::vector<gflags::CommandLineFlagInfo> all;
     gflags::GetAllFlags(&all);
     std::erase_if(all, [](const gflags::CommandLineFlagInfo &flag) {
-        return !flag.name.starts_with(s_prefix);
+        return !flag.name.starts_with(s_flagPrefix);
     });
     return all;
 }
 
 std::string optionName(const gflags::CommandLineFlagInfo &flag)
 {
-    std::string name = flag.name.substr(s_prefix.size());
+    std::string name = flag.name.substr(s_flagPrefix.size());
     std::replace(name.begin(), name.end(), '_', '-');
     return name;
 }
 
 absl::Status setOption(const std::string &option, const std::string &value)
 {
-    for (const gflags::CommandLineFlagInfo &flag : ownFlags()) {
+    for (const gflags::CommandLineFlagInfo &flag : clientFlags()) {
         if (optionName(flag) != option) {
             continue;
         }
@@ -59,8 +59,8 @@
 
 absl::Status readEnvironment()
 {
-    for (const gflags::CommandLineFlagInfo &flag : ownFlags()) {
-        const std::string variable = "BAMBOOHOLD_" + absl::AsciiStrToUpper(flag.name.substr(s_prefix.size()));
+    for (const gflags::CommandLineFlagInfo &flag : clientFlags()) {
+        const std::string variable = "BAMBOOHOLD_" + absl::AsciiStrToUpper(flag.name.substr(s_flagPrefix.size()));
         const char *value = std::getenv(variable.c_str());
         if (value == nullptr) {
             continue;
@@ -79,7 +79,7 @@
     return setOption(parts.first, hasValue ? parts.second : "true");
 }
 
-absl::Status checkValues(Arguments &arguments)
+absl::Status validateOptions(Arguments &arguments)
 {
     const std::pair<std::string, std::string> parts = absl::StrSplit(FLAGS_cli_platform, absl::MaxSplits(':', 1));
     boost::system::error_code error;
@@ -117,12 +117,12 @@
         } else if (argument == "--version") {
             arguments.version = true;
         } else if (!argument.starts_with("--")) {
-            arguments.words.push_back(argument);
+            arguments.positional.push_back(argument);
         } else if (absl::Status status = readOption(argument); !status.ok()) {
             return status;
         }
     }
-    if (absl::Status status = checkValues(arguments); !status.ok()) {
+    if (absl::Status status = validateOptions(arguments); !status.ok()) {
         return status;
     }
     return arguments;
@@ -146,7 +146,7 @@
                        "  domain evacuate NAME           send nothing new to a failure domain's targets\n"
                        "  domain restore NAME            send to them again\n\n"
                        "Options, each also as BAMBOOHOLD_OPTION in the environment:\n";
-    for (const gflags::CommandLineFlagInfo &flag : ownFlags()) {
+    for (const gflags::CommandLineFlagInfo &flag : clientFlags()) {
         absl::StrAppend(&text,
                         "  --",
                         optionName(flag),
--- a/src/cli/arguments.h
+++ b/src/cli/arguments.h
@@ -23,7 +23,7 @@
 
 /// The client's command line: options and the words of the command.
 struct Arguments {
-    std::vector<std::string> words;
+    std::vector<std::string> positional;
     boost::asio::ip::tcp::endpoint platform;
     std::string output = "table";
     std::string author;
--- a/src/cli/budgetcommands.cpp
+++ b/src/cli/budgetcommands.cpp
@@ -13,46 +13,46 @@
 
 namespace {
 
-constexpr int s_tries = 5;
-constexpr Tokens s_largestTopUp = 1'000'000'000'000'000;
+constexpr int s_maxAttempts = 5;
+constexpr Tokens s_maxTopUpTokens = 1'000'000'000'000'000;
 
 std::string budgetChangeKey(const std::string &changeId)
 {
     return "budget-change/" + changeId;
 }
 
-ExitCode usage(std::string_view detail)
+ExitCode usageError(std::string_view detail)
 {
     return reportFailure({.kind = FailureKind::InvalidSetting, .detail = std::string(detail)});
 }
 
-boost::json::object budgetLine(const TableRow &row)
+boost::json::object budgetToJson(const TableRow &row)
 {
-    boost::json::object line{{"budget", row.key.substr(s_budgetPrefix.size())}};
+    boost::json::object summary{{"budget", row.key.substr(s_budgetPrefix.size())}};
     for (const std::string_view field : {"prepaid", "free", "granted", "consumed"}) {
-        line[{field.data(), field.size()}] = integerField(row.fields, field);
+        summary[{field.data(), field.size()}] = integerField(row.fields, field);
     }
-    line["state"] = textField(row.fields, "state");
-    return line;
+    summary["state"] = textField(row.fields, "state");
+    return summary;
 }
 
 /// Sends a change of a budget's row until its answer is known; the change's own row keeps a second try from taking effect again.
 asio::awaitable<absl::Status>
-applyOnce(PlatformClient &platform, TableTransaction transaction, const Arguments &arguments, std::string budget)
+applyBudgetChange(PlatformClient &platform, TableTransaction transaction, const Arguments &arguments, std::string budget)
 {
-    boost::json::object mark{{"budget", budget}, {"author", arguments.author}};
-    transaction.operations.push_back(putRow(budgetChangeKey(arguments.changeId), std::move(mark), 0));
-    absl::Status last = absl::OkStatus();
-    for (int attempt = 0; attempt < s_tries; ++attempt) {
-        const auto verdict = co_await platform.transact(transaction);
-        last = verdict.status();
-        if (!verdict.ok()) {
+    boost::json::object changeRow{{"budget", budget}, {"author", arguments.author}};
+    transaction.operations.push_back(putRow(budgetChangeKey(arguments.changeId), std::move(changeRow), 0));
+    absl::Status lastStatus = absl::OkStatus();
+    for (int attempt = 0; attempt < s_maxAttempts; ++attempt) {
+        const auto result = co_await platform.transact(transaction);
+        lastStatus = result.status();
+        if (!result.ok()) {
             continue;
         }
-        if (verdict->applied) {
+        if (result->applied) {
             co_return absl::OkStatus();
         }
-        const TableObstacle &obstacle = verdict->obstacles.back();
+        const TableObstacle &obstacle = result->obstacles.back();
         if (obstacle.row.key == budgetChangeKey(arguments.changeId)) {
             co_return absl::OkStatus();
         }
@@ -71,26 +71,26 @@
                                       integerField(obstacle.row.fields, "granted"),
                                       " granted to routers; only free ones can be taken out"));
     }
-    co_return last;
+    co_return lastStatus;
 }
 
 }
 
 asio::awaitable<ExitCode> showBudgets(PlatformClient &platform, const Arguments &arguments)
 {
-    const std::string only = arguments.words.size() > 2 ? arguments.words[2] : "";
+    const std::string budgetFilter = arguments.positional.size() > 2 ? arguments.positional[2] : "";
     const auto rows = co_await platform.scan(s_budgetPrefix);
     if (!rows.ok()) {
         co_return reportFailure(toFailure(rows.status()));
     }
     boost::json::array lines;
     for (const TableRow &row : *rows) {
-        if (only.empty() || row.key == budgetKey(only)) {
-            lines.emplace_back(budgetLine(row));
+        if (budgetFilter.empty() || row.key == budgetKey(budgetFilter)) {
+            lines.emplace_back(budgetToJson(row));
         }
     }
-    if (lines.empty() && !only.empty()) {
-        co_return reportFailure({.kind = FailureKind::NotFound, .detail = absl::StrCat("no budget '", only, "'")});
+    if (lines.empty() && !budgetFilter.empty()) {
+        co_return reportFailure({.kind = FailureKind::NotFound, .detail = absl::StrCat("no budget '", budgetFilter, "'")});
     }
     const std::vector<std::string> columns = {"budget", "prepaid", "free", "granted", "consumed", "state"};
     printRows(lines, columns, arguments);
@@ -100,17 +100,17 @@
 asio::awaitable<ExitCode> topUpBudget(PlatformClient &platform, const Arguments &arguments)
 {
     Tokens amount = 0;
-    const bool numbered = arguments.words.size() == 4 && absl::SimpleAtoi(arguments.words[3], &amount);
-    if (!numbered || amount == 0 || amount > s_largestTopUp || amount < -s_largestTopUp) {
-        co_return usage("budget top-up takes a budget's name and a whole number of tokens other than 0");
+    const bool amountValid = arguments.positional.size() == 4 && absl::SimpleAtoi(arguments.positional[3], &amount);
+    if (!amountValid || amount == 0 || amount > s_maxTopUpTokens || amount < -s_maxTopUpTokens) {
+        co_return usageError("budget top-up takes a budget's name and a whole number of tokens other than 0");
     }
-    const std::string budget = arguments.words[2];
+    const std::string budget = arguments.positional[2];
     if (arguments.dryRun) {
         std::cout << "would add " << amount << " tokens to '" << budget << "'\n";
         co_return ExitCode::Done;
     }
     TableTransaction transaction{.operations = topUpOperations(budget, amount)};
-    const absl::Status status = co_await applyOnce(platform, std::move(transaction), arguments, budget);
+    const absl::Status status = co_await applyBudgetChange(platform, std::move(transaction), arguments, budget);
     if (!status.ok()) {
         co_return reportFailure(toFailure(status));
     }
@@ -120,13 +120,13 @@
 
 asio::awaitable<ExitCode> closeBudget(PlatformClient &platform, const Arguments &arguments)
 {
-    if (arguments.words.size() != 3) {
-        co_return usage("budget close takes a budget's name");
+    if (arguments.positional.size() != 3) {
+        co_return usageError("budget close takes a budget's name");
     }
     if (!arguments.yes && !arguments.dryRun) {
-        co_return usage("closing a budget refuses its teams' requests; give --yes to confirm");
+        co_return usageError("closing a budget refuses its teams' requests; give --yes to confirm");
     }
-    const std::string budget = arguments.words[2];
+    const std::string budget = arguments.positional[2];
     const auto row = co_await platform.readOne(budgetKey(budget));
     if (!row.ok()) {
         co_return reportFailure(toFailure(row.status()));
@@ -142,7 +142,7 @@
     fields["state"] = "closed";
     TableTransaction transaction;
     transaction.operations.push_back(putRow(budgetKey(budget), std::move(fields), row->version));
-    const absl::Status status = co_await applyOnce(platform, std::move(transaction), arguments, budget);
+    const absl::Status status = co_await applyBudgetChange(platform, std::move(transaction), arguments, budget);
     if (!status.ok()) {
         co_return reportFailure(toFailure(status));
     }
@@ -153,19 +153,19 @@
 namespace {
 
 asio::awaitable<ExitCode>
-printCharges(PlatformClient &platform, const Arguments &arguments, std::function<bool(const Charge &)> wanted, std::string missing)
+printCharges(PlatformClient &platform, const Arguments &arguments, std::function<bool(const Charge &)> filter, std::string emptyMessage)
 {
     boost::json::array lines;
     const absl::Status status = co_await visitLedger(platform, [&](const Charge &charge) {
-        if (wanted(charge)) {
+        if (filter(charge)) {
             lines.emplace_back(toJson(charge));
         }
     });
     if (!status.ok()) {
         co_return reportFailure(toFailure(status));
     }
-    if (lines.empty() && !missing.empty()) {
-        co_return reportFailure({.kind = FailureKind::NotFound, .detail = missing});
+    if (lines.empty() && !emptyMessage.empty()) {
+        co_return reportFailure({.kind = FailureKind::NotFound, .detail = emptyMessage});
     }
     const std::vector<std::string> columns = {
         "request", "team", "budget", "target", "outcome", "prompt_tokens", "output_tokens", "tokens", "estimated"};
@@ -177,23 +177,23 @@
 
 asio::awaitable<ExitCode> showLedger(PlatformClient &platform, const Arguments &arguments)
 {
-    const std::string budget = arguments.words.size() > 2 ? arguments.words[2] : "";
-    std::function<bool(const Charge &)> wanted = [budget](const Charge &charge) {
+    const std::string budget = arguments.positional.size() > 2 ? arguments.positional[2] : "";
+    std::function<bool(const Charge &)> filter = [budget](const Charge &charge) {
         return budget.empty() || charge.budget == budget;
     };
-    co_return co_await printCharges(platform, arguments, std::move(wanted), "");
+    co_return co_await printCharges(platform, arguments, std::move(filter), "");
 }
 
 asio::awaitable<ExitCode> showRequest(PlatformClient &platform, const Arguments &arguments)
 {
-    if (arguments.words.size() != 3) {
-        co_return usage("request show takes a request's id");
+    if (arguments.positional.size() != 3) {
+        co_return usageError("request show takes a request's id");
     }
-    const std::string requestId = arguments.words[2];
-    std::function<bool(const Charge &)> wanted = [requestId](const Charge &charge) {
+    const std::string requestId = arguments.positional[2];
+    std::function<bool(const Charge &)> filter = [requestId](const Charge &charge) {
         return charge.requestId == requestId;
     };
-    co_return co_await printCharges(platform, arguments, std::move(wanted), absl::StrCat("no charge for request '", requestId, "' yet"));
+    co_return co_await printCharges(platform, arguments, std::move(filter), absl::StrCat("no charge for request '", requestId, "' yet"));
 }
 
 asio::awaitable<ExitCode> listNodes(PlatformClient &platform, const Arguments &arguments)
--- a/src/cli/domaincommands.cpp
+++ b/src/cli/domaincommands.cpp
@@ -19,7 +19,7 @@
 }
 
 /// The failure domains of the register in force.
-asio::awaitable<absl::StatusOr<std::set<std::string>>> knownDomains(PlatformClient &platform)
+asio::awaitable<absl::StatusOr<std::set<std::string>>> configuredDomains(PlatformClient &platform)
 {
     const auto stored = co_await newestConfiguration(platform);
     if (!stored.ok()) {
@@ -36,23 +36,23 @@
 
 /// Writes or removes the domain's row. Doing it again changes nothing, so a lost answer is made good by giving the command again.
 asio::awaitable<ExitCode>
-changeDomain(PlatformClient &platform, const Arguments &arguments, TableOperation operation, std::string_view done)
+applyDomainChange(PlatformClient &platform, const Arguments &arguments, TableOperation operation, std::string_view newState)
 {
     TableTransaction transaction;
     transaction.operations.push_back(std::move(operation));
     if (arguments.dryRun) {
-        std::cout << "'" << arguments.words[2] << "' would be " << done << "\n";
+        std::cout << "'" << arguments.positional[2] << "' would be " << newState << "\n";
         co_return ExitCode::Done;
     }
-    const auto verdict = co_await platform.transact(transaction);
-    if (!verdict.ok()) {
-        co_return reportFailure(toFailure(verdict.status()));
+    const auto result = co_await platform.transact(transaction);
+    if (!result.ok()) {
+        co_return reportFailure(toFailure(result.status()));
     }
-    std::cout << "'" << arguments.words[2] << "' is " << done << "\n";
+    std::cout << "'" << arguments.positional[2] << "' is " << newState << "\n";
     co_return ExitCode::Done;
 }
 
-ExitCode nameMissing(std::string_view command)
+ExitCode missingNameError(std::string_view command)
 {
     return reportFailure(
         {.kind = FailureKind::InvalidSetting, .detail = absl::StrCat(std::string(command), " takes a failure domain's name")});
@@ -62,7 +62,7 @@
 
 asio::awaitable<ExitCode> listDomains(PlatformClient &platform, const Arguments &arguments)
 {
-    auto domains = co_await knownDomains(platform);
+    auto domains = co_await configuredDomains(platform);
     if (!domains.ok()) {
         co_return reportFailure(toFailure(domains.status()));
     }
@@ -85,11 +85,11 @@
 
 asio::awaitable<ExitCode> evacuateDomain(PlatformClient &platform, const Arguments &arguments)
 {
-    if (arguments.words.size() != 3) {
-        co_return nameMissing("domain evacuate");
+    if (arguments.positional.size() != 3) {
+        co_return missingNameError("domain evacuate");
     }
-    const std::string domain = arguments.words[2];
-    const auto domains = co_await knownDomains(platform);
+    const std::string domain = arguments.positional[2];
+    const auto domains = co_await configuredDomains(platform);
     if (!domains.ok()) {
         co_return reportFailure(toFailure(domains.status()));
     }
@@ -99,16 +99,16 @@
     }
     boost::json::object fields{{"author", arguments.author}};
     TableOperation write = putRow(evacuationKey(domain), std::move(fields), std::nullopt);
-    co_return co_await changeDomain(platform, arguments, std::move(write), "evacuated");
+    co_return co_await applyDomainChange(platform, arguments, std::move(write), "evacuated");
 }
 
 asio::awaitable<ExitCode> restoreDomain(PlatformClient &platform, const Arguments &arguments)
 {
-    if (arguments.words.size() != 3) {
-        co_return nameMissing("domain restore");
+    if (arguments.positional.size() != 3) {
+        co_return missingNameError("domain restore");
     }
-    TableOperation removal{.kind = TableOperation::Kind::Remove, .key = evacuationKey(arguments.words[2])};
-    co_return co_await changeDomain(platform, arguments, std::move(removal), "in service");
+    TableOperation removal{.kind = TableOperation::Kind::Remove, .key = evacuationKey(arguments.positional[2])};
+    co_return co_await applyDomainChange(platform, arguments, std::move(removal), "in service");
 }
 
 }
--- a/src/cli/explaincommand.cpp
+++ b/src/cli/explaincommand.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr std::size_t s_firstFile = 2;
+constexpr std::size_t s_firstFileIndex = 2;
 
-bool readFile(const std::string &path, std::vector<LogEntry> &log)
+bool appendLogFile(const std::string &path, std::vector<LogEntry> &log)
 {
     std::ifstream file(path);
     std::string line;
@@ -31,16 +31,16 @@
 
 ExitCode explainCommand(const Arguments &arguments)
 {
-    if (arguments.words.size() <= s_firstFile) {
+    if (arguments.positional.size() <= s_firstFileIndex) {
         return reportFailure({.kind = FailureKind::InvalidSetting, .detail = "explain takes a request's id and one log file or more"});
     }
     std::vector<LogEntry> log;
-    for (std::size_t index = s_firstFile; index < arguments.words.size(); ++index) {
-        if (!readFile(arguments.words[index], log)) {
-            return reportFailure({.kind = FailureKind::NotFound, .detail = absl::StrCat("cannot read ", arguments.words[index])});
+    for (std::size_t index = s_firstFileIndex; index < arguments.positional.size(); ++index) {
+        if (!appendLogFile(arguments.positional[index], log)) {
+            return reportFailure({.kind = FailureKind::NotFound, .detail = absl::StrCat("cannot read ", arguments.positional[index])});
         }
     }
-    const Explanation explanation = explainRequest(log, arguments.words[1]);
+    const Explanation explanation = explainRequest(log, arguments.positional[1]);
     for (const LogEntry &entry : explanation.entries) {
         std::cout << boost::json::serialize(entry.fields) << "\n";
     }
--- a/src/cli/inventorycommands.cpp
+++ b/src/cli/inventorycommands.cpp
@@ -28,13 +28,13 @@
 }
 
 /// Reads and validates the file named by the command's third word; mistakes are printed.
-std::optional<Inventory> readNamedInventory(const Arguments &arguments)
+std::optional<Inventory> readInventoryArgument(const Arguments &arguments)
 {
-    if (arguments.words.size() != 3) {
+    if (arguments.positional.size() != 3) {
         reportFailure({.kind = FailureKind::InvalidSetting, .detail = "one file is required; see bamboohold --help"});
         return std::nullopt;
     }
-    const std::string &path = arguments.words[2];
+    const std::string &path = arguments.positional[2];
     const auto content = readFile(path);
     if (!content) {
         reportFailure({.kind = FailureKind::InvalidDocument, .detail = absl::StrCat(path, ": cannot be read")});
@@ -48,18 +48,18 @@
 }
 
 /// Keys that the new version keeps from the one in force, by team.
-void keepKeys(Inventory &next, const StoredConfiguration &base)
+void copyExistingKeys(Inventory &next, const StoredConfiguration &base)
 {
     for (Team &team : next.teams) {
-        const Team *known = base.inventory ? base.inventory->findTeam(team.name) : nullptr;
-        if (team.keySha256.empty() && known != nullptr) {
-            team.keySalt = known->keySalt;
-            team.keySha256 = known->keySha256;
+        const Team *existingTeam = base.inventory ? base.inventory->findTeam(team.name) : nullptr;
+        if (team.keySha256.empty() && existingTeam != nullptr) {
+            team.keySalt = existingTeam->keySalt;
+            team.keySha256 = existingTeam->keySha256;
         }
     }
 }
 
-absl::Status issueKeys(Inventory &inventory, const std::string &path)
+absl::Status issueMissingKeys(Inventory &inventory, const std::string &path)
 {
     boost::json::object keys;
     for (Team &team : inventory.teams) {
@@ -90,7 +90,7 @@
 
 ExitCode checkInventory(const Arguments &arguments)
 {
-    const auto inventory = readNamedInventory(arguments);
+    const auto inventory = readInventoryArgument(arguments);
     if (!inventory) {
         return ExitCode::Usage;
     }
@@ -101,7 +101,7 @@
 
 asio::awaitable<ExitCode> importInventory(PlatformClient &platform, const Arguments &arguments)
 {
-    auto inventory = readNamedInventory(arguments);
+    auto inventory = readInventoryArgument(arguments);
     if (!inventory) {
         co_return ExitCode::Usage;
     }
@@ -109,12 +109,12 @@
     if (!base.ok()) {
         co_return reportFailure(toFailure(base.status()));
     }
-    keepKeys(*inventory, *base);
+    copyExistingKeys(*inventory, *base);
     if (arguments.dryRun) {
         std::cout << "would be version " << base->version + 1 << "\n";
         co_return ExitCode::Done;
     }
-    if (const absl::Status status = issueKeys(*inventory, arguments.issueKeys); !status.ok()) {
+    if (const absl::Status status = issueMissingKeys(*inventory, arguments.issueKeys); !status.ok()) {
         co_return reportFailure(toFailure(status));
     }
     ConfigurationChange change{.changeId = arguments.changeId, .author = arguments.author, .inventory = *std::move(inventory)};
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -62,10 +62,10 @@
         std::cout << "bamboohold " << s_version << "\n";
         return ExitCode::Done;
     }
-    if (!arguments.words.empty() && arguments.words.front() == "explain") {
+    if (!arguments.positional.empty() && arguments.positional.front() == "explain") {
         return explainCommand(arguments);
     }
-    const std::string name = arguments.words.size() < 2 ? "" : arguments.words[0] + " " + arguments.words[1];
+    const std::string name = arguments.positional.size() < 2 ? "" : arguments.positional[0] + " " + arguments.positional[1];
     if (name == "inventory check") {
         return checkInventory(arguments);
     }
--- a/src/cli/output.cpp
+++ b/src/cli/output.cpp
@@ -24,10 +24,10 @@
     return value != nullptr && value->is_number();
 }
 
-std::string padded(const std::string &text, std::size_t width, bool right)
+std::string padCell(const std::string &text, std::size_t width, bool alignRight)
 {
     const std::string fill(width - std::min(width, text.size()), ' ');
-    return right ? fill + text : text + fill;
+    return alignRight ? fill + text : text + fill;
 }
 
 }
@@ -46,9 +46,9 @@
         }
         widths.push_back(width);
     }
-    const auto printLine = [&](const auto &cell, const auto &right) {
+    const auto printLine = [&](const auto &cell, const auto &alignRight) {
         for (std::size_t index = 0; index < columns.size(); ++index) {
-            std::cout << (index == 0 ? "" : "  ") << padded(cell(columns[index]), widths[index], right(columns[index]));
+            std::cout << (index == 0 ? "" : "  ") << padCell(cell(columns[index]), widths[index], alignRight(columns[index]));
         }
         std::cout << "\n";
     };
