--- a/src/cli/arguments.cpp
+++ b/src/cli/arguments.cpp
@@ -13,11 +13,11 @@
 
 DEFINE_string(cli_platform, "127.0.0.1:7300", "IP:port of the platform's table and object store");
 DEFINE_string(cli_output, "table", "table or json");
-DEFINE_string(cli_author, "operator", "who makes the change");
-DEFINE_string(cli_change_id, "", "identifier of the change, to send the same one again; drawn at random when absent");
-DEFINE_string(cli_issue_keys, "", "inventory import: file that takes the new keys of teams without one");
-DEFINE_bool(cli_dry_run, false, "say what would change, change nothing");
-DEFINE_bool(cli_yes, false, "do not ask before what can't be undone");
+DEFINE_string(cli_author, "operator", "author recorded with the change");
+DEFINE_string(cli_change_id, "", "identifier of the change, for retrying the same change; random by default");
+DEFINE_string(cli_issue_keys, "", "inventory import: file to which new keys of teams without a key are written");
+DEFINE_bool(cli_dry_run, false, "print what would change without changing it");
+DEFINE_bool(cli_yes, false, "confirm operations that cannot be undone");
 
 namespace bamboohold {
 
@@ -49,12 +49,11 @@
             continue;
         }
         if (gflags::SetCommandLineOption(flag.name.c_str(), value.c_str()).empty()) {
-            return failed(FailureKind::InvalidSetting,
-                          absl::StrCat("--", option, "='", value, "': accepted is a value of type ", flag.type));
+            return failed(FailureKind::InvalidSetting, absl::StrCat("--", option, "='", value, "': expected a value of type ", flag.type));
         }
         return absl::OkStatus();
     }
-    return failed(FailureKind::InvalidSetting, absl::StrCat("--", option, ": not a known option; see bamboohold --help"));
+    return failed(FailureKind::InvalidSetting, absl::StrCat("--", option, ": unknown option; see bamboohold --help"));
 }
 
 absl::Status readEnvironment()
@@ -87,10 +86,10 @@
     int port = 0;
     if (error || !absl::SimpleAtoi(parts.second, &port) || port < 1 || port > 65535) {
         return failed(FailureKind::InvalidSetting,
-                      absl::StrCat("--platform='", FLAGS_cli_platform, "': accepted is an IP address and port, such as 127.0.0.1:7300"));
+                      absl::StrCat("--platform='", FLAGS_cli_platform, "': expected an IP address and port, such as 127.0.0.1:7300"));
     }
     if (FLAGS_cli_output != "table" && FLAGS_cli_output != "json") {
-        return failed(FailureKind::InvalidSetting, absl::StrCat("--output='", FLAGS_cli_output, "': accepted is table or json"));
+        return failed(FailureKind::InvalidSetting, absl::StrCat("--output='", FLAGS_cli_output, "': expected table or json"));
     }
     arguments.platform = {address, static_cast<std::uint16_t>(port)};
     arguments.output = FLAGS_cli_output;
@@ -132,20 +131,20 @@
 {
     std::string text = "bamboohold: the operators' client\n\n"
                        "Usage: bamboohold [OPTION ...] COMMAND\n\n"
-                       "  inventory check FILE           validate an inventory, every mistake with its path\n"
-                       "  inventory import FILE          accept an inventory as the next version\n"
-                       "  inventory export               print the version in force\n"
-                       "  budget show [NAME]             where each budget's tokens are\n"
-                       "  budget top-up NAME TOKENS      pay tokens in, or take free ones out with a negative number\n"
-                       "  budget close NAME              grant nothing more from a budget\n"
-                       "  budget ledger [NAME]           the charges, one line a request\n"
-                       "  request show ID                where a request went and what it cost\n"
-                       "  explain ID FILE...             what the routers' logs say about a request, and why it ended so\n"
-                       "  node list                      router incarnations and what they hold\n"
-                       "  domain list                    the failure domains, and which are evacuated\n"
-                       "  domain evacuate NAME           send nothing new to a failure domain's targets\n"
-                       "  domain restore NAME            send to them again\n\n"
-                       "Options, each also as BAMBOOHOLD_OPTION in the environment:\n";
+                       "  inventory check FILE           validate an inventory and print every error with its path\n"
+                       "  inventory import FILE          store an inventory as the next version\n"
+                       "  inventory export               print the active version\n"
+                       "  budget show [NAME]             show the tokens of each budget by state\n"
+                       "  budget top-up NAME TOKENS      add tokens, or remove free ones with a negative number\n"
+                       "  budget close NAME              stop granting tokens from a budget\n"
+                       "  budget ledger [NAME]           list the charges, one line per request\n"
+                       "  request show ID                show where a request ran and what it cost\n"
+                       "  explain ID FILE...             explain the outcome of a request from the routers' logs\n"
+                       "  node list                      list router incarnations and their grants\n"
+                       "  domain list                    list the failure domains and whether they are evacuated\n"
+                       "  domain evacuate NAME           send no new requests to a failure domain's targets\n"
+                       "  domain restore NAME            send requests to them again\n\n"
+                       "Options, each of which can also be set as BAMBOOHOLD_OPTION in the environment:\n";
     for (const gflags::CommandLineFlagInfo &flag : clientFlags()) {
         absl::StrAppend(&text,
                         "  --",
@@ -155,7 +154,7 @@
                         flag.default_value.empty() ? "" : " (default " + flag.default_value + ")",
                         "\n");
     }
-    return text + "\nExit codes: 0 done, 1 failed, 2 wrong usage or document, 3 conflict with another change, 4 platform unreachable.\n";
+    return text + "\nExit codes: 0 done, 1 failed, 2 invalid usage or document, 3 conflict with another change, 4 platform unreachable.\n";
 }
 
 }
--- a/src/cli/arguments.h
+++ b/src/cli/arguments.h
@@ -8,21 +8,22 @@
 
 namespace bamboohold {
 
-/// Exit codes of the client, as its manual page lists them.
+/// Exit codes of the command-line client, as listed in its manual page.
 enum class ExitCode {
     Done = 0,
-    /// The operation was tried and failed.
+    /// The operation was attempted and failed.
     Failed = 1,
-    /// The command line or a document is wrong; nothing was tried.
+    /// The command line or a document is invalid; nothing was attempted.
     Usage = 2,
-    /// Another operator's change was accepted in between.
+    /// The operation conflicts with another operator's change that was accepted first.
     Conflict = 3,
     /// The platform could not be reached.
     Unreachable = 4,
 };
 
-/// The client's command line: options and the words of the command.
+/// The parsed command line of the client.
 struct Arguments {
+    /// The words of the command and its operands, without options.
     std::vector<std::string> positional;
     boost::asio::ip::tcp::endpoint platform;
     std::string output = "table";
@@ -35,11 +36,11 @@
     bool version = false;
 };
 
-/// Reads the command line; options may stand anywhere, and each can be set as BAMBOOHOLD_OPTION. InvalidSetting names the option and what
-/// is accepted.
+/// Parses the command line. Options can be given at any position, and each can also be set as BAMBOOHOLD_OPTION in the environment. Returns
+/// InvalidSetting, with the option and the accepted values in its text, if an option is not valid.
 absl::StatusOr<Arguments> readArguments(int argc, char **argv);
 
-/// The text of --help.
+/// Returns the text printed by --help.
 std::string clientHelp();
 
 }
--- a/src/cli/budgetcommands.cpp
+++ b/src/cli/budgetcommands.cpp
@@ -36,7 +36,8 @@
     return summary;
 }
 
-/// Sends a change of a budget's row until its answer is known; the change's own row keeps a second try from taking effect again.
+/// Applies a change to a budget's row and retries while the result is unknown. A row with the change's id, written in the same transaction,
+/// prevents a retry from applying the change twice. Returns the last error if all attempts fail.
 asio::awaitable<absl::Status>
 applyBudgetChange(PlatformClient &platform, TableTransaction transaction, const Arguments &arguments, std::string budget)
 {
@@ -60,7 +61,8 @@
             co_return failed(FailureKind::NotFound, absl::StrCat("no budget '", budget, "'"));
         }
         if (!obstacle.guard) {
-            co_return failed(FailureKind::TableConflict, absl::StrCat("the row of '", budget, "' changed in between; look again"));
+            co_return failed(FailureKind::TableConflict,
+                             absl::StrCat("the row of '", budget, "' was changed concurrently; check it and try again"));
         }
         co_return failed(FailureKind::TableGuard,
                          absl::StrCat("'",
@@ -69,7 +71,7 @@
                                       integerField(obstacle.row.fields, "free"),
                                       " free tokens and ",
                                       integerField(obstacle.row.fields, "granted"),
-                                      " granted to routers; only free ones can be taken out"));
+                                      " granted to routers; only free tokens can be removed"));
     }
     co_return lastStatus;
 }
@@ -102,7 +104,7 @@
     Tokens amount = 0;
     const bool amountValid = arguments.positional.size() == 4 && absl::SimpleAtoi(arguments.positional[3], &amount);
     if (!amountValid || amount == 0 || amount > s_maxTopUpTokens || amount < -s_maxTopUpTokens) {
-        co_return usageError("budget top-up takes a budget's name and a whole number of tokens other than 0");
+        co_return usageError("budget top-up requires a budget name and a non-zero whole number of tokens");
     }
     const std::string budget = arguments.positional[2];
     if (arguments.dryRun) {
@@ -121,10 +123,10 @@
 asio::awaitable<ExitCode> closeBudget(PlatformClient &platform, const Arguments &arguments)
 {
     if (arguments.positional.size() != 3) {
-        co_return usageError("budget close takes a budget's name");
+        co_return usageError("budget close requires a budget name");
     }
     if (!arguments.yes && !arguments.dryRun) {
-        co_return usageError("closing a budget refuses its teams' requests; give --yes to confirm");
+        co_return usageError("closing a budget rejects its teams' requests; confirm with --yes");
     }
     const std::string budget = arguments.positional[2];
     const auto row = co_await platform.readOne(budgetKey(budget));
@@ -187,7 +189,7 @@
 asio::awaitable<ExitCode> showRequest(PlatformClient &platform, const Arguments &arguments)
 {
     if (arguments.positional.size() != 3) {
-        co_return usageError("request show takes a request's id");
+        co_return usageError("request show requires a request id");
     }
     const std::string requestId = arguments.positional[2];
     std::function<bool(const Charge &)> filter = [requestId](const Charge &charge) {
--- a/src/cli/domaincommands.cpp
+++ b/src/cli/domaincommands.cpp
@@ -18,7 +18,7 @@
     return std::string(s_evacuationRowPrefix) + domain;
 }
 
-/// The failure domains of the register in force.
+/// Returns the failure domains of the active inventory.
 asio::awaitable<absl::StatusOr<std::set<std::string>>> configuredDomains(PlatformClient &platform)
 {
     const auto stored = co_await newestConfiguration(platform);
@@ -34,7 +34,7 @@
     co_return domains;
 }
 
-/// Writes or removes the domain's row. Doing it again changes nothing, so a lost answer is made good by giving the command again.
+/// Writes or removes the domain's row. The operation is idempotent, so the command can be repeated after a lost response.
 asio::awaitable<ExitCode>
 applyDomainChange(PlatformClient &platform, const Arguments &arguments, TableOperation operation, std::string_view newState)
 {
@@ -55,7 +55,7 @@
 ExitCode missingNameError(std::string_view command)
 {
     return reportFailure(
-        {.kind = FailureKind::InvalidSetting, .detail = absl::StrCat(std::string(command), " takes a failure domain's name")});
+        {.kind = FailureKind::InvalidSetting, .detail = absl::StrCat(std::string(command), " requires a failure domain name")});
 }
 
 }
@@ -95,7 +95,7 @@
     }
     if (!domains->contains(domain)) {
         co_return reportFailure(
-            {.kind = FailureKind::NotFound, .detail = absl::StrCat("no failure domain '", domain, "' in the register")});
+            {.kind = FailureKind::NotFound, .detail = absl::StrCat("no failure domain '", domain, "' in the inventory")});
     }
     boost::json::object fields{{"author", arguments.author}};
     TableOperation write = putRow(evacuationKey(domain), std::move(fields), std::nullopt);
--- a/src/cli/domaincommands.h
+++ b/src/cli/domaincommands.h
@@ -5,13 +5,13 @@
 
 namespace bamboohold {
 
-/// `domain list`: the failure domains of the register, and which of them are evacuated.
+/// `domain list`: prints the failure domains of the inventory and whether they are evacuated.
 asio::awaitable<ExitCode> listDomains(PlatformClient &platform, const Arguments &arguments);
 
-/// `domain evacuate NAME`: the domain's targets take nothing new until `domain restore`; what runs there goes on.
+/// `domain evacuate NAME`: routers send no new requests to the domain's targets until `domain restore`. Requests in flight continue.
 asio::awaitable<ExitCode> evacuateDomain(PlatformClient &platform, const Arguments &arguments);
 
-/// `domain restore NAME`: the domain's targets take work again.
+/// `domain restore NAME`: routers send requests to the domain's targets again.
 asio::awaitable<ExitCode> restoreDomain(PlatformClient &platform, const Arguments &arguments);
 
 }
--- a/src/cli/explaincommand.cpp
+++ b/src/cli/explaincommand.cpp
@@ -32,7 +32,7 @@
 ExitCode explainCommand(const Arguments &arguments)
 {
     if (arguments.positional.size() <= s_firstFileIndex) {
-        return reportFailure({.kind = FailureKind::InvalidSetting, .detail = "explain takes a request's id and one log file or more"});
+        return reportFailure({.kind = FailureKind::InvalidSetting, .detail = "explain requires a request id and at least one log file"});
     }
     std::vector<LogEntry> log;
     for (std::size_t index = s_firstFileIndex; index < arguments.positional.size(); ++index) {
--- a/src/cli/explaincommand.h
+++ b/src/cli/explaincommand.h
@@ -4,7 +4,7 @@
 
 namespace bamboohold {
 
-/// `explain ID FILE...`: what the logs say about a request, in order, and what made it end as it did.
+/// `explain ID FILE...`: prints the log entries of a request in order, followed by its outcome and the cause.
 ExitCode explainCommand(const Arguments &arguments);
 
 }
--- a/src/cli/inventorycommands.cpp
+++ b/src/cli/inventorycommands.cpp
@@ -27,17 +27,17 @@
     return content.str();
 }
 
-/// Reads and validates the file named by the command's third word; mistakes are printed.
+/// Reads and validates the inventory file given as the command's operand. Prints the errors and returns an empty value if there are any.
 std::optional<Inventory> readInventoryArgument(const Arguments &arguments)
 {
     if (arguments.positional.size() != 3) {
-        reportFailure({.kind = FailureKind::InvalidSetting, .detail = "one file is required; see bamboohold --help"});
+        reportFailure({.kind = FailureKind::InvalidSetting, .detail = "exactly one file is required; see bamboohold --help"});
         return std::nullopt;
     }
     const std::string &path = arguments.positional[2];
     const auto content = readFile(path);
     if (!content) {
-        reportFailure({.kind = FailureKind::InvalidDocument, .detail = absl::StrCat(path, ": cannot be read")});
+        reportFailure({.kind = FailureKind::InvalidDocument, .detail = absl::StrCat(path, ": cannot read the file")});
         return std::nullopt;
     }
     InventoryReading reading = readInventory(*content);
@@ -47,7 +47,7 @@
     return std::move(reading.inventory);
 }
 
-/// Keys that the new version keeps from the one in force, by team.
+/// Copies the keys of teams that the new version lists without a key from the active version.
 void copyExistingKeys(Inventory &next, const StoredConfiguration &base)
 {
     for (Team &team : next.teams) {
@@ -71,16 +71,16 @@
         return absl::OkStatus();
     }
     if (path.empty()) {
-        return failed(FailureKind::InvalidSetting, "teams without a key need --issue-keys=FILE, which takes their new keys");
+        return failed(FailureKind::InvalidSetting, "teams without a key require --issue-keys=FILE, to which their new keys are written");
     }
     if (std::filesystem::exists(path)) {
-        return failed(FailureKind::InvalidSetting, absl::StrCat("--issue-keys='", path, "': accepted is a file that does not exist yet"));
+        return failed(FailureKind::InvalidSetting, absl::StrCat("--issue-keys='", path, "': expected a file that does not exist yet"));
     }
     std::ofstream file(path);
     file << boost::json::serialize(keys) << "\n";
     file.close();
     if (!file) {
-        return failed(FailureKind::InvalidSetting, absl::StrCat("--issue-keys='", path, "': cannot be written"));
+        return failed(FailureKind::InvalidSetting, absl::StrCat("--issue-keys='", path, "': cannot write the file"));
     }
     std::filesystem::permissions(path, std::filesystem::perms::owner_read | std::filesystem::perms::owner_write);
     return absl::OkStatus();
--- a/src/cli/output.h
+++ b/src/cli/output.h
@@ -11,10 +11,10 @@
 
 namespace bamboohold {
 
-/// Prints rows as an aligned table for people or as JSON for scripts, whichever was asked for. Columns are the fields named, in that order.
+/// Prints rows as an aligned table or as JSON, as selected by --output. The table has the given fields as columns, in that order.
 void printRows(const boost::json::array &rows, const std::vector<std::string> &columns, const Arguments &arguments);
 
-/// Prints a failure on standard error and gives the exit code for it.
+/// Prints a failure to standard error and returns its exit code.
 ExitCode reportFailure(const Failure &failure);
 
 }
