--- a/src/cli/inventorycommands.cpp
+++ b/src/cli/inventorycommands.cpp
@@ -27,17 +27,17 @@
     return content.str();
 }
 
-/// Reads and validates the file named by the command's third word; mistakes are printed.
-std::optional<Inventory> readNamedInventory(const Arguments &arguments)
+/// Reads and validates the inventory file given as the command's operand. Prints the errors and returns an empty value if there are any.
+std::optional<Inventory> readInventoryArgument(const Arguments &arguments)
 {
-    if (arguments.words.size() != 3) {
-        reportFailure({.kind = FailureKind::InvalidSetting, .detail = "one file is required; see bamboohold --help"});
+    if (arguments.positional.size() != 3) {
+        reportFailure({.kind = FailureKind::InvalidSetting, .detail = "exactly one file is required; see bamboohold --help"});
         return std::nullopt;
     }
-    const std::string &path = arguments.words[2];
+    const std::string &path = arguments.positional[2];
     const auto content = readFile(path);
     if (!content) {
-        reportFailure({.kind = FailureKind::InvalidDocument, .detail = absl::StrCat(path, ": cannot be read")});
+        reportFailure({.kind = FailureKind::InvalidDocument, .detail = absl::StrCat(path, ": cannot read the file")});
         return std::nullopt;
     }
     InventoryReading reading = readInventory(*content);
@@ -47,19 +47,19 @@
     return std::move(reading.inventory);
 }
 
-/// Keys that the new version keeps from the one in force, by team.
-void keepKeys(Inventory &next, const StoredConfiguration &base)
+/// Copies the keys of teams that the new version lists without a key from the active version.
+void copyExistingKeys(Inventory &next, const StoredConfiguration &base)
 {
     for (Team &team : next.teams) {
-        const Team *known = base.inventory ? base.inventory->findTeam(team.name) : nullptr;
-        if (team.keySha256.empty() && known != nullptr) {
-            team.keySalt = known->keySalt;
-            team.keySha256 = known->keySha256;
+        const Team *existingTeam = base.inventory ? base.inventory->findTeam(team.name) : nullptr;
+        if (team.keySha256.empty() && existingTeam != nullptr) {
+            team.keySalt = existingTeam->keySalt;
+            team.keySha256 = existingTeam->keySha256;
         }
     }
 }
 
-absl::Status issueKeys(Inventory &inventory, const std::string &path)
+absl::Status issueMissingKeys(Inventory &inventory, const std::string &path)
 {
     boost::json::object keys;
     for (Team &team : inventory.teams) {
@@ -71,16 +71,16 @@
         return absl::OkStatus();
     }
     if (path.empty()) {
-        return failed(FailureKind::InvalidSetting, "teams without a key need --issue-keys=FILE, which takes their new keys");
+        return failed(FailureKind::InvalidSetting, "teams without a key require --issue-keys=FILE, to which their new keys are written");
     }
     if (std::filesystem::exists(path)) {
-        return failed(FailureKind::InvalidSetting, absl::StrCat("--issue-keys='", path, "': accepted is a file that does not exist yet"));
+        return failed(FailureKind::InvalidSetting, absl::StrCat("--issue-keys='", path, "': expected a file that does not exist yet"));
     }
     std::ofstream file(path);
     file << boost::json::serialize(keys) << "\n";
     file.close();
     if (!file) {
-        return failed(FailureKind::InvalidSetting, absl::StrCat("--issue-keys='", path, "': cannot be written"));
+        return failed(FailureKind::InvalidSetting, absl::StrCat("--issue-keys='", path, "': cannot write the file"));
     }
     std::filesystem::permissions(path, std::filesystem::perms::owner_read | std::filesystem::perms::owner_write);
     return absl::OkStatus();
@@ -90,7 +90,7 @@
 
 ExitCode checkInventory(const Arguments &arguments)
 {
-    const auto inventory = readNamedInventory(arguments);
+    const auto inventory = readInventoryArgument(arguments);
     if (!inventory) {
         return ExitCode::Usage;
     }
@@ -101,7 +101,7 @@
 
 asio::awaitable<ExitCode> importInventory(PlatformClient &platform, const Arguments &arguments)
 {
-    auto inventory = readNamedInventory(arguments);
+    auto inventory = readInventoryArgument(arguments);
     if (!inventory) {
         co_return ExitCode::Usage;
     }
@@ -109,12 +109,12 @@
     if (!base.ok()) {
         co_return reportFailure(toFailure(base.status()));
     }
-    keepKeys(*inventory, *base);
+    copyExistingKeys(*inventory, *base);
     if (arguments.dryRun) {
         std::cout << "would be version " << base->version + 1 << "\n";
         co_return ExitCode::Done;
     }
-    if (const absl::Status status = issueKeys(*inventory, arguments.issueKeys); !status.ok()) {
+    if (const absl::Status status = issueMissingKeys(*inventory, arguments.issueKeys); !status.ok()) {
         co_return reportFailure(toFailure(status));
     }
     ConfigurationChange change{.changeId = arguments.changeId, .author = arguments.author, .inventory = *std::move(inventory)};
--- a/src/daemon/router.h
+++ b/src/daemon/router.h
@@ -22,27 +22,29 @@
 
 namespace bamboohold {
 
-/// The daemon's router role: wires the callers' interface, budgets, routing and links together and follows the configuration.
+/// The daemon's router role: connects the callers' API, budgets, routing and links, and applies new versions of the configuration.
 ///
-/// Lock order, where more than one is ever needed: budgets, then routing, then peers, then metrics. In fact none is held while another is
-/// taken.
+/// Lock order, if more than one should be needed: budgets, routing, peers, metrics. At present no lock is held while another one is
+/// acquired.
 class Router
 {
 public:
     Router(WorkerPool &pool, const Settings &settings);
     ~Router();
 
-    /// Opens the ports and starts; readiness follows once a configuration is in force and the table knows this router.
+    /// Opens the ports and starts the background tasks. The router reports that it is ready once a configuration is active. Returns an
+    /// error if a port cannot be opened.
     absl::Status open();
 
-    /// Takes no new request from now on, lets streams finish, returns the grants and stops the pool.
+    /// Rejects new requests, waits until requests in flight have ended or Settings::drainTimeout has passed, returns the grants and stops
+    /// the worker pool.
     void drain();
 
 private:
     void onMessage(std::string_view peer, wire::Envelope &message);
     void onReport(std::string_view peer, const wire::Report &report);
     void onBilled(const std::vector<Charge> &billed);
-    void askPeers(const std::string &budget, Tokens need);
+    void requestRecall(const std::string &budget, Tokens need);
     void applyConfiguration(ConfigurationPointer configuration);
     ConfigurationPointer configuration() const;
 
@@ -50,14 +52,14 @@
     asio::awaitable<void> fetchConfiguration();
     asio::awaitable<void> followEvacuations();
     asio::awaitable<void> followPeers();
-    asio::awaitable<void> heartbeats();
+    asio::awaitable<void> sendHeartbeats();
     asio::awaitable<void> watchForDeadRouters();
     asio::awaitable<void> watchForFencing();
-    std::vector<std::string> helpers();
+    std::vector<std::string> responsivePeers();
     asio::awaitable<void> drainLoop();
-    asio::awaitable<void> answerCaller(HttpExchange &exchange);
-    asio::awaitable<void> answerOperations(HttpExchange &exchange);
-    asio::awaitable<bool> answerHealth(HttpExchange &exchange);
+    asio::awaitable<void> handleCaller(HttpExchange &exchange);
+    asio::awaitable<void> handleOperations(HttpExchange &exchange);
+    asio::awaitable<bool> handleHealth(HttpExchange &exchange);
     bool ready() const;
     std::string statusJson();
     std::string metricsText();
@@ -73,7 +75,7 @@
     std::mutex m_routingMutex;
     TargetTable m_targets;
     RequestDriver m_driver;
-    CallerApi m_callers;
+    CallerApi m_callerApi;
     mutable std::mutex m_configurationMutex;
     ConfigurationPointer m_configuration;
     std::mutex m_peersMutex;
@@ -81,7 +83,7 @@
     Handover m_handover;
     std::map<std::string, std::string> m_targetAddresses;
     StoreRelay m_relay;
-    ReclaimService m_reclaims;
+    ReclaimService m_reclaimService;
     std::unique_ptr<LinkHub> m_link;
     std::unique_ptr<HttpServer> m_callerServer;
     std::unique_ptr<HttpServer> m_operationsServer;
--- a/src/engine/sidecar.h
+++ b/src/engine/sidecar.h
@@ -18,21 +18,21 @@
 
 namespace bamboohold {
 
-/// The process beside one target: the only one that talks to its engine. It drives RunTable, carries answers to routers frame by frame
-/// within the credit they give, and reports the target's load.
+/// The daemon's sidecar role: runs next to one target and is the only process that calls its engine. It admits attempts through RunTable,
+/// sends responses to routers as frames, limited by the credit that they grant, and reports the target's load.
 ///
-/// Locks: m_mutex guards the run table, the live runs and the routers; it is held for table work only, never across a wait, and nothing
-/// else is locked under it but Metrics.
+/// Locks: m_mutex guards m_table, m_liveRuns, m_routersLastSeen and the state of the engine. It is never held across a wait, and no lock
+/// other than that of Metrics is acquired while it is held.
 class Sidecar
 {
 public:
     Sidecar(WorkerPool &pool, const Settings &settings);
     ~Sidecar();
 
-    /// Opens the ports and starts reporting.
+    /// Opens the ports and starts sending load reports to routers. Returns an error if a port cannot be opened.
     absl::Status open();
 
-    /// Takes no new work from now on; done when the last run ended or the limit passed, then the pool stops.
+    /// Refuses new attempts, waits until all runs have ended or Settings::drainTimeout has passed, and stops the worker pool.
     void drain();
 
 private:
@@ -42,21 +42,21 @@
     void onDispatch(std::string_view peer, wire::Dispatch &dispatch);
     void onSeal(std::string_view peer, const wire::Seal &seal);
     void sendFrame(const LiveRun &run, AnswerFrame frame);
-    void tellPayer(const LiveRun &run, const AnswerFrame::End &end);
-    void repeatEnd(std::string_view peer, const std::string &requestId);
+    void notifyPayer(const LiveRun &run, const AnswerFrame::End &end);
+    void resendEnd(std::string_view peer, const std::string &requestId);
     void refuse(std::string_view peer, const wire::Dispatch &dispatch, RunRefusal reason);
 
     asio::awaitable<void> execute(std::shared_ptr<LiveRun> run);
-    asio::awaitable<AnswerFrame::End> relay(LiveRun &run, HttpStreamCall &call);
+    asio::awaitable<AnswerFrame::End> relayResponse(LiveRun &run, HttpStreamCall &call);
     asio::awaitable<void> waitForCredit(LiveRun &run);
     void cancel(const std::shared_ptr<LiveRun> &run);
     asio::awaitable<void> cancelAtEngine(std::shared_ptr<LiveRun> run);
-    HttpCallOptions callOptions(const LiveRun &run) const;
-    asio::awaitable<void> begin();
-    asio::awaitable<void> report();
+    HttpCallOptions engineCallOptions(const LiveRun &run) const;
+    asio::awaitable<void> loadKnownRouters();
+    asio::awaitable<void> sendReports();
     asio::awaitable<void> pollEngine();
     asio::awaitable<void> drainLoop();
-    asio::awaitable<void> answerOperations(HttpExchange &exchange);
+    asio::awaitable<void> handleOperations(HttpExchange &exchange);
     wire::Report makeReport();
 
     WorkerPool &m_pool;
@@ -65,11 +65,11 @@
     Metrics m_metrics;
     std::mutex m_mutex;
     RunTable m_table;
-    absl::flat_hash_map<std::string, std::shared_ptr<LiveRun>> m_live;
-    absl::flat_hash_map<std::string, Instant> m_routers;
-    std::vector<std::unique_ptr<HttpClient>> m_engines;
-    /// Used on the link's thread only.
-    std::size_t m_nextLoop = 0;
+    absl::flat_hash_map<std::string, std::shared_ptr<LiveRun>> m_liveRuns;
+    absl::flat_hash_map<std::string, Instant> m_routersLastSeen;
+    std::vector<std::unique_ptr<HttpClient>> m_engineClients;
+    /// Accessed only on the link's thread.
+    std::size_t m_nextLoopIndex = 0;
     bool m_engineReachable = false;
     std::uint32_t m_engineWaiting = 0;
     std::unique_ptr<LinkHub> m_link;
--- a/src/tests/usagescannertest.cpp
+++ b/src/tests/usagescannertest.cpp
@@ -17,9 +17,9 @@
 
 }
 
-// A request would be billed by a count that was cut in two. The answer arrives in pieces cut anywhere; the newest whole count must be found
-// all the same.
-BOOST_AUTO_TEST_CASE(findsTheNewestCountHoweverTheAnswerIsCut)
+// Guards against billing a request by a partial or outdated usage object. The chunks of a response can end anywhere, also within a usage
+// object; the latest complete one must be found for any chunk sizes.
+BOOST_AUTO_TEST_CASE(findsTheLatestUsageForAnyChunking)
 {
     const bool holds = rc::check([] {
         UsageScanner scanner;
@@ -37,7 +37,7 @@
     BOOST_TEST(holds);
 }
 
-BOOST_AUTO_TEST_CASE(withoutACountThereIsNone)
+BOOST_AUTO_TEST_CASE(incompleteUsageIsIgnored)
 {
     UsageScanner scanner;
     scanner.feed("data: {\"choices\":[]}\n\n\"usage\":null \"usage\":{\"broken\":");
