--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -70,7 +70,7 @@
         , m_executor(pool.mainLoop().get_executor())
         , m_options(withMechanismsApplied(std::move(options)))
         , m_link(m_executor, {.self = addressText(m_options.link), .seeds = m_options.seeds})
-        , m_detours({.self = addressText(m_options.link), .failureDomain = m_options.gateway.board.failureDomain})
+        , m_relaySelector({.self = addressText(m_options.link), .failureDomain = m_options.gateway.board.failureDomain})
         , m_store(store, m_link, relayedOptions())
         , m_registry(m_store, registryOptions())
         , m_ledger(m_executor,
@@ -88,7 +88,7 @@
         , m_help(m_link, m_store, m_ledger, m_gateway, m_evacuations, planDocumentHandler())
         , m_quarantine(m_store, m_gateway.guard())
         , m_targetFollower(
-              m_gateway.board(), m_detours, m_metrics, {.decodeListing = m_options.decodeTarget, .host = m_options.callers.address})
+              m_gateway.board(), m_relaySelector, m_metrics, {.decodeListing = m_options.decodeTarget, .host = m_options.callers.address})
         , m_plans(m_store, planWatcherOptions())
         , m_targets(m_store, targetWatcherOptions())
         , m_callers(pool, callerOptions(), callerHandler())
@@ -96,7 +96,7 @@
         , m_metricsServer(pool, {.address = m_options.metrics.address, .port = m_options.metrics.port}, metricsHandler())
     {
         if (m_options.openDetour && m_options.mechanisms.relays) {
-            m_store.setDetours(m_detours, m_options.openDetour);
+            m_store.setDetours(m_relaySelector, m_options.openDetour);
         }
         if (m_options.mechanisms.sharedLoads) {
             m_gateway.chooser().setLoadLink(m_loads);
@@ -467,7 +467,7 @@
     Options m_options;
     Metrics m_metrics;
     PeerLink m_link;
-    Detours m_detours;
+    RelaySelector m_relaySelector;
     Relayed m_store;
     RouterRegistry<Relayed> m_registry;
     TeamLedger m_ledger;
--- a/src/gateway/targetfollower.cpp
+++ b/src/gateway/targetfollower.cpp
@@ -9,9 +9,9 @@
 
 namespace bamboohold {
 
-TargetFollower::TargetFollower(TargetBalancer &balancer, Detours &detours, Metrics &metrics, Options options)
+TargetFollower::TargetFollower(TargetBalancer &balancer, RelaySelector &relaySelector, Metrics &metrics, Options options)
     : m_balancer(balancer)
-    , m_detours(detours)
+    , m_relaySelector(relaySelector)
     , m_metrics(metrics)
     , m_options(std::move(options))
 {
@@ -45,7 +45,7 @@
         logLine(Severity::Info, "target.unlisted", {{"target", name}});
         recordUsable(name);
         m_balancer.removeListing(name, now);
-        m_detours.unlisted(name);
+        m_relaySelector.unlisted(name);
         return;
     }
     std::uint64_t &newest = m_newestVersions[name];
@@ -75,7 +75,7 @@
         return std::nullopt;
     }
     recordUsable(row.address.key);
-    m_detours.listed(row.address.key, listing->relay, listing->failureDomain);
+    m_relaySelector.listed(row.address.key, listing->relay, listing->failureDomain);
     return *std::move(listing);
 }
 
--- a/src/gateway/targetfollower.h
+++ b/src/gateway/targetfollower.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/targetbalancer.h"
-#include "membership/detours.h"
+#include "membership/relayselector.h"
 #include "operations/metrics.h"
 #include "store/rowstore.h"
 
@@ -34,8 +34,8 @@
         std::string host;
     };
 
-    /// The balancer, the detours and the metrics must outlive this object.
-    TargetFollower(TargetBalancer &balancer, Detours &detours, Metrics &metrics, Options options);
+    /// The balancer, the relay selector and the metrics must outlive this object.
+    TargetFollower(TargetBalancer &balancer, RelaySelector &relaySelector, Metrics &metrics, Options options);
 
     /// Replaces the list by a consistent read of the whole table.
     void applyTable(std::span<const StoredRow> rows, Instant now);
@@ -51,7 +51,7 @@
     void updateUnusableMetric();
 
     TargetBalancer &m_balancer;
-    Detours &m_detours;
+    RelaySelector &m_relaySelector;
     Metrics &m_metrics;
     Options m_options;
     /// The newest version seen of each row; removed rows are included until the next read of the whole table.
--- a/src/membership/relayedstore.h
+++ b/src/membership/relayedstore.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "clock/steadytime.h"
-#include "membership/detours.h"
 #include "membership/peerlink.h"
+#include "membership/relayselector.h"
 #include "net/pause.h"
 #include "operations/log.h"
 #include "store/rowstore.h"
@@ -65,9 +65,9 @@
     }
 
     /// From now on calls may take the relays that `detours` knows. It outlives this.
-    void setDetours(Detours &detours, OpenDetour open)
+    void setDetours(RelaySelector &relaySelector, OpenDetour open)
     {
-        m_detours = &detours;
+        m_relaySelector = &relaySelector;
         m_openDetour = std::move(open);
     }
 
@@ -194,7 +194,7 @@
     void noteDirect(const absl::Status &status)
     {
         m_directReachable = status.ok();
-        if (!m_directReachable && !m_probing && m_detours != nullptr) {
+        if (!m_directReachable && !m_probing && m_relaySelector != nullptr) {
             m_probing = true;
             boost::asio::co_spawn(m_link.executor(), probe(), boost::asio::detached);
         }
@@ -227,7 +227,7 @@
             const std::string relay = m_relay;
             answer = co_await send(*store);
             if (answer->ok()) {
-                m_detours->worked(relay);
+                m_relaySelector->worked(relay);
                 co_return answer;
             }
             ran = toFailure(answer->status()).executed == Executed::No ? ran : Executed::Unknown;
@@ -243,13 +243,13 @@
     std::shared_ptr<Store> currentDetour()
     {
         const Instant now = steadyNow();
-        if (m_detours == nullptr || now < m_noDetourUntil) {
+        if (m_relaySelector == nullptr || now < m_noDetourUntil) {
             return nullptr;
         }
         if (m_detour) {
             return m_detour;
         }
-        const std::optional<std::string> relay = m_detours->choose(now);
+        const std::optional<std::string> relay = m_relaySelector->choose(now);
         if (relay) {
             m_relay = *relay;
             m_detour = m_openDetour(*relay);
@@ -260,7 +260,7 @@
     /// The relay did not help. Calls that were made at the same time may have noticed it first.
     void leaveDetour(const std::string &relay)
     {
-        m_detours->failed(relay, steadyNow());
+        m_relaySelector->failed(relay, steadyNow());
         if (relay == m_relay) {
             logLine(Severity::Info, "store.relay_failed", {{"relay", relay}});
             m_detour.reset();
@@ -303,7 +303,7 @@
     PeerLink &m_link;
     Options m_options;
     /// The relays, and the way through the one in use.
-    Detours *m_detours = nullptr;
+    RelaySelector *m_relaySelector = nullptr;
     OpenDetour m_openDetour;
     std::shared_ptr<Store> m_detour;
     std::string m_relay;
--- a/src/membership/detours.cpp
+++ b/src/membership/relayselector.cpp
@@ -1,4 +1,4 @@
-#include "membership/detours.h"
+#include "membership/relayselector.h"
 
 #include "routing/stablehash.h"
 
@@ -15,12 +15,12 @@
 
 }
 
-Detours::Detours(Options options)
+RelaySelector::RelaySelector(Options options)
     : m_options(std::move(options))
 {
 }
 
-void Detours::listed(const std::string &target, const std::string &relay, const std::string &failureDomain)
+void RelaySelector::listed(const std::string &target, const std::string &relay, const std::string &failureDomain)
 {
     if (relay.empty()) {
         return;
@@ -33,12 +33,12 @@
     known.failureDomain = failureDomain;
 }
 
-void Detours::unlisted(const std::string &target)
+void RelaySelector::unlisted(const std::string &target)
 {
     m_relays.erase(target);
 }
 
-std::optional<std::string> Detours::choose(Instant now) const
+std::optional<std::string> RelaySelector::choose(Instant now) const
 {
     const auto rank = [this](const Relay &relay) {
         const std::uint64_t order = mixed(stableHash(m_options.self) ^ stableHash(relay.address));
@@ -54,7 +54,7 @@
     return best == nullptr ? std::nullopt : std::optional(best->address);
 }
 
-void Detours::failed(const std::string &relay, Instant now)
+void RelaySelector::failed(const std::string &relay, Instant now)
 {
     for (auto &[target, known] : m_relays) {
         if (known.address == relay) {
@@ -65,7 +65,7 @@
     }
 }
 
-void Detours::worked(const std::string &relay)
+void RelaySelector::worked(const std::string &relay)
 {
     for (auto &[target, known] : m_relays) {
         if (known.address == relay) {
--- a/src/membership/detours.h
+++ b/src/membership/relayselector.h
@@ -16,7 +16,7 @@
 /// between domains is paid for; among equals each router prefers another one, so that a cut of many routers spreads over all relays.
 ///
 /// Pure: events and `now` in.
-class Detours
+class RelaySelector
 {
 public:
     struct Options {
@@ -28,7 +28,7 @@
         Duration longestRest = std::chrono::seconds(30);
     };
 
-    explicit Detours(Options options);
+    explicit RelaySelector(Options options);
 
     /// A target is listed, with the address at which a relay beside it listens. An empty address counts as none.
     void listed(const std::string &target, const std::string &relay, const std::string &failureDomain);
--- a/src/tests/detourstest.cpp
+++ b/src/tests/detourstest.cpp
@@ -1,4 +1,4 @@
-#include "membership/detours.h"
+#include "membership/relayselector.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -10,9 +10,9 @@
 
 constexpr Instant s_start{std::chrono::seconds(10)};
 
-Detours detours(const std::string &self = "10.0.0.1:7340")
+RelaySelector relaySelector(const std::string &self = "10.0.0.1:7340")
 {
-    return Detours({.self = self, .failureDomain = "near"});
+    return RelaySelector({.self = self, .failureDomain = "near"});
 }
 
 }
@@ -21,7 +21,7 @@
 
 BOOST_AUTO_TEST_CASE(relaysOfTheOwnFailureDomainComeFirst)
 {
-    Detours known = detours();
+    RelaySelector known = relaySelector();
     BOOST_TEST(!known.choose(s_start).has_value());
     known.listed("a", "10.0.2.1:7340", "far");
     known.listed("b", "10.0.1.1:7340", "near");
@@ -37,7 +37,7 @@
 // next one is tried; one that works again starts over.
 BOOST_AUTO_TEST_CASE(relaysThatFailedRest)
 {
-    Detours known = detours();
+    RelaySelector known = relaySelector();
     known.listed("a", "10.0.1.1:7340", "near");
     known.listed("b", "10.0.1.2:7340", "near");
     const std::string first = known.choose(s_start).value();
@@ -61,7 +61,7 @@
 {
     std::set<std::string> chosen;
     for (int router = 1; router <= 20; ++router) {
-        Detours known = detours("10.0.0." + std::to_string(router) + ":7340");
+        RelaySelector known = relaySelector("10.0.0." + std::to_string(router) + ":7340");
         for (int relay = 1; relay <= 5; ++relay) {
             const std::string number = std::to_string(relay);
             known.listed(number, "10.0.1." + number + ":7340", "near");
--- a/src/tests/relayedstoretest.cpp
+++ b/src/tests/relayedstoretest.cpp
@@ -52,12 +52,12 @@
     Scene()
         : direct{.rows = &rows, .open = &directOpen, .calls = &directCalls}
         , link(loop.get_executor(), {.self = "127.0.0.1:1"})
-        , detours({.self = "127.0.0.1:1", .failureDomain = "near"})
+        , relaySelector({.self = "127.0.0.1:1", .failureDomain = "near"})
         , store(direct, link)
     {
-        detours.listed("a", "relay-a", "near");
-        detours.listed("b", "relay-b", "far");
-        store.setDetours(detours, [this](const std::string &relay) {
+        relaySelector.listed("a", "relay-a", "near");
+        relaySelector.listed("b", "relay-b", "far");
+        store.setDetours(relaySelector, [this](const std::string &relay) {
             opened.push_back(relay);
             bool *open = relay == "relay-a" ? &nearOpen : &farOpen;
             return std::make_unique<Way>(Way{.rows = &rows, .open = open, .calls = &detourCalls});
@@ -99,7 +99,7 @@
     std::vector<std::string> opened;
     Way direct;
     PeerLink link;
-    Detours detours;
+    RelaySelector relaySelector;
     RelayedStore<Way> store;
 };
 
--- a/src/tests/targetfollowertest.cpp
+++ b/src/tests/targetfollowertest.cpp
@@ -38,8 +38,8 @@
 struct Fixture {
     Fixture()
         : balancer({.failureDomain = "here"})
-        , detours({.self = "me"})
-        , follower(balancer, detours, metrics, {.decodeListing = readRecord, .host = "me"})
+        , relaySelector({.self = "me"})
+        , follower(balancer, relaySelector, metrics, {.decodeListing = readRecord, .host = "me"})
     {
     }
 
@@ -56,7 +56,7 @@
     }
 
     TargetBalancer balancer;
-    Detours detours;
+    RelaySelector relaySelector;
     Metrics metrics;
     TargetFollower follower;
 };
