--- a/src/gateway/targetfollower.cpp
+++ b/src/gateway/targetfollower.cpp
@@ -45,7 +45,7 @@
         logLine(Severity::Info, "target.unlisted", {{"target", name}});
         recordUsable(name);
         m_balancer.removeListing(name, now);
-        m_relaySelector.unlisted(name);
+        m_relaySelector.removeTargetRelay(name);
         return;
     }
     std::uint64_t &newest = m_newestVersions[name];
@@ -75,7 +75,7 @@
         return std::nullopt;
     }
     recordUsable(row.address.key);
-    m_relaySelector.listed(row.address.key, listing->relay, listing->failureDomain);
+    m_relaySelector.addTargetRelay(row.address.key, listing->relay, listing->failureDomain);
     return *std::move(listing);
 }
 
--- a/src/membership/relayedstore.h
+++ b/src/membership/relayedstore.h
@@ -227,7 +227,7 @@
             const std::string relay = m_relay;
             answer = co_await send(*store);
             if (answer->ok()) {
-                m_relaySelector->worked(relay);
+                m_relaySelector->recordRelaySuccess(relay);
                 co_return answer;
             }
             ran = toFailure(answer->status()).executed == Executed::No ? ran : Executed::Unknown;
@@ -260,7 +260,7 @@
     /// The relay did not help. Calls that were made at the same time may have noticed it first.
     void leaveDetour(const std::string &relay)
     {
-        m_relaySelector->failed(relay, steadyNow());
+        m_relaySelector->recordRelayFailure(relay, steadyNow());
         if (relay == m_relay) {
             logLine(Severity::Info, "store.relay_failed", {{"relay", relay}});
             m_detour.reset();
--- a/src/membership/relayselector.cpp
+++ b/src/membership/relayselector.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Beyond this, doubling a rest makes no difference any more.
-constexpr std::uint32_t s_mostDoublings = 6;
+constexpr std::uint32_t s_maxBackoffDoublings = 6;
 
 }
 
@@ -20,7 +20,7 @@
 {
 }
 
-void RelaySelector::listed(const std::string &target, const std::string &relay, const std::string &failureDomain)
+void RelaySelector::addTargetRelay(const std::string &target, const std::string &relay, const std::string &failureDomain)
 {
     if (relay.empty()) {
         return;
@@ -33,7 +33,7 @@
     known.failureDomain = failureDomain;
 }
 
-void RelaySelector::unlisted(const std::string &target)
+void RelaySelector::removeTargetRelay(const std::string &target)
 {
     m_relays.erase(target);
 }
@@ -46,26 +46,26 @@
     };
     const Relay *best = nullptr;
     for (const auto &[target, relay] : m_relays) {
-        const bool rests = now < relay.restsUntil;
-        if (!rests && (best == nullptr || rank(relay) < rank(*best))) {
+        const bool inBackoff = now < relay.backoffUntil;
+        if (!inBackoff && (best == nullptr || rank(relay) < rank(*best))) {
             best = &relay;
         }
     }
     return best == nullptr ? std::nullopt : std::optional(best->address);
 }
 
-void RelaySelector::failed(const std::string &relay, Instant now)
+void RelaySelector::recordRelayFailure(const std::string &relay, Instant now)
 {
     for (auto &[target, known] : m_relays) {
         if (known.address == relay) {
-            const Duration rest = m_options.firstRest * (std::int64_t{1} << std::min(known.failures, s_mostDoublings));
-            known.restsUntil = now + std::min(rest, m_options.longestRest);
+            const Duration backoff = m_options.initialRelayBackoff * (std::int64_t{1} << std::min(known.failures, s_maxBackoffDoublings));
+            known.backoffUntil = now + std::min(backoff, m_options.maxRelayBackoff);
             ++known.failures;
         }
     }
 }
 
-void RelaySelector::worked(const std::string &relay)
+void RelaySelector::recordRelaySuccess(const std::string &relay)
 {
     for (auto &[target, known] : m_relays) {
         if (known.address == relay) {
--- a/src/membership/relayselector.h
+++ b/src/membership/relayselector.h
@@ -24,24 +24,24 @@
         std::string self;
         std::string failureDomain;
         /// How long a relay that failed is left alone, at first and at most. Cuts last seconds, and another relay is there as a rule.
-        Duration firstRest = std::chrono::seconds(1);
-        Duration longestRest = std::chrono::seconds(30);
+        Duration initialRelayBackoff = std::chrono::seconds(1);
+        Duration maxRelayBackoff = std::chrono::seconds(30);
     };
 
     explicit RelaySelector(Options options);
 
     /// A target is listed, with the address at which a relay beside it listens. An empty address counts as none.
-    void listed(const std::string &target, const std::string &relay, const std::string &failureDomain);
+    void addTargetRelay(const std::string &target, const std::string &relay, const std::string &failureDomain);
 
     /// A target is listed no longer.
-    void unlisted(const std::string &target);
+    void removeTargetRelay(const std::string &target);
 
     /// The relay to try next; none while all of them rest.
     std::optional<std::string> choose(Instant now) const;
 
     /// How a call through the relay went.
-    void failed(const std::string &relay, Instant now);
-    void worked(const std::string &relay);
+    void recordRelayFailure(const std::string &relay, Instant now);
+    void recordRelaySuccess(const std::string &relay);
 
     /// True when no target is listed, so that there is no second way at all.
     bool empty() const
@@ -54,7 +54,7 @@
         std::string address;
         std::string failureDomain;
         std::uint32_t failures = 0;
-        Instant restsUntil{};
+        Instant backoffUntil{};
     };
 
     Options m_options;
--- a/src/tests/detourstest.cpp
+++ b/src/tests/detourstest.cpp
@@ -21,39 +21,39 @@
 
 BOOST_AUTO_TEST_CASE(relaysOfTheOwnFailureDomainComeFirst)
 {
-    RelaySelector known = relaySelector();
-    BOOST_TEST(!known.choose(s_start).has_value());
-    known.listed("a", "10.0.2.1:7340", "far");
-    known.listed("b", "10.0.1.1:7340", "near");
-    known.listed("plain", "", "near");
-    BOOST_TEST(known.choose(s_start).value() == "10.0.1.1:7340");
-    known.unlisted("b");
-    BOOST_TEST(known.choose(s_start).value() == "10.0.2.1:7340");
-    known.unlisted("a");
-    BOOST_TEST(known.empty());
+    RelaySelector selector = relaySelector();
+    BOOST_TEST(!selector.choose(s_start).has_value());
+    selector.addTargetRelay("a", "10.0.2.1:7340", "far");
+    selector.addTargetRelay("b", "10.0.1.1:7340", "near");
+    selector.addTargetRelay("plain", "", "near");
+    BOOST_TEST(selector.choose(s_start).value() == "10.0.1.1:7340");
+    selector.removeTargetRelay("b");
+    BOOST_TEST(selector.choose(s_start).value() == "10.0.2.1:7340");
+    selector.removeTargetRelay("a");
+    BOOST_TEST(selector.empty());
 }
 
 // A router asks the same dead relay again and again while the store is one hop away. Relays that failed rest, each time for longer, and the
 // next one is tried; one that works again starts over.
 BOOST_AUTO_TEST_CASE(relaysThatFailedRest)
 {
-    RelaySelector known = relaySelector();
-    known.listed("a", "10.0.1.1:7340", "near");
-    known.listed("b", "10.0.1.2:7340", "near");
-    const std::string first = known.choose(s_start).value();
-    known.failed(first, s_start);
-    const std::string second = known.choose(s_start).value();
+    RelaySelector selector = relaySelector();
+    selector.addTargetRelay("a", "10.0.1.1:7340", "near");
+    selector.addTargetRelay("b", "10.0.1.2:7340", "near");
+    const std::string first = selector.choose(s_start).value();
+    selector.recordRelayFailure(first, s_start);
+    const std::string second = selector.choose(s_start).value();
     BOOST_TEST(second != first);
-    known.failed(second, s_start);
-    BOOST_TEST(!known.choose(s_start).has_value());
-    const Instant rested = s_start + std::chrono::milliseconds(1001);
-    BOOST_REQUIRE(known.choose(rested).has_value());
-    known.failed(first, rested);
-    known.failed(second, rested);
-    BOOST_TEST(!known.choose(rested + std::chrono::milliseconds(1001)).has_value());
-    BOOST_TEST(known.choose(rested + std::chrono::milliseconds(2001)).has_value());
-    known.worked(second);
-    BOOST_TEST(known.choose(rested + std::chrono::milliseconds(2001)).value() == second);
+    selector.recordRelayFailure(second, s_start);
+    BOOST_TEST(!selector.choose(s_start).has_value());
+    const Instant afterBackoff = s_start + std::chrono::milliseconds(1001);
+    BOOST_REQUIRE(selector.choose(afterBackoff).has_value());
+    selector.recordRelayFailure(first, afterBackoff);
+    selector.recordRelayFailure(second, afterBackoff);
+    BOOST_TEST(!selector.choose(afterBackoff + std::chrono::milliseconds(1001)).has_value());
+    BOOST_TEST(selector.choose(afterBackoff + std::chrono::milliseconds(2001)).has_value());
+    selector.recordRelaySuccess(second);
+    BOOST_TEST(selector.choose(afterBackoff + std::chrono::milliseconds(2001)).value() == second);
 }
 
 // All routers of a failure domain are cut off at once. They do not all take the same relay.
@@ -61,12 +61,12 @@
 {
     std::set<std::string> chosen;
     for (int router = 1; router <= 20; ++router) {
-        RelaySelector known = relaySelector("10.0.0." + std::to_string(router) + ":7340");
+        RelaySelector selector = relaySelector("10.0.0." + std::to_string(router) + ":7340");
         for (int relay = 1; relay <= 5; ++relay) {
             const std::string number = std::to_string(relay);
-            known.listed(number, "10.0.1." + number + ":7340", "near");
+            selector.addTargetRelay(number, "10.0.1." + number + ":7340", "near");
         }
-        chosen.insert(known.choose(s_start).value());
+        chosen.insert(selector.choose(s_start).value());
     }
     BOOST_TEST(chosen.size() == 5);
 }
--- a/src/tests/relayedstoretest.cpp
+++ b/src/tests/relayedstoretest.cpp
@@ -55,8 +55,8 @@
         , relaySelector({.self = "127.0.0.1:1", .failureDomain = "near"})
         , store(direct, link)
     {
-        relaySelector.listed("a", "relay-a", "near");
-        relaySelector.listed("b", "relay-b", "far");
+        relaySelector.addTargetRelay("a", "relay-a", "near");
+        relaySelector.addTargetRelay("b", "relay-b", "far");
         store.setDetours(relaySelector, [this](const std::string &relay) {
             opened.push_back(relay);
             bool *open = relay == "relay-a" ? &nearOpen : &farOpen;
