--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -61,7 +61,7 @@
             return std::optional<std::string>();
         };
         /// Opens the store through a relay beside a target; empty if there are no relays.
-        typename Relayed::OpenDetour openDetour;
+        typename Relayed::OpenRelayStore openRelayStore;
         Mechanisms mechanisms;
     };
 
@@ -95,8 +95,8 @@
         , m_readiness(pool, {.address = m_options.readiness.address, .port = m_options.readiness.port}, readinessHandler())
         , m_metricsServer(pool, {.address = m_options.metrics.address, .port = m_options.metrics.port}, metricsHandler())
     {
-        if (m_options.openDetour && m_options.mechanisms.relays) {
-            m_store.setDetours(m_relaySelector, m_options.openDetour);
+        if (m_options.openRelayStore && m_options.mechanisms.relays) {
+            m_store.setRelays(m_relaySelector, m_options.openRelayStore);
         }
         if (m_options.mechanisms.sharedLoads) {
             m_gateway.chooser().setLoadLink(m_loads);
@@ -214,7 +214,7 @@
     {
         typename Relayed::Options options;
         if (!m_options.mechanisms.carriedCalls) {
-            options.relaysTried = 0;
+            options.maxPeersTried = 0;
         }
         return options;
     }
--- a/src/gateway/peerexchange.h
+++ b/src/gateway/peerexchange.h
@@ -210,7 +210,7 @@
             answer.set_done(true);
             co_return answer;
         }
-        answer = co_await m_store.carry(std::move(call));
+        answer = co_await m_store.executeForPeer(std::move(call));
         co_return answer;
     }
 
--- a/src/membership/relayedstore.h
+++ b/src/membership/relayedstore.h
@@ -35,21 +35,21 @@
 public:
     struct Options {
         /// A peer's call to the store takes as long as an own one.
-        Duration relayTimeout = std::chrono::milliseconds(700);
+        Duration peerCallTimeout = std::chrono::milliseconds(700);
         /// While no peer reaches the store either, they are asked this often.
-        Duration relayPause = std::chrono::milliseconds(400);
+        Duration peerRetryInterval = std::chrono::milliseconds(400);
         /// Peers tried for one call: they are told apart only by asking. 0: none.
-        std::size_t relaysTried = 3;
+        std::size_t maxPeersTried = 3;
         /// Relays tried for one call: the second stands in for one that has just gone.
-        std::size_t detoursTried = 2;
+        std::size_t maxRelaysTried = 2;
         /// When no relay helped, the store itself is most likely away; relays are left alone for this long.
-        Duration detourPause = std::chrono::milliseconds(300);
+        Duration relayRetryInterval = std::chrono::milliseconds(300);
         /// While the direct way is cut, it is tried this often.
-        Duration probePause = std::chrono::milliseconds(300);
+        Duration directProbeInterval = std::chrono::milliseconds(300);
     };
 
     /// Opens the store by way of a relay at this address; null when there is no such way.
-    using OpenDetour = std::function<std::unique_ptr<Store>(const std::string &relay)>;
+    using OpenRelayStore = std::function<std::unique_ptr<Store>(const std::string &relay)>;
 
     RelayedStore(Store &direct, PeerLink &link, Options options)
         : m_direct(direct)
@@ -65,44 +65,44 @@
     }
 
     /// From now on calls may take the relays that `detours` knows. It outlives this.
-    void setDetours(RelaySelector &relaySelector, OpenDetour open)
+    void setRelays(RelaySelector &relaySelector, OpenRelayStore open)
     {
         m_relaySelector = &relaySelector;
-        m_openDetour = std::move(open);
+        m_openRelayStore = std::move(open);
     }
 
     boost::asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
     {
-        Executed ran = Executed::No;
+        Executed execution = Executed::No;
         if (m_directReachable) {
             absl::StatusOr<RowVerdict> verdict = co_await m_direct.transact(transaction);
-            noteDirect(verdict.status());
+            recordDirectOutcome(verdict.status());
             if (verdict.ok()) {
                 co_return verdict;
             }
-            ran = toFailure(verdict.status()).executed;
+            execution = toFailure(verdict.status()).executed;
         }
         const auto send = [&transaction](Store &store) {
             return store.transact(transaction);
         };
-        const std::optional<absl::StatusOr<RowVerdict>> detoured = co_await detour<RowVerdict>(send);
-        if (detoured) {
-            if (detoured->ok()) {
-                co_return *detoured;
+        const std::optional<absl::StatusOr<RowVerdict>> viaRelay = co_await callThroughRelay<RowVerdict>(send);
+        if (viaRelay) {
+            if (viaRelay->ok()) {
+                co_return *viaRelay;
             }
-            const bool ranNowhere = ran == Executed::No && toFailure(detoured->status()).executed == Executed::No;
+            const bool neverExecuted = execution == Executed::No && toFailure(viaRelay->status()).executed == Executed::No;
             co_return failed(
-                FailureKind::TableUnreachable, "neither directly nor through a relay", ranNowhere ? Executed::No : Executed::Unknown);
+                FailureKind::TableUnreachable, "neither directly nor through a relay", neverExecuted ? Executed::No : Executed::Unknown);
         }
         wire::PeerCall call;
         *call.mutable_transaction() = toWire(transaction);
-        const std::pair<Executed, std::optional<wire::StoreAnswer>> relayed = co_await relay(std::move(call));
-        if (relayed.second) {
-            co_return verdictFromWire(*relayed.second);
+        const std::pair<Executed, std::optional<wire::StoreAnswer>> viaPeer = co_await callThroughPeer(std::move(call));
+        if (viaPeer.second) {
+            co_return verdictFromWire(*viaPeer.second);
         }
-        const bool surelyNot = ran == Executed::No && relayed.first == Executed::No;
+        const bool notExecuted = execution == Executed::No && viaPeer.first == Executed::No;
         co_return failed(
-            FailureKind::TableUnreachable, "neither directly nor through a peer", surelyNot ? Executed::No : Executed::Unknown);
+            FailureKind::TableUnreachable, "neither directly nor through a peer", notExecuted ? Executed::No : Executed::Unknown);
     }
 
     boost::asio::awaitable<absl::StatusOr<RowsRead>> read(const std::string &table, const std::string &part)
@@ -110,7 +110,7 @@
         const bool triedDirect = m_directReachable;
         if (triedDirect) {
             absl::StatusOr<RowsRead> rows = co_await m_direct.read(table, part);
-            noteDirect(rows.status());
+            recordDirectOutcome(rows.status());
             if (rows.ok()) {
                 co_return rows;
             }
@@ -118,23 +118,23 @@
         const auto send = [&table, &part](Store &store) {
             return store.read(table, part);
         };
-        const std::optional<absl::StatusOr<RowsRead>> detoured = co_await detour<RowsRead>(send);
-        if (detoured) {
-            co_return *detoured;
+        const std::optional<absl::StatusOr<RowsRead>> viaRelay = co_await callThroughRelay<RowsRead>(send);
+        if (viaRelay) {
+            co_return *viaRelay;
         }
         wire::PeerCall call;
         call.mutable_read()->set_table(table);
         call.mutable_read()->set_part(part);
-        const std::pair<Executed, std::optional<wire::StoreAnswer>> relayed = co_await relay(std::move(call));
-        if (relayed.second) {
-            co_return readFromWire(*relayed.second);
+        const std::pair<Executed, std::optional<wire::StoreAnswer>> viaPeer = co_await callThroughPeer(std::move(call));
+        if (viaPeer.second) {
+            co_return readFromWire(*viaPeer.second);
         }
         if (triedDirect) {
             co_return failed(FailureKind::TableUnreachable, "neither directly nor through a peer");
         }
         // Somebody has to find out when the direct way is open again.
         absl::StatusOr<RowsRead> rows = co_await m_direct.read(table, part);
-        noteDirect(rows.status());
+        recordDirectOutcome(rows.status());
         co_return rows;
     }
 
@@ -146,18 +146,18 @@
             const auto send = [&table, version, wait](Store &store) {
                 return store.follow(table, version, wait);
             };
-            const std::optional<absl::StatusOr<RowsFeed>> detoured = co_await detour<RowsFeed>(send);
-            if (detoured) {
-                co_return *detoured;
+            const std::optional<absl::StatusOr<RowsFeed>> viaRelay = co_await callThroughRelay<RowsFeed>(send);
+            if (viaRelay) {
+                co_return *viaRelay;
             }
         }
         absl::StatusOr<RowsFeed> feed = co_await m_direct.follow(table, version, wait);
-        noteDirect(feed.status());
+        recordDirectOutcome(feed.status());
         co_return feed;
     }
 
     /// Carries a peer's call, directly or not at all.
-    boost::asio::awaitable<wire::PeerAnswer> carry(wire::PeerCall call)
+    boost::asio::awaitable<wire::PeerAnswer> executeForPeer(wire::PeerCall call)
     {
         wire::PeerAnswer answer;
         if (!m_directReachable) {
@@ -178,7 +178,7 @@
                 *answer.mutable_store() = toWire(*rows);
             }
         }
-        noteDirect(status);
+        recordDirectOutcome(status);
         answer.set_done(status.ok());
         answer.set_done_unknown(!status.ok() && toFailure(status).executed != Executed::No);
         co_return answer;
@@ -191,100 +191,100 @@
     }
 
 private:
-    void noteDirect(const absl::Status &status)
+    void recordDirectOutcome(const absl::Status &status)
     {
         m_directReachable = status.ok();
-        if (!m_directReachable && !m_probing && m_relaySelector != nullptr) {
-            m_probing = true;
-            boost::asio::co_spawn(m_link.executor(), probe(), boost::asio::detached);
+        if (!m_directReachable && !m_probingDirectPath && m_relaySelector != nullptr) {
+            m_probingDirectPath = true;
+            boost::asio::co_spawn(m_link.executor(), probeDirectPath(), boost::asio::detached);
         }
     }
 
     /// Tries the direct way until it is open again: with relays that answer, nobody else would.
-    boost::asio::awaitable<void> probe()
+    boost::asio::awaitable<void> probeDirectPath()
     {
-        const std::string nowhere;
-        const std::string table(s_probedTable);
+        const std::string emptyPart;
+        const std::string table(s_probeTable);
         while (!m_directReachable) {
-            co_await pause(m_options.probePause);
-            const absl::StatusOr<RowsRead> rows = co_await m_direct.read(table, nowhere);
+            co_await pause(m_options.directProbeInterval);
+            const absl::StatusOr<RowsRead> rows = co_await m_direct.read(table, emptyPart);
             m_directReachable = m_directReachable || rows.ok();
         }
-        m_probing = false;
+        m_probingDirectPath = false;
     }
 
     /// What the store said by way of a relay; none when there is no relay to try.
     template<typename Answer, typename Send>
-    boost::asio::awaitable<std::optional<absl::StatusOr<Answer>>> detour(Send send)
+    boost::asio::awaitable<std::optional<absl::StatusOr<Answer>>> callThroughRelay(Send send)
     {
         std::optional<absl::StatusOr<Answer>> answer;
-        Executed ran = Executed::No;
-        for (std::size_t tried = 0; tried < m_options.detoursTried; ++tried) {
-            const std::shared_ptr<Store> store = currentDetour();
+        Executed execution = Executed::No;
+        for (std::size_t tried = 0; tried < m_options.maxRelaysTried; ++tried) {
+            const std::shared_ptr<Store> store = currentRelayStore();
             if (!store) {
                 break;
             }
-            const std::string relay = m_relay;
+            const std::string relay = m_relayAddress;
             answer = co_await send(*store);
             if (answer->ok()) {
                 m_relaySelector->recordRelaySuccess(relay);
                 co_return answer;
             }
-            ran = toFailure(answer->status()).executed == Executed::No ? ran : Executed::Unknown;
-            leaveDetour(relay);
+            execution = toFailure(answer->status()).executed == Executed::No ? execution : Executed::Unknown;
+            abandonRelay(relay);
         }
         if (answer) {
-            m_noDetourUntil = steadyNow() + m_options.detourPause;
-            answer = failed(FailureKind::TableUnreachable, "no relay reaches it", ran);
+            m_relaysSkippedUntil = steadyNow() + m_options.relayRetryInterval;
+            answer = failed(FailureKind::TableUnreachable, "no relay reaches it", execution);
         }
         co_return answer;
     }
 
-    std::shared_ptr<Store> currentDetour()
+    std::shared_ptr<Store> currentRelayStore()
     {
         const Instant now = steadyNow();
-        if (m_relaySelector == nullptr || now < m_noDetourUntil) {
+        if (m_relaySelector == nullptr || now < m_relaysSkippedUntil) {
             return nullptr;
         }
-        if (m_detour) {
-            return m_detour;
+        if (m_relayStore) {
+            return m_relayStore;
         }
         const std::optional<std::string> relay = m_relaySelector->choose(now);
         if (relay) {
-            m_relay = *relay;
-            m_detour = m_openDetour(*relay);
+            m_relayAddress = *relay;
+            m_relayStore = m_openRelayStore(*relay);
         }
-        return m_detour;
+        return m_relayStore;
     }
 
     /// The relay did not help. Calls that were made at the same time may have noticed it first.
-    void leaveDetour(const std::string &relay)
+    void abandonRelay(const std::string &relay)
     {
         m_relaySelector->recordRelayFailure(relay, steadyNow());
-        if (relay == m_relay) {
+        if (relay == m_relayAddress) {
             logLine(Severity::Info, "store.relay_failed", {{"relay", relay}});
-            m_detour.reset();
+            m_relayStore.reset();
         }
     }
 
     /// The store's answer through some peer, or whether the call may have taken effect.
-    boost::asio::awaitable<std::pair<Executed, std::optional<wire::StoreAnswer>>> relay(wire::PeerCall call)
+    boost::asio::awaitable<std::pair<Executed, std::optional<wire::StoreAnswer>>> callThroughPeer(wire::PeerCall call)
     {
         std::pair<Executed, std::optional<wire::StoreAnswer>> result{Executed::No, std::nullopt};
-        if (steadyNow() < m_noRelayUntil) {
+        if (steadyNow() < m_peersSkippedUntil) {
             co_return result;
         }
         std::vector<std::string> peers = m_link.peers();
         std::shuffle(peers.begin(), peers.end(), m_random);
         // The last one that helped is asked first.
         std::stable_partition(peers.begin(), peers.end(), [this](const std::string &peer) {
-            return peer == m_lastHelper;
+            return peer == m_lastSuccessfulPeer;
         });
-        peers.resize(std::min(peers.size(), m_options.relaysTried));
+        peers.resize(std::min(peers.size(), m_options.maxPeersTried));
         for (const std::string &peer : peers) {
-            const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, call, m_options.relayTimeout);
+            const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, call, m_options.peerCallTimeout);
             if (answer.ok() && answer->done()) {
-                m_lastHelper = peer;
+                m_lastSuccessfulPeer = peer;
                 result.second = answer->store();
                 co_return result;
             }
@@ -292,26 +292,26 @@
                 result.first = Executed::Unknown;
             }
         }
-        m_noRelayUntil = steadyNow() + m_options.relayPause;
+        m_peersSkippedUntil = steadyNow() + m_options.peerRetryInterval;
         co_return result;
     }
 
     /// A read of an empty table costs the store as little as anything.
-    static constexpr std::string_view s_probedTable = "probe";
+    static constexpr std::string_view s_probeTable = "probe";
 
     Store &m_direct;
     PeerLink &m_link;
     Options m_options;
     /// The relays, and the way through the one in use.
     RelaySelector *m_relaySelector = nullptr;
-    OpenDetour m_openDetour;
-    std::shared_ptr<Store> m_detour;
-    std::string m_relay;
-    Instant m_noDetourUntil{};
-    bool m_probing = false;
+    OpenRelayStore m_openRelayStore;
+    std::shared_ptr<Store> m_relayStore;
+    std::string m_relayAddress;
+    Instant m_relaysSkippedUntil{};
+    bool m_probingDirectPath = false;
     std::mt19937 m_random;
-    std::string m_lastHelper;
-    Instant m_noRelayUntil{};
+    std::string m_lastSuccessfulPeer;
+    Instant m_peersSkippedUntil{};
     bool m_directReachable = true;
 };
 
--- a/src/tests/relayedstoretest.cpp
+++ b/src/tests/relayedstoretest.cpp
@@ -57,7 +57,7 @@
     {
         relaySelector.addTargetRelay("a", "relay-a", "near");
         relaySelector.addTargetRelay("b", "relay-b", "far");
-        store.setDetours(relaySelector, [this](const std::string &relay) {
+        store.setRelays(relaySelector, [this](const std::string &relay) {
             opened.push_back(relay);
             bool *open = relay == "relay-a" ? &nearOpen : &farOpen;
             return std::make_unique<Way>(Way{.rows = &rows, .open = open, .calls = &detourCalls});
