--- a/src/membership/storerelay.cpp
+++ b/src/membership/storerelay.cpp
@@ -10,8 +10,8 @@
 namespace bamboohold {
 
 /// A relayed call that waits for its answer. Shared by the caller's coroutine and the table through which the answer finds it.
-struct StoreRelay::Pending {
-    explicit Pending(const asio::any_io_executor &loop)
+struct StoreRelay::PendingCall {
+    explicit PendingCall(const asio::any_io_executor &loop)
         : timer(loop)
     {
     }
@@ -20,10 +20,10 @@
     std::optional<wire::RelayAnswer> answer;
 };
 
-StoreRelay::StoreRelay(asio::any_io_executor loop, PlatformClient &platform, HelperSource helpers, Options options)
+StoreRelay::StoreRelay(asio::any_io_executor loop, PlatformClient &platform, RecentPeerSource recentPeers, Options options)
     : m_loop(std::move(loop))
     , m_platform(platform)
-    , m_helpers(std::move(helpers))
+    , m_recentPeers(std::move(recentPeers))
     , m_options(options)
 {
 }
@@ -35,11 +35,11 @@
 
 asio::awaitable<absl::StatusOr<HttpReply>> StoreRelay::ask(std::string peer, const HttpCallOptions &options)
 {
-    auto pending = std::make_shared<Pending>(m_loop);
+    auto pending = std::make_shared<PendingCall>(m_loop);
     std::uint64_t relayId = 0;
     {
         const std::lock_guard lock(m_mutex);
-        relayId = m_nextRelay++;
+        relayId = m_nextRelayId++;
         m_pending.emplace(relayId, pending);
     }
     wire::Envelope envelope;
@@ -56,26 +56,26 @@
     if (!pending->answer || !pending->answer->reached()) {
         co_return failed(FailureKind::TableUnreachable, "the peer does not reach the platform either", Executed::Unknown);
     }
-    ++m_relayed;
+    ++m_relayedCallCount;
     co_return HttpReply{.status = pending->answer->status(), .contentType = "application/json", .body = pending->answer->body()};
 }
 
 asio::awaitable<absl::StatusOr<HttpReply>> StoreRelay::call(HttpCallOptions options)
 {
     absl::StatusOr<HttpReply> reply = failed(FailureKind::TableUnreachable, "no peer can be asked", Executed::Unknown);
-    const std::vector<std::string> helpers = m_helpers();
-    for (std::size_t index = 0; index < std::min(helpers.size(), m_options.peersAsked) && !reply.ok(); ++index) {
-        reply = co_await ask(helpers[index], options);
+    const std::vector<std::string> recentPeers = m_recentPeers();
+    for (std::size_t index = 0; index < std::min(recentPeers.size(), m_options.maxPeersAsked) && !reply.ok(); ++index) {
+        reply = co_await ask(recentPeers[index], options);
     }
     co_return reply;
 }
 
 void StoreRelay::onRequest(std::string_view peer, wire::RelayRequest request)
 {
-    asio::co_spawn(m_loop, carry(std::string(peer), std::move(request)), asio::detached);
+    asio::co_spawn(m_loop, executeForPeer(std::string(peer), std::move(request)), asio::detached);
 }
 
-asio::awaitable<void> StoreRelay::carry(std::string peer, wire::RelayRequest request)
+asio::awaitable<void> StoreRelay::executeForPeer(std::string peer, wire::RelayRequest request)
 {
     HttpCallOptions options{.method = request.method(), .path = request.path(), .body = request.body()};
     const auto reply = co_await m_platform.direct(std::move(options));
--- a/src/membership/storerelay.h
+++ b/src/membership/storerelay.h
@@ -23,13 +23,13 @@
     struct Options {
         Duration timeout = std::chrono::seconds(2);
         /// Peers asked before a call is given up.
-        std::size_t peersAsked = 2;
+        std::size_t maxPeersAsked = 2;
     };
 
     /// Peers that were heard of a moment ago.
-    using HelperSource = std::function<std::vector<std::string>()>;
+    using RecentPeerSource = std::function<std::vector<std::string>()>;
 
-    StoreRelay(asio::any_io_executor loop, PlatformClient &platform, HelperSource helpers, Options options);
+    StoreRelay(asio::any_io_executor loop, PlatformClient &platform, RecentPeerSource recentPeers, Options options);
 
     /// The link to send on; set before the first call.
     void setLink(LinkHub *link);
@@ -44,26 +44,26 @@
     void onAnswer(wire::RelayAnswer answer);
 
     /// Calls that went through a peer.
-    std::uint64_t relayed() const
+    std::uint64_t relayedCallCount() const
     {
-        return m_relayed;
+        return m_relayedCallCount;
     }
 
 private:
-    struct Pending;
+    struct PendingCall;
 
-    asio::awaitable<void> carry(std::string peer, wire::RelayRequest request);
+    asio::awaitable<void> executeForPeer(std::string peer, wire::RelayRequest request);
     asio::awaitable<absl::StatusOr<HttpReply>> ask(std::string peer, const HttpCallOptions &options);
 
     asio::any_io_executor m_loop;
     PlatformClient &m_platform;
-    HelperSource m_helpers;
+    RecentPeerSource m_recentPeers;
     Options m_options;
     LinkHub *m_link = nullptr;
     std::mutex m_mutex;
-    std::map<std::uint64_t, std::shared_ptr<Pending>> m_pending;
-    std::uint64_t m_nextRelay = 1;
-    std::atomic<std::uint64_t> m_relayed = 0;
+    std::map<std::uint64_t, std::shared_ptr<PendingCall>> m_pending;
+    std::uint64_t m_nextRelayId = 1;
+    std::atomic<std::uint64_t> m_relayedCallCount = 0;
 };
 
 }
