--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -75,7 +75,7 @@
                 },
                 {.limits = {.fallback = settings.defaultOutputTokens, .highest = settings.maxOutputTokens},
                  .defaultDeadline = settings.defaultDeadline})
-    , m_peers({.self = m_identity.incarnation, .silence = settings.reclaimAfter})
+    , m_peers({.self = m_identity.incarnation, .suspicionTimeout = settings.reclaimAfter})
     , m_relay(pool.mainLoop().get_executor(),
               m_platform,
               [this] {
@@ -144,7 +144,7 @@
 {
     {
         const std::lock_guard lock(m_peersMutex);
-        m_peers.heard(peer, steadyNow());
+        m_peers.recordMessage(peer, steadyNow());
     }
     switch (message.body_case()) {
     case wire::Envelope::kFrame:
@@ -313,8 +313,8 @@
             std::size_t routers = 0;
             {
                 const std::lock_guard lock(m_peersMutex);
-                m_peers.rowsRead(*rows, steadyNow());
-                routers = m_peers.routers();
+                m_peers.updateRows(*rows, steadyNow());
+                routers = m_peers.liveRouterCount();
                 for (const PeerDirectory::Peer &peer : m_peers.peers()) {
                     // One connection between two routers, opened by the lesser name: two would fight over one identity.
                     if (m_identity.incarnation < peer.incarnation) {
@@ -331,7 +331,7 @@
 std::vector<std::string> Router::helpers()
 {
     const std::lock_guard lock(m_peersMutex);
-    return m_peers.helpers(steadyNow());
+    return m_peers.recentPeers(steadyNow());
 }
 
 asio::awaitable<void> Router::watchForDeadRouters()
--- a/src/measure/capacity.cpp
+++ b/src/measure/capacity.cpp
@@ -275,10 +275,10 @@
         }
         const double before = heapBytes();
         auto directory = std::make_unique<PeerDirectory>(PeerDirectory::Options{.self = "node/router-0123456789abcdef-0"});
-        directory->rowsRead(rows, s_now);
+        directory->updateRows(rows, s_now);
         bytes.push_back({static_cast<double>(routers), heapBytes() - before});
         looking.push_back({static_cast<double>(routers), microseconds([&] {
-                               directory->rowsRead(rows, s_now);
+                               directory->updateRows(rows, s_now);
                                (void)directory->suspects(s_now);
                            })});
         double size = 0;
--- a/src/membership/peerdirectory.cpp
+++ b/src/membership/peerdirectory.cpp
@@ -16,16 +16,16 @@
     return textField(entry.row.fields, "state");
 }
 
-void PeerDirectory::rowsRead(std::span<const TableRow> rows, Instant now)
+void PeerDirectory::updateRows(std::span<const TableRow> rows, Instant now)
 {
     std::map<std::string, Entry, std::less<>> entries;
     for (const TableRow &row : rows) {
         const std::string incarnation = row.key.substr(s_nodePrefix.size());
         const auto known = m_entries.find(incarnation);
-        Entry entry{.row = row, .rowMovedAt = now};
+        Entry entry{.row = row, .rowChangedAt = now};
         if (known != m_entries.end()) {
-            entry.heardAt = known->second.heardAt;
-            entry.rowMovedAt = known->second.row.version == row.version ? known->second.rowMovedAt : now;
+            entry.lastMessageAt = known->second.lastMessageAt;
+            entry.rowChangedAt = known->second.row.version == row.version ? known->second.rowChangedAt : now;
         }
         if (state(entry) != "closed") {
             entries.emplace(incarnation, std::move(entry));
@@ -34,10 +34,10 @@
     m_entries = std::move(entries);
 }
 
-void PeerDirectory::heard(std::string_view peer, Instant now)
+void PeerDirectory::recordMessage(std::string_view peer, Instant now)
 {
     if (const auto found = m_entries.find(peer); found != m_entries.end()) {
-        found->second.heardAt = now;
+        found->second.lastMessageAt = now;
     }
 }
 
@@ -52,38 +52,38 @@
     return peers;
 }
 
-std::size_t PeerDirectory::routers() const
+std::size_t PeerDirectory::liveRouterCount() const
 {
     return peers().size() + 1;
 }
 
-std::vector<std::string> PeerDirectory::helpers(Instant now) const
+std::vector<std::string> PeerDirectory::recentPeers(Instant now) const
 {
-    std::vector<std::string> helpers;
+    std::vector<std::string> recentPeers;
     for (const auto &[incarnation, entry] : m_entries) {
-        if (incarnation != m_options.self && entry.heardAt && now - *entry.heardAt <= m_options.helpWindow) {
-            helpers.push_back(incarnation);
+        if (incarnation != m_options.self && entry.lastMessageAt && now - *entry.lastMessageAt <= m_options.recentPeerWindow) {
+            recentPeers.push_back(incarnation);
         }
     }
-    return helpers;
+    return recentPeers;
 }
 
-Duration PeerDirectory::patience() const
+Duration PeerDirectory::suspicionDelay() const
 {
     const auto before = std::count_if(m_entries.begin(), m_entries.end(), [this](const auto &entry) {
         return entry.first < m_options.self && state(entry.second) == "live";
     });
-    return m_options.silence + m_options.stagger * before;
+    return m_options.suspicionTimeout + m_options.suspicionStagger * before;
 }
 
 std::vector<TableRow> PeerDirectory::suspects(Instant now) const
 {
     std::vector<TableRow> suspects;
-    const Duration limit = patience();
+    const Duration limit = suspicionDelay();
     for (const auto &[incarnation, entry] : m_entries) {
-        const bool rowStill = now - entry.rowMovedAt >= limit;
-        const bool silent = !entry.heardAt || now - *entry.heardAt >= limit;
-        if (incarnation != m_options.self && rowStill && silent) {
+        const bool rowUnchanged = now - entry.rowChangedAt >= limit;
+        const bool silent = !entry.lastMessageAt || now - *entry.lastMessageAt >= limit;
+        if (incarnation != m_options.self && rowUnchanged && silent) {
             suspects.push_back(entry.row);
         }
     }
--- a/src/membership/peerdirectory.h
+++ b/src/membership/peerdirectory.h
@@ -23,11 +23,11 @@
     struct Options {
         std::string self;
         /// Silence after which an incarnation is suspected.
-        Duration silence = std::chrono::seconds(15);
+        Duration suspicionTimeout = std::chrono::seconds(15);
         /// Extra time for each place in the order of live routers, so that they do not all set to work on one death.
-        Duration stagger = std::chrono::seconds(1);
+        Duration suspicionStagger = std::chrono::seconds(1);
         /// A peer heard of within this time can be asked for help.
-        Duration helpWindow = std::chrono::seconds(3);
+        Duration recentPeerWindow = std::chrono::seconds(3);
     };
 
     /// A peer and where its link listens.
@@ -39,19 +39,19 @@
     explicit PeerDirectory(Options options);
 
     /// The rows of all incarnations, as just read.
-    void rowsRead(std::span<const TableRow> rows, Instant now);
+    void updateRows(std::span<const TableRow> rows, Instant now);
 
     /// A message of the peer arrived.
-    void heard(std::string_view peer, Instant now);
+    void recordMessage(std::string_view peer, Instant now);
 
     /// Live incarnations other than this router.
     std::vector<Peer> peers() const;
 
     /// Live incarnations, this one included.
-    std::size_t routers() const;
+    std::size_t liveRouterCount() const;
 
     /// Peers heard of a moment ago.
-    std::vector<std::string> helpers(Instant now) const;
+    std::vector<std::string> recentPeers(Instant now) const;
 
     /// Incarnations that seem dead, with their rows.
     std::vector<TableRow> suspects(Instant now) const;
@@ -59,11 +59,11 @@
 private:
     struct Entry {
         TableRow row;
-        Instant rowMovedAt;
-        std::optional<Instant> heardAt;
+        Instant rowChangedAt;
+        std::optional<Instant> lastMessageAt;
     };
 
-    Duration patience() const;
+    Duration suspicionDelay() const;
     static std::string state(const Entry &entry);
 
     Options m_options;
--- a/src/tests/peerdirectorytest.cpp
+++ b/src/tests/peerdirectorytest.cpp
@@ -24,10 +24,10 @@
 // its peers is silent but writes its row. Only who does neither is suspected.
 BOOST_AUTO_TEST_CASE(suspectsOnlyWhoIsSilentOnBothWays)
 {
-    PeerDirectory directory({.self = "me", .silence = std::chrono::seconds(10)});
-    directory.rowsRead(std::vector{row("me", 1), row("cut-from-table", 2), row("cut-from-peers", 3), row("zz-dead", 4)}, at(0));
-    directory.heard("cut-from-table", at(12));
-    directory.rowsRead(std::vector{row("me", 1), row("cut-from-table", 2), row("cut-from-peers", 9), row("zz-dead", 4)}, at(12));
+    PeerDirectory directory({.self = "me", .suspicionTimeout = std::chrono::seconds(10)});
+    directory.updateRows(std::vector{row("me", 1), row("cut-from-table", 2), row("cut-from-peers", 3), row("zz-dead", 4)}, at(0));
+    directory.recordMessage("cut-from-table", at(12));
+    directory.updateRows(std::vector{row("me", 1), row("cut-from-table", 2), row("cut-from-peers", 9), row("zz-dead", 4)}, at(12));
     const auto suspects = directory.suspects(at(16));
     BOOST_REQUIRE(suspects.size() == 1);
     BOOST_TEST(suspects[0].key == "node/zz-dead");
@@ -36,13 +36,13 @@
 BOOST_AUTO_TEST_CASE(countsPeersAndHelpers)
 {
     PeerDirectory directory({.self = "me"});
-    directory.rowsRead(std::vector{row("me", 1), row("a", 2), row("b", 3, "sealing"), row("c", 4, "closed")}, at(0));
-    BOOST_TEST(directory.routers() == 2);
+    directory.updateRows(std::vector{row("me", 1), row("a", 2), row("b", 3, "sealing"), row("c", 4, "closed")}, at(0));
+    BOOST_TEST(directory.liveRouterCount() == 2);
     BOOST_TEST(directory.peers().size() == 1);
-    BOOST_TEST(directory.helpers(at(1)).empty());
-    directory.heard("a", at(1));
-    BOOST_TEST(directory.helpers(at(2)).size() == 1);
-    BOOST_TEST(directory.helpers(at(9)).empty());
+    BOOST_TEST(directory.recentPeers(at(1)).empty());
+    directory.recordMessage("a", at(1));
+    BOOST_TEST(directory.recentPeers(at(2)).size() == 1);
+    BOOST_TEST(directory.recentPeers(at(9)).empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
