--- a/src/gateway/peerexchange.h
+++ b/src/gateway/peerexchange.h
@@ -6,7 +6,7 @@
 #include "gateway/gateway.h"
 #include "membership/evacuationnotice.h"
 #include "membership/peerlink.h"
-#include "membership/planseeker.h"
+#include "membership/planfetchscheduler.h"
 #include "membership/plansource.h"
 #include "membership/relayedstore.h"
 #include "net/patience.h"
@@ -69,7 +69,7 @@
         , m_gateway(gateway)
         , m_evacuations(evacuations)
         , m_acceptDocument(std::move(acceptDocument))
-        , m_seeker({.self = link.self()})
+        , m_fetchScheduler({.self = link.self()})
         , m_pieceTimeout(m_options.pieceTimeout)
     {
         m_link.serve(
@@ -293,11 +293,11 @@
 
     void answerPlanRequest(const wire::PlanRequest &request, wire::PeerAnswer &answer)
     {
-        const PlanSeeker::Ask ask{.peer = request.asker(),
-                                  .newerThan = request.newer_than(),
-                                  .version = request.version(),
-                                  .offset = request.offset(),
-                                  .mostBytes = request.most_bytes()};
+        const PlanFetchScheduler::Ask ask{.peer = request.asker(),
+                                          .newerThan = request.newer_than(),
+                                          .version = request.version(),
+                                          .offset = request.offset(),
+                                          .mostBytes = request.most_bytes()};
         std::optional<PlanPiece> piece = m_source.piece(ask, steadyNow());
         answer.set_done(piece.has_value());
         if (!piece) {
@@ -323,24 +323,24 @@
     /// Notes that a peer has a newer configuration. The store usually delivers it within moments; otherwise it is requested from the peer.
     void notePeerPlan(const std::string &peer, std::uint64_t version)
     {
-        m_seeker.heard(peer, version, steadyNow());
-        if (!m_seekerRunning) {
-            m_seekerRunning = true;
+        m_fetchScheduler.heard(peer, version, steadyNow());
+        if (!m_fetchRunning) {
+            m_fetchRunning = true;
             asio::co_spawn(m_link.executor(), fetchNewerPlans(), asio::detached);
         }
     }
 
-    /// Requests the pieces that the seeker selects, until no newer configuration is known.
+    /// Requests the pieces that the scheduler selects, until no newer configuration is known.
     asio::awaitable<void> fetchNewerPlans()
     {
         while (true) {
-            updateSeeker();
-            const std::optional<Instant> due = m_seeker.due();
+            updateFetchScheduler();
+            const std::optional<Instant> due = m_fetchScheduler.due();
             if (!due) {
                 break;
             }
             const Instant now = steadyNow();
-            const std::optional<PlanSeeker::Ask> ask = m_seeker.next(now);
+            const std::optional<PlanFetchScheduler::Ask> ask = m_fetchScheduler.next(now);
             if (ask) {
                 co_await requestPlanPiece(*ask);
             } else {
@@ -348,18 +348,18 @@
                 co_await pause(std::clamp(Duration(*due - now), s_minSeekInterval, s_maxSeekInterval));
             }
         }
-        m_seekerRunning = false;
+        m_fetchRunning = false;
     }
 
-    void updateSeeker()
+    void updateFetchScheduler()
     {
-        m_seeker.setStoreReachable(m_store.directReachable());
+        m_fetchScheduler.setStoreReachable(m_store.directReachable());
         if (m_gateway.plan()) {
-            m_seeker.inForce(m_gateway.plan()->version(), m_source.documentBytes());
+            m_fetchScheduler.inForce(m_gateway.plan()->version(), m_source.documentBytes());
         }
     }
 
-    asio::awaitable<void> requestPlanPiece(PlanSeeker::Ask ask)
+    asio::awaitable<void> requestPlanPiece(PlanFetchScheduler::Ask ask)
     {
         wire::PeerCall call;
         wire::PlanRequest &request = *call.mutable_plan();
@@ -379,7 +379,7 @@
         }
         if (!answer.ok() || !answer->done()) {
             // A peer without a configuration is not logged: all routers may have started together.
-            m_seeker.failed(ask.peer, now);
+            m_fetchScheduler.failed(ask.peer, now);
             co_return;
         }
         m_pieceTimeout.answered(now - startedAt);
@@ -387,12 +387,12 @@
         if (document.has_evacuations()) {
             m_evacuations.applyPeerState(fromWire(document.evacuations()), now);
         }
-        const std::optional<std::string> whole = m_seeker.answered(ask.peer,
-                                                                   {.version = document.version(),
-                                                                    .bytes = document.document(),
-                                                                    .offset = document.offset(),
-                                                                    .totalBytes = document.total_bytes()},
-                                                                   now);
+        const std::optional<std::string> whole = m_fetchScheduler.answered(ask.peer,
+                                                                           {.version = document.version(),
+                                                                            .bytes = document.document(),
+                                                                            .offset = document.offset(),
+                                                                            .totalBytes = document.total_bytes()},
+                                                                           now);
         if (whole) {
             m_acceptDocument(*whole);
         }
@@ -412,10 +412,10 @@
     Options m_options;
     /// Peers that did not answer a loan request, and until when they are not asked again.
     std::map<std::string, Instant> m_backoffUntil;
-    PlanSeeker m_seeker;
+    PlanFetchScheduler m_fetchScheduler;
     PlanSource m_source;
     Patience m_pieceTimeout;
-    bool m_seekerRunning = false;
+    bool m_fetchRunning = false;
 };
 
 }
--- a/src/membership/planseeker.cpp
+++ b/src/membership/planfetchscheduler.cpp
@@ -1,4 +1,4 @@
-#include "membership/planseeker.h"
+#include "membership/planfetchscheduler.h"
 
 #include "routing/stablehash.h"
 
@@ -8,12 +8,12 @@
 
 namespace bamboohold {
 
-PlanSeeker::PlanSeeker(Options options)
+PlanFetchScheduler::PlanFetchScheduler(Options options)
     : m_options(std::move(options))
 {
 }
 
-void PlanSeeker::heard(const std::string &peer, std::uint64_t version, Instant now)
+void PlanFetchScheduler::heard(const std::string &peer, std::uint64_t version, Instant now)
 {
     Peer &known = m_peers[peer];
     known.version = std::max(known.version, version);
@@ -28,7 +28,7 @@
     }
 }
 
-void PlanSeeker::inForce(std::uint64_t version, std::size_t documentBytes)
+void PlanFetchScheduler::inForce(std::uint64_t version, std::size_t documentBytes)
 {
     m_inForce = std::max(m_inForce, version);
     m_documentBytes = documentBytes;
@@ -46,7 +46,7 @@
     });
 }
 
-Instant PlanSeeker::storeHasUntil() const
+Instant PlanFetchScheduler::storeHasUntil() const
 {
     if (!m_storeReachable) {
         return m_first->since + m_options.storeTime;
@@ -56,7 +56,7 @@
     return m_first->since + std::min(wanted, m_options.longestStoreTime);
 }
 
-std::optional<Instant> PlanSeeker::due() const
+std::optional<Instant> PlanFetchScheduler::due() const
 {
     std::optional<Instant> rested;
     for (const auto &[address, peer] : m_peers) {
@@ -70,7 +70,7 @@
     return std::max(storeHasUntil(), *rested);
 }
 
-std::optional<PlanSeeker::Ask> PlanSeeker::next(Instant now) const
+std::optional<PlanFetchScheduler::Ask> PlanFetchScheduler::next(Instant now) const
 {
     if (!m_first || now < storeHasUntil()) {
         return std::nullopt;
@@ -99,7 +99,7 @@
                .mostBytes = m_options.pieceBytes};
 }
 
-std::optional<std::string> PlanSeeker::answered(const std::string &peer, PlanPiece piece, Instant now)
+std::optional<std::string> PlanFetchScheduler::answered(const std::string &peer, PlanPiece piece, Instant now)
 {
     heard(peer, piece.version, now);
     const bool goesOn = piece.version == m_begun.version && piece.offset == m_begun.bytes.size();
@@ -120,7 +120,7 @@
     return std::exchange(m_begun, {}).bytes;
 }
 
-void PlanSeeker::failed(const std::string &peer, Instant now)
+void PlanFetchScheduler::failed(const std::string &peer, Instant now)
 {
     m_peers[peer].restsUntil = now + m_options.peerRest;
 }
--- a/src/membership/planseeker.h
+++ b/src/membership/planfetchscheduler.h
@@ -27,7 +27,7 @@
 /// one goes on where it stopped.
 ///
 /// Pure: events and `now` in.
-class PlanSeeker
+class PlanFetchScheduler
 {
 public:
     struct Options {
@@ -58,7 +58,7 @@
         std::uint32_t mostBytes = 0;
     };
 
-    explicit PlanSeeker(Options options);
+    explicit PlanFetchScheduler(Options options);
 
     /// A peer has this version in force.
     void heard(const std::string &peer, std::uint64_t version, Instant now);
--- a/src/membership/plansource.cpp
+++ b/src/membership/plansource.cpp
@@ -9,7 +9,7 @@
     m_newest = std::make_shared<const Document>(Document{.version = version, .text = std::move(document)});
 }
 
-std::optional<PlanPiece> PlanSource::piece(const PlanSeeker::Ask &ask, Instant now)
+std::optional<PlanPiece> PlanSource::piece(const PlanFetchScheduler::Ask &ask, Instant now)
 {
     std::erase_if(m_sending, [this, now](const auto &entry) {
         return now - entry.second.lastAsked > m_options.keepFor;
--- a/src/tests/planseekertest.cpp
+++ b/src/tests/planseekertest.cpp
@@ -1,4 +1,4 @@
-#include "membership/planseeker.h"
+#include "membership/planfetchscheduler.h"
 
 #include "membership/plansource.h"
 
@@ -17,9 +17,9 @@
     return Instant(std::chrono::milliseconds(ms));
 }
 
-PlanSeeker seeker()
+PlanFetchScheduler makeScheduler()
 {
-    return PlanSeeker({.self = "me"});
+    return PlanFetchScheduler({.self = "me"});
 }
 
 /// A document that tells its version, 100 KB long: four pieces.
@@ -37,13 +37,13 @@
 
 BOOST_AUTO_TEST_CASE(theStoreHasTimeByTheSizeOfTheDocument)
 {
-    PlanSeeker small = seeker();
+    PlanFetchScheduler small = makeScheduler();
     small.inForce(1, 1000);
     small.heard("peer", 2, at(0));
     BOOST_TEST(!small.next(at(249)));
     BOOST_TEST(small.next(at(260)).has_value());
 
-    PlanSeeker large = seeker();
+    PlanFetchScheduler large = makeScheduler();
     large.inForce(1, 450'000);
     large.heard("peer", 2, at(0));
     BOOST_TEST(!large.next(at(1200)));
@@ -54,37 +54,37 @@
 
 BOOST_AUTO_TEST_CASE(nothingIsAskedForThatTheStoreHasBrought)
 {
-    PlanSeeker one = seeker();
-    one.heard("peer", 2, at(0));
-    one.inForce(2, 100);
-    BOOST_TEST(!one.due());
-    BOOST_TEST(!one.next(at(1000)));
+    PlanFetchScheduler scheduler = makeScheduler();
+    scheduler.heard("peer", 2, at(0));
+    scheduler.inForce(2, 100);
+    BOOST_TEST(!scheduler.due());
+    BOOST_TEST(!scheduler.next(at(1000)));
 }
 
 // A peer dies while it sends a document. What has come of it stays, and another peer with the same version sends the rest.
 BOOST_AUTO_TEST_CASE(anotherPeerGoesOnWhereOneStopped)
 {
-    PlanSeeker one = seeker();
+    PlanFetchScheduler scheduler = makeScheduler();
     PlanSource source;
     source.set(2, document(2));
-    one.heard("a", 2, at(0));
-    one.heard("b", 2, at(0));
-    const auto first = one.next(at(300));
+    scheduler.heard("a", 2, at(0));
+    scheduler.heard("b", 2, at(0));
+    const auto first = scheduler.next(at(300));
     BOOST_REQUIRE(first);
-    BOOST_TEST(!one.answered(first->peer, *source.piece(*first, at(300)), at(310)));
-    const auto second = one.next(at(310));
+    BOOST_TEST(!scheduler.answered(first->peer, *source.piece(*first, at(300)), at(310)));
+    const auto second = scheduler.next(at(310));
     BOOST_REQUIRE(second);
     BOOST_TEST(second->peer == first->peer);
-    one.failed(second->peer, at(1200));
-    auto ask = one.next(at(1200));
+    scheduler.failed(second->peer, at(1200));
+    auto ask = scheduler.next(at(1200));
     BOOST_REQUIRE(ask);
     BOOST_TEST(ask->peer != first->peer);
     BOOST_TEST(ask->offset > 0U);
     std::optional<std::string> whole;
     while (!whole) {
         BOOST_REQUIRE(ask);
-        whole = one.answered(ask->peer, *source.piece(*ask, at(1200)), at(1200));
-        ask = one.next(at(1200));
+        whole = scheduler.answered(ask->peer, *source.piece(*ask, at(1200)), at(1200));
+        ask = scheduler.next(at(1200));
     }
     BOOST_TEST((*whole == document(2)));
 }
@@ -93,7 +93,7 @@
 // further behind than one crossing.
 BOOST_AUTO_TEST_CASE(aStreamOfChangesDoesNotStarveTheNewest)
 {
-    PlanSeeker one = seeker();
+    PlanFetchScheduler scheduler = makeScheduler();
     PlanSource source;
     std::uint64_t newest = 1;
     std::uint64_t inForce = 0;
@@ -102,9 +102,9 @@
         if (now % 100 == 0) {
             ++newest;
             source.set(newest, document(newest));
-            one.heard("peer", newest, at(now));
+            scheduler.heard("peer", newest, at(now));
         }
-        const auto ask = one.next(at(now));
+        const auto ask = scheduler.next(at(now));
         if (!ask) {
             continue;
         }
@@ -112,10 +112,10 @@
             {.peer = "me", .newerThan = ask->newerThan, .version = ask->version, .offset = ask->offset, .mostBytes = ask->mostBytes},
             at(now));
         BOOST_REQUIRE(piece);
-        const auto whole = one.answered("peer", *piece, at(now));
+        const auto whole = scheduler.answered("peer", *piece, at(now));
         if (whole) {
             inForce = std::stoull(*whole);
-            one.inForce(inForce, whole->size());
+            scheduler.inForce(inForce, whole->size());
         }
         if (now > 2000) {
             worstLag = std::max(worstLag, static_cast<int>(newest - inForce));
@@ -129,7 +129,7 @@
 BOOST_AUTO_TEST_CASE(onlyWholeDocumentsAreHandedOut)
 {
     const bool holds = rc::check("whole documents only", [] {
-        PlanSeeker one = seeker();
+        PlanFetchScheduler scheduler = makeScheduler();
         std::vector<PlanSource> sources(3);
         int now = 300;
         const int steps = *rc::gen::inRange(1, 60);
@@ -141,14 +141,14 @@
             if (kind == 0) {
                 const auto version = static_cast<std::uint64_t>(*rc::gen::inRange(1, 6));
                 sources[index].set(version, document(version));
-                one.heard(peer, version, at(now));
+                scheduler.heard(peer, version, at(now));
                 continue;
             }
             if (kind == 1) {
-                one.failed(peer, at(now));
+                scheduler.failed(peer, at(now));
                 continue;
             }
-            std::optional<PlanSeeker::Ask> ask = one.next(at(now));
+            std::optional<PlanFetchScheduler::Ask> ask = scheduler.next(at(now));
             if (!ask) {
                 continue;
             }
@@ -160,14 +160,14 @@
             ask->peer = "me";
             const std::optional<PlanPiece> piece = sources[static_cast<std::size_t>(asked.back() - '0')].piece(*ask, at(now));
             if (!piece) {
-                one.failed(asked, at(now));
+                scheduler.failed(asked, at(now));
                 continue;
             }
-            const std::optional<std::string> whole = one.answered(asked, *piece, at(now));
+            const std::optional<std::string> whole = scheduler.answered(asked, *piece, at(now));
             if (whole) {
                 const std::uint64_t version = std::stoull(*whole);
                 RC_ASSERT(*whole == document(version));
-                one.inForce(version, whole->size());
+                scheduler.inForce(version, whole->size());
             }
         }
     });
