--- a/src/gateway/peerexchange.h
+++ b/src/gateway/peerexchange.h
@@ -293,11 +293,11 @@
 
     void answerPlanRequest(const wire::PlanRequest &request, wire::PeerAnswer &answer)
     {
-        const PlanFetchScheduler::Ask ask{.peer = request.asker(),
-                                          .newerThan = request.newer_than(),
-                                          .version = request.version(),
-                                          .offset = request.offset(),
-                                          .mostBytes = request.most_bytes()};
+        const PlanFetchScheduler::PieceRequest ask{.peer = request.asker(),
+                                                   .newerThan = request.newer_than(),
+                                                   .version = request.version(),
+                                                   .offset = request.offset(),
+                                                   .maxBytes = request.most_bytes()};
         std::optional<PlanPiece> piece = m_source.piece(ask, steadyNow());
         answer.set_done(piece.has_value());
         if (!piece) {
@@ -323,7 +323,7 @@
     /// Notes that a peer has a newer configuration. The store usually delivers it within moments; otherwise it is requested from the peer.
     void notePeerPlan(const std::string &peer, std::uint64_t version)
     {
-        m_fetchScheduler.heard(peer, version, steadyNow());
+        m_fetchScheduler.recordPeerVersion(peer, version, steadyNow());
         if (!m_fetchRunning) {
             m_fetchRunning = true;
             asio::co_spawn(m_link.executor(), fetchNewerPlans(), asio::detached);
@@ -335,12 +335,12 @@
     {
         while (true) {
             updateFetchScheduler();
-            const std::optional<Instant> due = m_fetchScheduler.due();
+            const std::optional<Instant> due = m_fetchScheduler.nextRequestDue();
             if (!due) {
                 break;
             }
             const Instant now = steadyNow();
-            const std::optional<PlanFetchScheduler::Ask> ask = m_fetchScheduler.next(now);
+            const std::optional<PlanFetchScheduler::PieceRequest> ask = m_fetchScheduler.nextPieceRequest(now);
             if (ask) {
                 co_await requestPlanPiece(*ask);
             } else {
@@ -355,18 +355,18 @@
     {
         m_fetchScheduler.setStoreReachable(m_store.directReachable());
         if (m_gateway.plan()) {
-            m_fetchScheduler.inForce(m_gateway.plan()->version(), m_source.documentBytes());
+            m_fetchScheduler.setVersionInForce(m_gateway.plan()->version(), m_source.documentBytes());
         }
     }
 
-    asio::awaitable<void> requestPlanPiece(PlanFetchScheduler::Ask ask)
+    asio::awaitable<void> requestPlanPiece(PlanFetchScheduler::PieceRequest ask)
     {
         wire::PeerCall call;
         wire::PlanRequest &request = *call.mutable_plan();
         request.set_newer_than(ask.newerThan);
         request.set_version(ask.version);
         request.set_offset(ask.offset);
-        request.set_most_bytes(ask.mostBytes);
+        request.set_most_bytes(ask.maxBytes);
         request.set_asker(m_link.self());
         const Instant startedAt = steadyNow();
         const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(ask.peer, std::move(call), m_pieceTimeout.current());
@@ -379,7 +379,7 @@
         }
         if (!answer.ok() || !answer->done()) {
             // A peer without a configuration is not logged: all routers may have started together.
-            m_fetchScheduler.failed(ask.peer, now);
+            m_fetchScheduler.recordRequestFailure(ask.peer, now);
             co_return;
         }
         m_pieceTimeout.answered(now - startedAt);
@@ -387,12 +387,12 @@
         if (document.has_evacuations()) {
             m_evacuations.applyPeerState(fromWire(document.evacuations()), now);
         }
-        const std::optional<std::string> whole = m_fetchScheduler.answered(ask.peer,
-                                                                           {.version = document.version(),
-                                                                            .bytes = document.document(),
-                                                                            .offset = document.offset(),
-                                                                            .totalBytes = document.total_bytes()},
-                                                                           now);
+        const std::optional<std::string> whole = m_fetchScheduler.recordPiece(ask.peer,
+                                                                              {.version = document.version(),
+                                                                               .bytes = document.document(),
+                                                                               .offset = document.offset(),
+                                                                               .totalBytes = document.total_bytes()},
+                                                                              now);
         if (whole) {
             m_acceptDocument(*whole);
         }
--- a/src/membership/planfetchscheduler.cpp
+++ b/src/membership/planfetchscheduler.cpp
@@ -13,116 +13,116 @@
 {
 }
 
-void PlanFetchScheduler::heard(const std::string &peer, std::uint64_t version, Instant now)
+void PlanFetchScheduler::recordPeerVersion(const std::string &peer, std::uint64_t version, Instant now)
 {
     Peer &known = m_peers[peer];
     known.version = std::max(known.version, version);
-    if (version <= m_inForce) {
+    if (version <= m_versionInForce) {
         return;
     }
-    if (!m_first) {
-        m_first = Wanted{.version = version, .since = now};
+    if (!m_firstNewer) {
+        m_firstNewer = KnownVersion{.version = version, .since = now};
     }
-    if (!m_newest || version > m_newest->version) {
-        m_newest = Wanted{.version = version, .since = now};
+    if (!m_newestKnown || version > m_newestKnown->version) {
+        m_newestKnown = KnownVersion{.version = version, .since = now};
     }
 }
 
-void PlanFetchScheduler::inForce(std::uint64_t version, std::size_t documentBytes)
+void PlanFetchScheduler::setVersionInForce(std::uint64_t version, std::size_t documentBytes)
 {
-    m_inForce = std::max(m_inForce, version);
+    m_versionInForce = std::max(m_versionInForce, version);
     m_documentBytes = documentBytes;
-    if (m_begun.version <= m_inForce) {
-        m_begun = {};
+    if (m_partialDocument.version <= m_versionInForce) {
+        m_partialDocument = {};
     }
-    if (m_newest && m_newest->version <= m_inForce) {
-        m_newest.reset();
+    if (m_newestKnown && m_newestKnown->version <= m_versionInForce) {
+        m_newestKnown.reset();
     }
-    if (m_first && m_first->version <= m_inForce) {
-        m_first = m_newest;
+    if (m_firstNewer && m_firstNewer->version <= m_versionInForce) {
+        m_firstNewer = m_newestKnown;
     }
     std::erase_if(m_peers, [this](const auto &entry) {
-        return !helps(entry.second);
+        return !hasNewerVersion(entry.second);
     });
 }
 
-Instant PlanFetchScheduler::storeHasUntil() const
+Instant PlanFetchScheduler::storeWaitEnd() const
 {
     if (!m_storeReachable) {
-        return m_first->since + m_options.storeTime;
+        return m_firstNewer->since + m_options.baseStoreWait;
     }
-    const std::chrono::duration<double> transfer(static_cast<double>(m_documentBytes) / m_options.storeSpeed);
-    const Duration wanted = m_options.storeTime + std::chrono::duration_cast<Duration>(transfer);
-    return m_first->since + std::min(wanted, m_options.longestStoreTime);
+    const std::chrono::duration<double> transfer(static_cast<double>(m_documentBytes) / m_options.storeBytesPerSecond);
+    const Duration storeWait = m_options.baseStoreWait + std::chrono::duration_cast<Duration>(transfer);
+    return m_firstNewer->since + std::min(storeWait, m_options.maxStoreWait);
 }
 
-std::optional<Instant> PlanFetchScheduler::due() const
+std::optional<Instant> PlanFetchScheduler::nextRequestDue() const
 {
-    std::optional<Instant> rested;
+    std::optional<Instant> earliestBackoffEnd;
     for (const auto &[address, peer] : m_peers) {
-        if (helps(peer) && (!rested || peer.restsUntil < *rested)) {
-            rested = peer.restsUntil;
+        if (hasNewerVersion(peer) && (!earliestBackoffEnd || peer.backoffUntil < *earliestBackoffEnd)) {
+            earliestBackoffEnd = peer.backoffUntil;
         }
     }
-    if (!m_first || !rested) {
+    if (!m_firstNewer || !earliestBackoffEnd) {
         return std::nullopt;
     }
-    return std::max(storeHasUntil(), *rested);
+    return std::max(storeWaitEnd(), *earliestBackoffEnd);
 }
 
-std::optional<PlanFetchScheduler::Ask> PlanFetchScheduler::next(Instant now) const
+std::optional<PlanFetchScheduler::PieceRequest> PlanFetchScheduler::nextPieceRequest(Instant now) const
 {
-    if (!m_first || now < storeHasUntil()) {
+    if (!m_firstNewer || now < storeWaitEnd()) {
         return std::nullopt;
     }
     // Whoever can go on with a document that was begun comes first: nothing is sent twice.
     const auto rank = [this](const auto &entry) {
-        const bool begunThere = m_begun.version != 0 && entry.first == m_begunFrom;
-        const bool hasBegun = m_begun.version != 0 && entry.second.version == m_begun.version;
+        const bool isPartialSource = m_partialDocument.version != 0 && entry.first == m_partialDocumentSource;
+        const bool hasPartialVersion = m_partialDocument.version != 0 && entry.second.version == m_partialDocument.version;
         const std::uint64_t order = mixed(stableHash(m_options.self) ^ stableHash(entry.first));
-        return std::tuple(begunThere, hasBegun, entry.second.version, order);
+        return std::tuple(isPartialSource, hasPartialVersion, entry.second.version, order);
     };
     const auto *best = static_cast<const std::pair<const std::string, Peer> *>(nullptr);
     for (const auto &entry : m_peers) {
-        const bool asked = helps(entry.second) && now >= entry.second.restsUntil;
-        if (asked && (best == nullptr || rank(entry) > rank(*best))) {
+        const bool eligible = hasNewerVersion(entry.second) && now >= entry.second.backoffUntil;
+        if (eligible && (best == nullptr || rank(entry) > rank(*best))) {
             best = &entry;
         }
     }
     if (best == nullptr) {
         return std::nullopt;
     }
-    return Ask{.peer = best->first,
-               .newerThan = m_inForce,
-               .version = m_begun.version,
-               .offset = m_begun.bytes.size(),
-               .mostBytes = m_options.pieceBytes};
+    return PieceRequest{.peer = best->first,
+                        .newerThan = m_versionInForce,
+                        .version = m_partialDocument.version,
+                        .offset = m_partialDocument.bytes.size(),
+                        .maxBytes = m_options.pieceBytes};
 }
 
-std::optional<std::string> PlanFetchScheduler::answered(const std::string &peer, PlanPiece piece, Instant now)
+std::optional<std::string> PlanFetchScheduler::recordPiece(const std::string &peer, PlanPiece piece, Instant now)
 {
-    heard(peer, piece.version, now);
-    const bool goesOn = piece.version == m_begun.version && piece.offset == m_begun.bytes.size();
-    const bool useful = piece.version > m_inForce && !piece.bytes.empty() && (goesOn || piece.offset == 0);
+    recordPeerVersion(peer, piece.version, now);
+    const bool continuesPartial = piece.version == m_partialDocument.version && piece.offset == m_partialDocument.bytes.size();
+    const bool useful = piece.version > m_versionInForce && !piece.bytes.empty() && (continuesPartial || piece.offset == 0);
     if (!useful) {
-        failed(peer, now);
+        recordRequestFailure(peer, now);
         return std::nullopt;
     }
-    if (goesOn) {
-        m_begun.bytes += piece.bytes;
+    if (continuesPartial) {
+        m_partialDocument.bytes += piece.bytes;
     } else {
-        m_begun = std::move(piece);
+        m_partialDocument = std::move(piece);
     }
-    m_begunFrom = peer;
-    if (m_begun.totalBytes > m_begun.bytes.size()) {
+    m_partialDocumentSource = peer;
+    if (m_partialDocument.totalBytes > m_partialDocument.bytes.size()) {
         return std::nullopt;
     }
-    return std::exchange(m_begun, {}).bytes;
+    return std::exchange(m_partialDocument, {}).bytes;
 }
 
-void PlanFetchScheduler::failed(const std::string &peer, Instant now)
+void PlanFetchScheduler::recordRequestFailure(const std::string &peer, Instant now)
 {
-    m_peers[peer].restsUntil = now + m_options.peerRest;
+    m_peers[peer].backoffUntil = now + m_options.failedPeerBackoff;
 }
 
 }
--- a/src/membership/plansource.cpp
+++ b/src/membership/plansource.cpp
@@ -9,26 +9,26 @@
     m_newest = std::make_shared<const Document>(Document{.version = version, .text = std::move(document)});
 }
 
-std::optional<PlanPiece> PlanSource::piece(const PlanFetchScheduler::Ask &ask, Instant now)
+std::optional<PlanPiece> PlanSource::piece(const PlanFetchScheduler::PieceRequest &request, Instant now)
 {
     std::erase_if(m_sending, [this, now](const auto &entry) {
         return now - entry.second.lastAsked > m_options.keepFor;
     });
-    const auto begun = m_sending.find(ask.peer);
-    const bool goesOn = begun != m_sending.end() && begun->second.document->version == ask.version;
+    const auto begun = m_sending.find(request.peer);
+    const bool goesOn = begun != m_sending.end() && begun->second.document->version == request.version;
     const std::shared_ptr<const Document> document = goesOn ? begun->second.document : m_newest;
-    if (!document || document->version <= ask.newerThan) {
+    if (!document || document->version <= request.newerThan) {
         return std::nullopt;
     }
-    const bool sameVersion = document->version == ask.version && ask.offset <= document->text.size();
-    const std::uint64_t offset = sameVersion ? ask.offset : 0;
-    const std::size_t most = ask.mostBytes == 0 ? std::string::npos : ask.mostBytes;
+    const bool sameVersion = document->version == request.version && request.offset <= document->text.size();
+    const std::uint64_t offset = sameVersion ? request.offset : 0;
+    const std::size_t most = request.maxBytes == 0 ? std::string::npos : request.maxBytes;
     PlanPiece piece{
         .version = document->version, .bytes = document->text.substr(offset, most), .offset = offset, .totalBytes = document->text.size()};
     if (offset + piece.bytes.size() < document->text.size()) {
-        m_sending[ask.peer] = {.document = document, .lastAsked = now};
+        m_sending[request.peer] = {.document = document, .lastAsked = now};
     } else {
-        m_sending.erase(ask.peer);
+        m_sending.erase(request.peer);
     }
     return piece;
 }
--- a/src/membership/plansource.h
+++ b/src/membership/plansource.h
@@ -46,7 +46,7 @@
 
     /// The piece that the peer asks for: of the document that it has begun, or else from the beginning of the newest. None when the peer
     /// has that version already. `mostBytes` 0 asks for the whole.
-    std::optional<PlanPiece> piece(const PlanFetchScheduler::Ask &ask, Instant now);
+    std::optional<PlanPiece> piece(const PlanFetchScheduler::PieceRequest &request, Instant now);
 
 private:
     struct Document {
--- a/src/tests/planseekertest.cpp
+++ b/src/tests/planseekertest.cpp
@@ -38,27 +38,27 @@
 BOOST_AUTO_TEST_CASE(theStoreHasTimeByTheSizeOfTheDocument)
 {
     PlanFetchScheduler small = makeScheduler();
-    small.inForce(1, 1000);
-    small.heard("peer", 2, at(0));
-    BOOST_TEST(!small.next(at(249)));
-    BOOST_TEST(small.next(at(260)).has_value());
+    small.setVersionInForce(1, 1000);
+    small.recordPeerVersion("peer", 2, at(0));
+    BOOST_TEST(!small.nextPieceRequest(at(249)));
+    BOOST_TEST(small.nextPieceRequest(at(260)).has_value());
 
     PlanFetchScheduler large = makeScheduler();
-    large.inForce(1, 450'000);
-    large.heard("peer", 2, at(0));
-    BOOST_TEST(!large.next(at(1200)));
-    BOOST_TEST(large.next(at(1260)).has_value());
+    large.setVersionInForce(1, 450'000);
+    large.recordPeerVersion("peer", 2, at(0));
+    BOOST_TEST(!large.nextPieceRequest(at(1200)));
+    BOOST_TEST(large.nextPieceRequest(at(1260)).has_value());
     large.setStoreReachable(false);
-    BOOST_TEST(large.next(at(260)).has_value());
+    BOOST_TEST(large.nextPieceRequest(at(260)).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(nothingIsAskedForThatTheStoreHasBrought)
 {
     PlanFetchScheduler scheduler = makeScheduler();
-    scheduler.heard("peer", 2, at(0));
-    scheduler.inForce(2, 100);
-    BOOST_TEST(!scheduler.due());
-    BOOST_TEST(!scheduler.next(at(1000)));
+    scheduler.recordPeerVersion("peer", 2, at(0));
+    scheduler.setVersionInForce(2, 100);
+    BOOST_TEST(!scheduler.nextRequestDue());
+    BOOST_TEST(!scheduler.nextPieceRequest(at(1000)));
 }
 
 // A peer dies while it sends a document. What has come of it stays, and another peer with the same version sends the rest.
@@ -67,24 +67,24 @@
     PlanFetchScheduler scheduler = makeScheduler();
     PlanSource source;
     source.set(2, document(2));
-    scheduler.heard("a", 2, at(0));
-    scheduler.heard("b", 2, at(0));
-    const auto first = scheduler.next(at(300));
+    scheduler.recordPeerVersion("a", 2, at(0));
+    scheduler.recordPeerVersion("b", 2, at(0));
+    const auto first = scheduler.nextPieceRequest(at(300));
     BOOST_REQUIRE(first);
-    BOOST_TEST(!scheduler.answered(first->peer, *source.piece(*first, at(300)), at(310)));
-    const auto second = scheduler.next(at(310));
+    BOOST_TEST(!scheduler.recordPiece(first->peer, *source.piece(*first, at(300)), at(310)));
+    const auto second = scheduler.nextPieceRequest(at(310));
     BOOST_REQUIRE(second);
     BOOST_TEST(second->peer == first->peer);
-    scheduler.failed(second->peer, at(1200));
-    auto ask = scheduler.next(at(1200));
-    BOOST_REQUIRE(ask);
-    BOOST_TEST(ask->peer != first->peer);
-    BOOST_TEST(ask->offset > 0U);
+    scheduler.recordRequestFailure(second->peer, at(1200));
+    auto request = scheduler.nextPieceRequest(at(1200));
+    BOOST_REQUIRE(request);
+    BOOST_TEST(request->peer != first->peer);
+    BOOST_TEST(request->offset > 0U);
     std::optional<std::string> whole;
     while (!whole) {
-        BOOST_REQUIRE(ask);
-        whole = scheduler.answered(ask->peer, *source.piece(*ask, at(1200)), at(1200));
-        ask = scheduler.next(at(1200));
+        BOOST_REQUIRE(request);
+        whole = scheduler.recordPiece(request->peer, *source.piece(*request, at(1200)), at(1200));
+        request = scheduler.nextPieceRequest(at(1200));
     }
     BOOST_TEST((*whole == document(2)));
 }
@@ -102,20 +102,23 @@
         if (now % 100 == 0) {
             ++newest;
             source.set(newest, document(newest));
-            scheduler.heard("peer", newest, at(now));
+            scheduler.recordPeerVersion("peer", newest, at(now));
         }
-        const auto ask = scheduler.next(at(now));
-        if (!ask) {
+        const auto request = scheduler.nextPieceRequest(at(now));
+        if (!request) {
             continue;
         }
-        const auto piece = source.piece(
-            {.peer = "me", .newerThan = ask->newerThan, .version = ask->version, .offset = ask->offset, .mostBytes = ask->mostBytes},
-            at(now));
+        const auto piece = source.piece({.peer = "me",
+                                         .newerThan = request->newerThan,
+                                         .version = request->version,
+                                         .offset = request->offset,
+                                         .maxBytes = request->maxBytes},
+                                        at(now));
         BOOST_REQUIRE(piece);
-        const auto whole = scheduler.answered("peer", *piece, at(now));
+        const auto whole = scheduler.recordPiece("peer", *piece, at(now));
         if (whole) {
             inForce = std::stoull(*whole);
-            scheduler.inForce(inForce, whole->size());
+            scheduler.setVersionInForce(inForce, whole->size());
         }
         if (now > 2000) {
             worstLag = std::max(worstLag, static_cast<int>(newest - inForce));
@@ -141,33 +144,33 @@
             if (kind == 0) {
                 const auto version = static_cast<std::uint64_t>(*rc::gen::inRange(1, 6));
                 sources[index].set(version, document(version));
-                scheduler.heard(peer, version, at(now));
+                scheduler.recordPeerVersion(peer, version, at(now));
                 continue;
             }
             if (kind == 1) {
-                scheduler.failed(peer, at(now));
+                scheduler.recordRequestFailure(peer, at(now));
                 continue;
             }
-            std::optional<PlanFetchScheduler::Ask> ask = scheduler.next(at(now));
-            if (!ask) {
+            std::optional<PlanFetchScheduler::PieceRequest> request = scheduler.nextPieceRequest(at(now));
+            if (!request) {
                 continue;
             }
             if (kind == 2) {
                 // An answer to an ask of long ago.
-                ask->offset = static_cast<std::uint64_t>(*rc::gen::inRange(0, 100'000));
+                request->offset = static_cast<std::uint64_t>(*rc::gen::inRange(0, 100'000));
             }
-            const std::string asked = ask->peer;
-            ask->peer = "me";
-            const std::optional<PlanPiece> piece = sources[static_cast<std::size_t>(asked.back() - '0')].piece(*ask, at(now));
+            const std::string askedPeer = request->peer;
+            request->peer = "me";
+            const std::optional<PlanPiece> piece = sources[static_cast<std::size_t>(askedPeer.back() - '0')].piece(*request, at(now));
             if (!piece) {
-                scheduler.failed(asked, at(now));
+                scheduler.recordRequestFailure(askedPeer, at(now));
                 continue;
             }
-            const std::optional<std::string> whole = scheduler.answered(asked, *piece, at(now));
+            const std::optional<std::string> whole = scheduler.recordPiece(askedPeer, *piece, at(now));
             if (whole) {
                 const std::uint64_t version = std::stoull(*whole);
                 RC_ASSERT(*whole == document(version));
-                scheduler.inForce(version, whole->size());
+                scheduler.setVersionInForce(version, whole->size());
             }
         }
     });
