--- a/src/membership/plansource.h
+++ b/src/membership/plansource.h
@@ -22,7 +22,7 @@
 public:
     struct Options {
         /// A peer that has asked for nothing for this long has got the document elsewhere, or is gone. Longer than a piece is waited for.
-        Duration keepFor = std::chrono::seconds(5);
+        Duration transferTimeout = std::chrono::seconds(5);
     };
 
     PlanSource()
@@ -54,15 +54,15 @@
         std::string text;
     };
 
-    struct Sending {
+    struct Transfer {
         std::shared_ptr<const Document> document;
-        Instant lastAsked{};
+        Instant lastRequestAt{};
     };
 
     Options m_options;
     std::shared_ptr<const Document> m_newest;
     /// By peer. Shared, because several peers may have begun the same one.
-    std::map<std::string, Sending> m_sending;
+    std::map<std::string, Transfer> m_transfers;
 };
 
 }
