--- a/src/gateway/evacuationfollower.cpp
+++ b/src/gateway/evacuationfollower.cpp
@@ -35,19 +35,19 @@
             domains.insert(*std::move(domain));
         }
     }
-    m_evacuations.readWhole(std::move(domains));
+    m_evacuations.replaceStoreDomains(std::move(domains));
 }
 
 void EvacuationFollower::applyChange(const StoredRow &row)
 {
     if (const std::optional<std::string> domain = readDomain(row)) {
-        m_evacuations.changed(*domain, row.version != 0);
+        m_evacuations.applyStoreChange(*domain, row.version != 0);
     }
 }
 
 void EvacuationFollower::commitStoreVersion(std::uint64_t version, Instant now)
 {
-    if (m_evacuations.storeAsOf(version)) {
+    if (m_evacuations.commitStoreVersion(version)) {
         activate("store", now);
         m_options.announce(*inForce());
     }
@@ -55,7 +55,7 @@
 
 void EvacuationFollower::applyPeerState(const Evacuations::State &state, Instant now)
 {
-    if (m_evacuations.heard(state)) {
+    if (m_evacuations.applyPeerState(state)) {
         activate("peer", now);
     }
 }
--- a/src/membership/evacuations.cpp
+++ b/src/membership/evacuations.cpp
@@ -4,31 +4,31 @@
 
 namespace bamboohold {
 
-void Evacuations::readWhole(std::set<std::string> domains)
+void Evacuations::replaceStoreDomains(std::set<std::string> domains)
 {
-    m_read = std::move(domains);
+    m_storeDomains = std::move(domains);
 }
 
-void Evacuations::changed(const std::string &domain, bool evacuated)
+void Evacuations::applyStoreChange(const std::string &domain, bool evacuated)
 {
     if (evacuated) {
-        m_read.insert(domain);
+        m_storeDomains.insert(domain);
     } else {
-        m_read.erase(domain);
+        m_storeDomains.erase(domain);
     }
 }
 
-bool Evacuations::storeAsOf(std::uint64_t version)
+bool Evacuations::commitStoreVersion(std::uint64_t version)
 {
-    return take({.version = version, .domains = m_read});
+    return adoptIfNewer({.version = version, .domains = m_storeDomains});
 }
 
-bool Evacuations::heard(const State &state)
+bool Evacuations::applyPeerState(const State &state)
 {
-    return take(state);
+    return adoptIfNewer(state);
 }
 
-bool Evacuations::take(const State &state)
+bool Evacuations::adoptIfNewer(const State &state)
 {
     if (m_inForce && state.version <= m_inForce->version) {
         return false;
--- a/src/membership/evacuations.h
+++ b/src/membership/evacuations.h
@@ -21,16 +21,16 @@
     };
 
     /// The table as of one moment; the domains that it has orders for.
-    void readWhole(std::set<std::string> domains);
+    void replaceStoreDomains(std::set<std::string> domains);
 
     /// One order was given or taken back, after the last state that was read.
-    void changed(const std::string &domain, bool evacuated);
+    void applyStoreChange(const std::string &domain, bool evacuated);
 
     /// All that was read or changed so far is the store's state as of this version. True when it changes what is in force here.
-    bool storeAsOf(std::uint64_t version);
+    bool commitStoreVersion(std::uint64_t version);
 
     /// A peer's state. True when it changes what is in force here.
-    bool heard(const State &state);
+    bool applyPeerState(const State &state);
 
     /// What is in force; none until the store or a peer has told.
     const std::optional<State> &inForce() const
@@ -39,10 +39,10 @@
     }
 
 private:
-    bool take(const State &state);
+    bool adoptIfNewer(const State &state);
 
     /// What the store's table has, as far as it was read.
-    std::set<std::string> m_read;
+    std::set<std::string> m_storeDomains;
     std::optional<State> m_inForce;
 };
 
--- a/src/tests/evacuationstest.cpp
+++ b/src/tests/evacuationstest.cpp
@@ -36,19 +36,19 @@
             rc::gen::pair(rc::gen::inRange(0, 3), rc::gen::inRange<std::size_t>(0, history.size())));
         for (const auto &[kind, drawn] : steps) {
             if (kind == 0) {
-                evacuations.heard({.version = drawn, .domains = history[drawn]});
+                evacuations.applyPeerState({.version = drawn, .domains = history[drawn]});
                 newest = std::max(newest, drawn);
             } else {
                 // The store's table is read whole, or followed, from where this router was.
                 read = std::max(read, drawn);
                 if (kind == 1) {
-                    evacuations.readWhole(history[read]);
+                    evacuations.replaceStoreDomains(history[read]);
                 } else {
                     for (const char *name : {"0", "1", "2"}) {
-                        evacuations.changed(name, history[read].contains(name));
+                        evacuations.applyStoreChange(name, history[read].contains(name));
                     }
                 }
-                evacuations.storeAsOf(read);
+                evacuations.commitStoreVersion(read);
                 newest = std::max(newest, read);
             }
             known = true;
