--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -183,7 +183,7 @@
 {
     {
         const std::lock_guard lock(m_peersMutex);
-        m_handover.seen(peer, report.incarnation(), steadyNow());
+        m_handover.recordIncarnation(peer, report.incarnation(), steadyNow());
     }
     const std::lock_guard lock(m_routingMutex);
     m_targets.reported(peer,
@@ -378,7 +378,7 @@
         const std::uint64_t nextFlush = m_budgets.nextFlush();
         {
             const std::lock_guard lock(m_peersMutex);
-            m_handover.advance(oldestBegin, nextFlush, m_budgets.appliedFlush());
+            m_handover.updateProgress(oldestBegin, nextFlush, m_budgets.appliedFlush());
             for (const auto &[target, address] : m_targetAddresses) {
                 envelope.mutable_heartbeat()->set_settled_before_incarnation(m_handover.settledBefore(target));
                 m_link->send(target, envelope);
--- a/src/daemon/router.h
+++ b/src/daemon/router.h
@@ -6,9 +6,9 @@
 #include "configuration/configuration.h"
 #include "daemon/settings.h"
 #include "link/linkhub.h"
-#include "membership/handover.h"
 #include "membership/peerdirectory.h"
 #include "membership/reclaimservice.h"
+#include "membership/settlementtracker.h"
 #include "membership/storerelay.h"
 #include "net/httpserver.h"
 #include "net/workerpool.h"
@@ -78,7 +78,7 @@
     ConfigurationPointer m_configuration;
     std::mutex m_peersMutex;
     PeerDirectory m_peers;
-    Handover m_handover;
+    SettlementTracker m_handover;
     std::map<std::string, std::string> m_targetAddresses;
     StoreRelay m_relay;
     ReclaimService m_reclaims;
--- a/src/membership/handover.h
+++ b/src/membership/settlementtracker.h
@@ -14,14 +14,14 @@
 ///
 /// Pure. Three steps for each new incarnation: it is seen; all requests that began before are over; a flush that began after that is
 /// applied.
-class Handover
+class SettlementTracker
 {
 public:
     /// A report of the target's sidecar came.
-    void seen(std::string_view target, std::string_view incarnation, Instant now);
+    void recordIncarnation(std::string_view target, std::string_view incarnation, Instant now);
 
     /// What the router knows now: when its oldest request in flight began, and its flush numbers.
-    void advance(std::optional<Instant> oldestBegin, std::uint64_t nextFlush, std::uint64_t appliedFlush);
+    void updateProgress(std::optional<Instant> oldestRequestStart, std::uint64_t nextFlush, std::uint64_t appliedFlush);
 
     /// The target's incarnation before which everything is settled; empty while that is not sure.
     std::string settledBefore(std::string_view target) const;
@@ -29,8 +29,8 @@
 private:
     struct Entry {
         std::string incarnation;
-        Instant seenAt;
-        std::optional<std::uint64_t> awaitedFlush;
+        Instant firstReportedAt;
+        std::optional<std::uint64_t> requiredFlush;
         bool settled = false;
     };
 
--- a/src/tests/handovertest.cpp
+++ b/src/tests/handovertest.cpp
@@ -1,4 +1,4 @@
-#include "membership/handover.h"
+#include "membership/settlementtracker.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,17 +13,17 @@
     const auto at = [](int seconds) {
         return Instant(std::chrono::seconds(seconds));
     };
-    Handover handover;
-    handover.seen("t", "t~2", at(10));
-    handover.advance(at(5), 7, 6);
-    BOOST_TEST(handover.settledBefore("t").empty());
-    handover.advance(at(11), 8, 7);
-    BOOST_TEST(handover.settledBefore("t").empty());
-    handover.advance(at(11), 9, 8);
-    BOOST_TEST(handover.settledBefore("t") == "t~2");
-    handover.seen("t", "t~3", at(20));
-    BOOST_TEST(handover.settledBefore("t").empty());
-    BOOST_TEST(handover.settledBefore("unknown").empty());
+    SettlementTracker tracker;
+    tracker.recordIncarnation("t", "t~2", at(10));
+    tracker.updateProgress(at(5), 7, 6);
+    BOOST_TEST(tracker.settledBefore("t").empty());
+    tracker.updateProgress(at(11), 8, 7);
+    BOOST_TEST(tracker.settledBefore("t").empty());
+    tracker.updateProgress(at(11), 9, 8);
+    BOOST_TEST(tracker.settledBefore("t") == "t~2");
+    tracker.recordIncarnation("t", "t~3", at(20));
+    BOOST_TEST(tracker.settledBefore("t").empty());
+    BOOST_TEST(tracker.settledBefore("unknown").empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
