--- a/src/gateway/peerexchange.h
+++ b/src/gateway/peerexchange.h
@@ -72,7 +72,7 @@
         , m_fetchScheduler({.self = link.self()})
         , m_pieceTimeout(m_options.pieceTimeout)
     {
-        m_link.serve(
+        m_link.setCallHandler(
             [this](wire::PeerCall call) {
                 return serve(std::move(call));
             },
@@ -80,7 +80,7 @@
                 notePeerPlan(peer, version);
             });
         connectCrashReports();
-        m_link.onEvacuations([this](const wire::EvacuationNotice &notice) {
+        m_link.setEvacuationHandler([this](const wire::EvacuationNotice &notice) {
             m_evacuations.applyPeerState(fromWire(notice), steadyNow());
         });
         m_ledger.setPeerFunctions(
@@ -173,7 +173,7 @@
             [this](const QuarantineChange &change) {
                 m_link.announceQuarantine(toWire(change));
             });
-        m_link.onCrashes(
+        m_link.setCrashHandlers(
             [&guard](const wire::CrashNotice &notice) {
                 guard.handleCrashReport(fromWire(notice));
             },
@@ -219,7 +219,7 @@
     {
         wire::PeerCall call;
         call.mutable_crashes();
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.peerTimeout);
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.sendCall(peer, std::move(call), m_options.peerTimeout);
         if (!answer.ok()) {
             logLine(Severity::Info, "quarantine.peer_silent", {{"peer", peer}, {"detail", toFailure(answer.status()).detail}});
             co_return false;
@@ -265,7 +265,7 @@
         wire::PeerCall call;
         call.mutable_loan()->set_team(loan->team);
         call.mutable_loan()->set_tokens(loan->asked);
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.maxLoanWait);
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.sendCall(peer, std::move(call), m_options.maxLoanWait);
         if (!answer.ok()) {
             // Tokens that the peer may have lent are lost to the team.
             logLine(Severity::Warning, "budget.loan_unanswered", {{"team", loan->team}, {"peer", peer}, {"asked", loan->asked}});
@@ -285,7 +285,7 @@
         wire::PeerCall call;
         call.mutable_gift()->set_team(team);
         call.mutable_gift()->set_tokens(tokens);
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.peerTimeout);
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.sendCall(peer, std::move(call), m_options.peerTimeout);
         if (!answer.ok()) {
             logLine(Severity::Warning, "budget.gift_unanswered", {{"team", team}, {"peer", peer}, {"tokens", tokens}});
         }
@@ -369,7 +369,7 @@
         request.set_most_bytes(ask.maxBytes);
         request.set_asker(m_link.self());
         const Instant startedAt = steadyNow();
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(ask.peer, std::move(call), m_pieceTimeout.current());
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.sendCall(ask.peer, std::move(call), m_pieceTimeout.current());
         const Instant now = steadyNow();
         if (!answer.ok()) {
             m_pieceTimeout.missed();
--- a/src/membership/peerlink.cpp
+++ b/src/membership/peerlink.cpp
@@ -12,35 +12,35 @@
 namespace {
 
 /// Messages queued for one peer: calls are answered within tenths of a second or not at all, so older ones are worth nothing.
-constexpr int s_queueLength = 1000;
+constexpr int s_maxQueuedMessages = 1000;
 
 }
 
 PeerLink::PeerLink(boost::asio::any_io_executor executor, Options options)
     : m_executor(std::move(executor))
     , m_options(std::move(options))
-    , m_hub({.identity = m_options.self, .endpoint = absl::StrCat("tcp://", m_options.self), .queueLength = s_queueLength},
+    , m_hub({.identity = m_options.self, .endpoint = absl::StrCat("tcp://", m_options.self), .queueLength = s_maxQueuedMessages},
             [this](std::string_view peer, wire::Envelope &message) {
-                boost::asio::post(m_executor, [this, from = std::string(peer), taken = message] {
-                    take(from, taken);
+                boost::asio::post(m_executor, [this, from = std::string(peer), received = message] {
+                    handleMessage(from, received);
                 });
             })
 {
 }
 
-void PeerLink::serve(Server server, NoticeHandler onPlanNotice)
+void PeerLink::setCallHandler(CallHandler callHandler, PlanNoticeHandler onPlanNotice)
 {
-    m_server = std::move(server);
+    m_callHandler = std::move(callHandler);
     m_onPlanNotice = std::move(onPlanNotice);
 }
 
-void PeerLink::onCrashes(CrashHandler onCrash, QuarantineHandler onQuarantine)
+void PeerLink::setCrashHandlers(CrashHandler onCrash, QuarantineHandler onQuarantine)
 {
     m_onCrash = std::move(onCrash);
     m_onQuarantine = std::move(onQuarantine);
 }
 
-void PeerLink::onEvacuations(EvacuationHandler onEvacuation)
+void PeerLink::setEvacuationHandler(EvacuationHandler onEvacuation)
 {
     m_onEvacuation = std::move(onEvacuation);
 }
@@ -64,17 +64,17 @@
 
 void PeerLink::setPeers(const std::vector<std::string> &peers)
 {
-    std::set<std::string> named(peers.begin(), peers.end());
-    named.erase(m_options.self);
+    std::set<std::string> newPeers(peers.begin(), peers.end());
+    newPeers.erase(m_options.self);
     for (const std::string &gone : m_peers) {
-        if (!named.contains(gone)) {
+        if (!newPeers.contains(gone)) {
             m_hub.disconnect(gone, absl::StrCat("tcp://", gone));
         }
     }
-    for (const std::string &peer : named) {
+    for (const std::string &peer : newPeers) {
         connect(peer);
     }
-    m_peers = std::move(named);
+    m_peers = std::move(newPeers);
 }
 
 std::vector<std::string> PeerLink::peers() const
@@ -82,18 +82,18 @@
     return {m_peers.begin(), m_peers.end()};
 }
 
-boost::asio::awaitable<absl::StatusOr<wire::PeerAnswer>> PeerLink::ask(std::string peer, wire::PeerCall call, Duration timeout)
+boost::asio::awaitable<absl::StatusOr<wire::PeerAnswer>> PeerLink::sendCall(std::string peer, wire::PeerCall call, Duration timeout)
 {
     const std::uint64_t id = ++m_lastCall;
     call.set_call_id(id);
     wire::Envelope envelope;
     *envelope.mutable_peer_call() = std::move(call);
-    const auto pending = std::make_shared<Pending>(m_executor);
-    m_pending[id] = pending;
+    const auto pending = std::make_shared<PendingCall>(m_executor);
+    m_pendingCalls[id] = pending;
     m_hub.send(peer, envelope);
-    pending->answered.expires_after(timeout);
-    co_await pending->answered.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
-    m_pending.erase(id);
+    pending->answerArrived.expires_after(timeout);
+    co_await pending->answerArrived.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
+    m_pendingCalls.erase(id);
     if (!pending->answer) {
         co_return failed(FailureKind::TargetLost, absl::StrCat("router ", peer, " did not answer"), Executed::Unknown);
     }
@@ -135,10 +135,10 @@
     }
 }
 
-void PeerLink::take(const std::string &peer, const wire::Envelope &message)
+void PeerLink::handleMessage(const std::string &peer, const wire::Envelope &message)
 {
     if (message.has_peer_call()) {
-        boost::asio::co_spawn(m_executor, answer(peer, message.peer_call()), boost::asio::detached);
+        boost::asio::co_spawn(m_executor, answerCall(peer, message.peer_call()), boost::asio::detached);
         return;
     }
     if (message.has_plan_notice()) {
@@ -157,21 +157,21 @@
         m_onEvacuation(message.evacuation_notice());
         return;
     }
-    const auto pending = m_pending.find(message.peer_answer().call_id());
+    const auto pending = m_pendingCalls.find(message.peer_answer().call_id());
     // An answer after its call's time is up has nobody to take it: a loan in it stays counted as spent by its lender.
-    if (message.has_peer_answer() && pending != m_pending.end()) {
+    if (message.has_peer_answer() && pending != m_pendingCalls.end()) {
         pending->second->answer = message.peer_answer();
-        pending->second->answered.cancel();
+        pending->second->answerArrived.cancel();
     }
 }
 
-boost::asio::awaitable<void> PeerLink::answer(std::string peer, wire::PeerCall call)
+boost::asio::awaitable<void> PeerLink::answerCall(std::string peer, wire::PeerCall call)
 {
     const std::uint64_t id = call.call_id();
-    wire::PeerAnswer given = co_await m_server(std::move(call));
-    given.set_call_id(id);
+    wire::PeerAnswer result = co_await m_callHandler(std::move(call));
+    result.set_call_id(id);
     wire::Envelope envelope;
-    *envelope.mutable_peer_answer() = std::move(given);
+    *envelope.mutable_peer_answer() = std::move(result);
     m_hub.send(peer, envelope);
 }
 
--- a/src/membership/peerlink.h
+++ b/src/membership/peerlink.h
@@ -33,8 +33,8 @@
         std::vector<std::string> seeds;
     };
 
-    using Server = std::function<boost::asio::awaitable<wire::PeerAnswer>(wire::PeerCall call)>;
-    using NoticeHandler = std::function<void(const std::string &peer, std::uint64_t planVersion)>;
+    using CallHandler = std::function<boost::asio::awaitable<wire::PeerAnswer>(wire::PeerCall call)>;
+    using PlanNoticeHandler = std::function<void(const std::string &peer, std::uint64_t planVersion)>;
     using CrashHandler = std::function<void(const wire::CrashNotice &notice)>;
     using EvacuationHandler = std::function<void(const wire::EvacuationNotice &notice)>;
     using QuarantineHandler = std::function<void(const std::string &peer, const wire::QuarantineNotice &notice)>;
@@ -42,13 +42,13 @@
     PeerLink(boost::asio::any_io_executor executor, Options options);
 
     /// Who answers peers' calls, and who hears of their configurations. Before open().
-    void serve(Server server, NoticeHandler onPlanNotice);
+    void setCallHandler(CallHandler callHandler, PlanNoticeHandler onPlanNotice);
 
     /// Who hears of targets that crashed, and of requests that are held back for it. Before open().
-    void onCrashes(CrashHandler onCrash, QuarantineHandler onQuarantine);
+    void setCrashHandlers(CrashHandler onCrash, QuarantineHandler onQuarantine);
 
     /// Who hears of evacuations. Before open().
-    void onEvacuations(EvacuationHandler onEvacuation);
+    void setEvacuationHandler(EvacuationHandler onEvacuation);
 
     /// Listens; a taken address is an InvalidSetting.
     absl::Status open();
@@ -57,7 +57,7 @@
     void setPeers(const std::vector<std::string> &peers);
 
     /// Asks a peer. Failures: TargetLost with Executed::Unknown when no answer came in time.
-    boost::asio::awaitable<absl::StatusOr<wire::PeerAnswer>> ask(std::string peer, wire::PeerCall call, Duration timeout);
+    boost::asio::awaitable<absl::StatusOr<wire::PeerAnswer>> sendCall(std::string peer, wire::PeerCall call, Duration timeout);
 
     /// Tells every peer which configuration is in force here.
     void announcePlan(std::uint64_t version);
@@ -87,30 +87,30 @@
     std::vector<std::string> peers() const;
 
 private:
-    struct Pending {
-        explicit Pending(const boost::asio::any_io_executor &executor)
-            : answered(executor)
+    struct PendingCall {
+        explicit PendingCall(const boost::asio::any_io_executor &executor)
+            : answerArrived(executor)
         {
         }
 
-        boost::asio::steady_timer answered;
+        boost::asio::steady_timer answerArrived;
         std::optional<wire::PeerAnswer> answer;
     };
 
     void connect(const std::string &peer);
     void sendToAll(const wire::Envelope &envelope);
-    void take(const std::string &peer, const wire::Envelope &message);
-    boost::asio::awaitable<void> answer(std::string peer, wire::PeerCall call);
+    void handleMessage(const std::string &peer, const wire::Envelope &message);
+    boost::asio::awaitable<void> answerCall(std::string peer, wire::PeerCall call);
 
     boost::asio::any_io_executor m_executor;
     Options m_options;
-    Server m_server;
-    NoticeHandler m_onPlanNotice;
+    CallHandler m_callHandler;
+    PlanNoticeHandler m_onPlanNotice;
     CrashHandler m_onCrash = [](const wire::CrashNotice &) {};
     QuarantineHandler m_onQuarantine = [](const std::string &, const wire::QuarantineNotice &) {};
     EvacuationHandler m_onEvacuation = [](const wire::EvacuationNotice &) {};
     std::set<std::string> m_peers;
-    std::map<std::uint64_t, std::shared_ptr<Pending>> m_pending;
+    std::map<std::uint64_t, std::shared_ptr<PendingCall>> m_pendingCalls;
     std::uint64_t m_lastCall = 0;
     /// Last, so that its thread ends before anything that it hands messages to.
     LinkHub m_hub;
--- a/src/membership/relayedstore.h
+++ b/src/membership/relayedstore.h
@@ -282,7 +282,7 @@
         });
         peers.resize(std::min(peers.size(), m_options.maxPeersTried));
         for (const std::string &peer : peers) {
-            const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, call, m_options.peerCallTimeout);
+            const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.sendCall(peer, call, m_options.peerCallTimeout);
             if (answer.ok() && answer->done()) {
                 m_lastSuccessfulPeer = peer;
                 result.second = answer->store();
--- a/src/tests/peerhelptest.cpp
+++ b/src/tests/peerhelptest.cpp
@@ -51,7 +51,7 @@
     SlowPeer(asio::io_context &loop, int number)
         : link(loop.get_executor(), {.self = linkAddress(number)})
     {
-        link.serve(
+        link.setCallHandler(
             [this](wire::PeerCall call) {
                 return answer(std::move(call));
             },
