--- a/src/measure/grantpolicy.cpp
+++ b/src/measure/grantpolicy.cpp
@@ -278,10 +278,10 @@
 void GrantPolicy::recover(const std::string &incarnation)
 {
     Reclamation reclamation({.incarnation = incarnation, .reclaimer = "peer", .targets = {s_target}}, *m_table.read(nodeKey(incarnation)));
-    reclamation.onWitness({.target = s_target});
+    reclamation.onSidecarAnswer({.target = s_target});
     reclamation.probeEnded();
     reclamation.onDeclared(*m_table.transact(reclamation.declaration()));
-    reclamation.onWitness({.target = s_target, .epoch = reclamation.epoch(), .verdict = m_witness.seal(incarnation)});
+    reclamation.onSidecarAnswer({.target = s_target, .epoch = reclamation.epoch(), .verdict = m_witness.seal(incarnation)});
     if (reclamation.phase() != Reclamation::Phase::Closing) {
         // Runs still going: ask again.
         m_simulation.after(std::chrono::milliseconds(500), [this, incarnation] {
@@ -289,7 +289,7 @@
         });
         return;
     }
-    reclamation.setBilled({});
+    reclamation.setBilledRequests({});
     reclamation.setGrants(*m_table.scan(absl::StrCat("grant/", incarnation, "/")));
     while (reclamation.phase() == Reclamation::Phase::Closing) {
         const ClosingStep step = reclamation.nextClosingStep();
--- a/src/membership/reclaimservice.cpp
+++ b/src/membership/reclaimservice.cpp
@@ -64,13 +64,13 @@
     if (m_current == nullptr || answer.incarnation() != m_incarnation) {
         return;
     }
-    WitnessAnswer witness{.target = answer.target(), .epoch = answer.epoch()};
+    SidecarAnswer witness{.target = answer.target(), .epoch = answer.epoch()};
     witness.verdict.alive = answer.alive();
     witness.verdict.complete = answer.complete();
     for (const wire::SealedRun &run : answer.runs()) {
         witness.verdict.runs.push_back(recordOf(run));
     }
-    m_current->onWitness(witness);
+    m_current->onSidecarAnswer(witness);
 }
 
 void ReclaimService::sendSeals()
@@ -141,7 +141,7 @@
         ledger = page->previous;
     }
     const std::lock_guard lock(m_mutex);
-    m_current->setBilled(std::move(billed));
+    m_current->setBilledRequests(std::move(billed));
     co_return true;
 }
 
--- a/src/membership/reclamation.cpp
+++ b/src/membership/reclamation.cpp
@@ -39,7 +39,7 @@
     return missing;
 }
 
-void Reclamation::onWitness(const WitnessAnswer &answer)
+void Reclamation::onSidecarAnswer(const SidecarAnswer &answer)
 {
     if (answer.epoch != epoch()) {
         return;
@@ -79,11 +79,11 @@
     }
 }
 
-std::vector<Charge> Reclamation::freeCharges() const
+std::vector<Charge> Reclamation::zeroTokenCharges() const
 {
     absl::flat_hash_set<std::string> budgets;
     std::vector<Charge> charges;
-    for (const WitnessedRun &run : m_runs) {
+    for (const ReportedRun &run : m_runs) {
         budgets.insert(run.record.budget);
     }
     for (const std::string &budget : budgets) {
@@ -139,15 +139,15 @@
 std::uint64_t Reclamation::earliestFlush() const
 {
     std::uint64_t earliest = UINT64_MAX;
-    for (const WitnessedRun &run : m_runs) {
+    for (const ReportedRun &run : m_runs) {
         earliest = std::min(earliest, run.record.earliestFlush);
     }
     return earliest;
 }
 
-void Reclamation::setBilled(absl::flat_hash_set<std::string> billed)
+void Reclamation::setBilledRequests(absl::flat_hash_set<std::string> billed)
 {
-    m_billed = std::move(billed);
+    m_billedRequests = std::move(billed);
 }
 
 void Reclamation::setGrants(std::vector<TableRow> grants)
@@ -158,9 +158,9 @@
 std::vector<Charge> Reclamation::chargesFor(std::string_view budget) const
 {
     std::vector<Charge> charges;
-    for (const WitnessedRun &run : m_runs) {
+    for (const ReportedRun &run : m_runs) {
         const RunRecord &record = run.record;
-        if (record.budget != budget || m_billed.contains(record.requestId)) {
+        if (record.budget != budget || m_billedRequests.contains(record.requestId)) {
             continue;
         }
         charges.push_back({.requestId = record.requestId,
@@ -205,7 +205,7 @@
     const bool last = count == m_grants.size();
     if (last) {
         // Calls that cost nothing have no grant to be charged to; they still get their line.
-        for (Charge &charge : freeCharges()) {
+        for (Charge &charge : zeroTokenCharges()) {
             page.charges.push_back(std::move(charge));
         }
     }
@@ -238,7 +238,7 @@
 std::map<std::string, std::vector<std::string>> Reclamation::settledRuns() const
 {
     std::map<std::string, std::vector<std::string>> runs;
-    for (const WitnessedRun &run : m_runs) {
+    for (const ReportedRun &run : m_runs) {
         runs[run.target].push_back(run.record.requestId);
     }
     return runs;
--- a/src/membership/reclamation.h
+++ b/src/membership/reclamation.h
@@ -17,7 +17,7 @@
 namespace bamboohold {
 
 /// A sidecar's answer about a router incarnation.
-struct WitnessAnswer {
+struct SidecarAnswer {
     std::string target;
     std::uint64_t epoch = 0;
     SealVerdict verdict;
@@ -78,7 +78,7 @@
     std::vector<std::string> missingTargets() const;
 
     /// A sidecar answered.
-    void onWitness(const WitnessAnswer &answer);
+    void onSidecarAnswer(const SidecarAnswer &answer);
 
     /// The time for probing is over: goes on when somebody answered and nobody heard the incarnation.
     void probeEnded();
@@ -93,7 +93,7 @@
     std::uint64_t earliestFlush() const;
 
     /// While Closing: takes over the charges that the incarnation itself billed since earliestFlush() and its grant rows as just read.
-    void setBilled(absl::flat_hash_set<std::string> billed);
+    void setBilledRequests(absl::flat_hash_set<std::string> billed);
     void setGrants(std::vector<TableRow> grants);
 
     /// While Closing: the next step, the last of which marks the row as closed.
@@ -106,13 +106,13 @@
     std::map<std::string, std::vector<std::string>> settledRuns() const;
 
 private:
-    struct WitnessedRun {
+    struct ReportedRun {
         std::string target;
         RunRecord record;
     };
 
     std::vector<Charge> chargesFor(std::string_view budget) const;
-    std::vector<Charge> freeCharges() const;
+    std::vector<Charge> zeroTokenCharges() const;
     boost::json::object nodeFields(std::string_view state, const std::string &ledger) const;
 
     Options m_options;
@@ -120,8 +120,8 @@
     TableRow m_nodeRow;
     std::uint64_t m_epoch = 0;
     std::map<std::string, SealVerdict> m_answers;
-    std::vector<WitnessedRun> m_runs;
-    absl::flat_hash_set<std::string> m_billed;
+    std::vector<ReportedRun> m_runs;
+    absl::flat_hash_set<std::string> m_billedRequests;
     std::vector<TableRow> m_grants;
     int m_step = 0;
 };
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -347,7 +347,7 @@
         }
         const SealVerdict verdict =
             epoch == 0 ? sidecar.table->probe(m_reclaimedIncarnation, m_now) : sidecar.table->seal(m_reclaimedIncarnation);
-        m_reclamation->onWitness({.target = targetName(target), .epoch = epoch, .verdict = verdict});
+        m_reclamation->onSidecarAnswer({.target = targetName(target), .epoch = epoch, .verdict = verdict});
     }
 }
 
@@ -362,7 +362,7 @@
         }
         key = page->previous;
     }
-    m_reclamation->setBilled(std::move(billed));
+    m_reclamation->setBilledRequests(std::move(billed));
     m_reclamation->setGrants(*m_table.scan(absl::StrCat("grant/", m_reclaimedIncarnation, "/")));
     const ClosingStep step = m_reclamation->nextClosingStep();
     if (!step.objectKey.empty()) {
--- a/src/tests/reclamationtest.cpp
+++ b/src/tests/reclamationtest.cpp
@@ -132,13 +132,13 @@
 {
     Reclamation reclamation({.incarnation = "router~1", .reclaimer = "router~2", .targets = {"a"}},
                             {.key = "node/router~1", .version = 3, .fields = {{"state", "live"}}});
-    reclamation.onWitness({.target = "a"});
+    reclamation.onSidecarAnswer({.target = "a"});
     reclamation.probeEnded();
     reclamation.onDeclared({.applied = true, .versions = {4}});
-    WitnessAnswer answer{.target = "a", .epoch = reclamation.epoch()};
+    SidecarAnswer answer{.target = "a", .epoch = reclamation.epoch()};
     answer.verdict.runs.push_back(
         {.requestId = "call", .budget = "team", .running = false, .end = RunEnd::Complete, .usage = TokenUsage{}});
-    reclamation.onWitness(answer);
+    reclamation.onSidecarAnswer(answer);
     BOOST_REQUIRE((reclamation.phase() == Reclamation::Phase::Closing));
     const ClosingStep step = reclamation.nextClosingStep();
     BOOST_TEST(step.object.find("\"call\"") != std::string::npos);
@@ -158,8 +158,8 @@
 {
     Reclamation reclamation({.incarnation = "router~1", .reclaimer = "router~2", .targets = {"a", "b"}},
                             {.key = "node/router~1", .version = 3, .fields = {{"state", "live"}}});
-    reclamation.onWitness({.target = "a", .verdict = {.alive = false}});
-    reclamation.onWitness({.target = "b", .verdict = {.alive = true}});
+    reclamation.onSidecarAnswer({.target = "a", .verdict = {.alive = false}});
+    reclamation.onSidecarAnswer({.target = "b", .verdict = {.alive = true}});
     reclamation.probeEnded();
     BOOST_TEST((reclamation.phase() == Reclamation::Phase::Abandoned));
 }
