--- a/src/membership/reclaimservice.cpp
+++ b/src/membership/reclaimservice.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr int s_tries = 20;
+constexpr int s_maxTransactionAttempts = 20;
 
-RunRecord recordOf(const wire::SealedRun &run)
+RunRecord runRecordFrom(const wire::SealedRun &run)
 {
     RunRecord record{.requestId = run.request_id(),
                      .attempt = run.attempt(),
@@ -52,7 +52,7 @@
     return m_current->phase();
 }
 
-std::int64_t ReclaimService::missingWitnesses()
+std::int64_t ReclaimService::missingSidecarCount()
 {
     const std::lock_guard lock(m_mutex);
     return static_cast<std::int64_t>(m_current->missingTargets().size());
@@ -64,13 +64,13 @@
     if (m_current == nullptr || answer.incarnation() != m_incarnation) {
         return;
     }
-    SidecarAnswer witness{.target = answer.target(), .epoch = answer.epoch()};
-    witness.verdict.alive = answer.alive();
-    witness.verdict.complete = answer.complete();
+    SidecarAnswer sidecarAnswer{.target = answer.target(), .epoch = answer.epoch()};
+    sidecarAnswer.verdict.alive = answer.alive();
+    sidecarAnswer.verdict.complete = answer.complete();
     for (const wire::SealedRun &run : answer.runs()) {
-        witness.verdict.runs.push_back(recordOf(run));
+        sidecarAnswer.verdict.runs.push_back(runRecordFrom(run));
     }
-    m_current->onSidecarAnswer(witness);
+    m_current->onSidecarAnswer(sidecarAnswer);
 }
 
 void ReclaimService::sendSeals()
@@ -84,10 +84,10 @@
     }
 }
 
-asio::awaitable<absl::StatusOr<TableVerdict>> ReclaimService::transactSurely(TableTransaction transaction)
+asio::awaitable<absl::StatusOr<TableVerdict>> ReclaimService::transactWithRetries(TableTransaction transaction)
 {
     absl::StatusOr<TableVerdict> verdict = failed(FailureKind::TableUnreachable, "no try yet");
-    for (int attempt = 0; attempt < s_tries; ++attempt) {
+    for (int attempt = 0; attempt < s_maxTransactionAttempts; ++attempt) {
         verdict = co_await m_platform.transact(transaction);
         if (verdict.ok() && verdict->applied) {
             co_return verdict;
@@ -106,25 +106,25 @@
     co_return verdict;
 }
 
-asio::awaitable<void> ReclaimService::declare()
+asio::awaitable<void> ReclaimService::declareDead()
 {
     TableTransaction declaration;
     {
         const std::lock_guard lock(m_mutex);
         declaration = m_current->declaration();
     }
-    const auto verdict = co_await transactSurely(std::move(declaration));
+    const auto verdict = co_await transactWithRetries(std::move(declaration));
     const std::lock_guard lock(m_mutex);
     m_current->onDeclared(verdict.ok() ? *verdict : TableVerdict{});
 }
 
-asio::awaitable<bool> ReclaimService::readBilled(std::string ledger, std::uint64_t earliestFlush)
+asio::awaitable<bool> ReclaimService::readBilledRequests(std::string ledger, std::uint64_t earliestFlush)
 {
     absl::flat_hash_set<std::string> billed;
     while (!ledger.empty()) {
         std::uint64_t flush = 0;
-        const bool ownFlush = absl::SimpleAtoi(flushIdOfLedgerKey(ledger), &flush);
-        if (ownFlush && flush < earliestFlush) {
+        const bool isRouterFlush = absl::SimpleAtoi(flushIdOfLedgerKey(ledger), &flush);
+        if (isRouterFlush && flush < earliestFlush) {
             break;
         }
         const auto object = co_await m_platform.readObject(ledger);
@@ -145,7 +145,7 @@
     co_return true;
 }
 
-asio::awaitable<bool> ReclaimService::close()
+asio::awaitable<bool> ReclaimService::closeIncarnation()
 {
     const auto row = co_await m_platform.readOne(nodeKey(m_incarnation));
     std::string prefix = std::string(s_grantPrefix);
@@ -160,7 +160,7 @@
         earliest = m_current->earliestFlush();
         m_current->setGrants(*std::move(grants));
     }
-    const bool billedKnown = co_await readBilled(textField(row->fields, "ledger"), earliest);
+    const bool billedKnown = co_await readBilledRequests(textField(row->fields, "ledger"), earliest);
     if (!billedKnown) {
         co_return false;
     }
@@ -176,14 +176,14 @@
                 co_return false;
             }
         }
-        const auto verdict = co_await transactSurely(step.transaction);
+        const auto verdict = co_await transactWithRetries(step.transaction);
         const std::lock_guard lock(m_mutex);
         m_current->onClosed(step, verdict.ok() ? *verdict : TableVerdict{});
     }
     co_return true;
 }
 
-void ReclaimService::tellSidecars()
+void ReclaimService::sendSettledRuns()
 {
     const std::lock_guard lock(m_mutex);
     for (const auto &[target, requestIds] : m_current->settledRuns()) {
@@ -206,30 +206,30 @@
     logLine(Severity::Info, "a router is silent; asking the sidecars", {{"incarnation", m_incarnation}});
     if (phase() == Reclamation::Phase::Probing) {
         sendSeals();
-        co_await pause(m_options.probeTime);
+        co_await pause(m_options.probeTimeout);
         const std::lock_guard lock(m_mutex);
         m_current->probeEnded();
     }
     if (phase() == Reclamation::Phase::Declaring) {
-        co_await declare();
+        co_await declareDead();
     }
-    const Instant patienceEnds = steadyNow() + m_options.sealPatience;
-    while (phase() == Reclamation::Phase::Sealing && steadyNow() < patienceEnds) {
+    const Instant sealDeadline = steadyNow() + m_options.sealTimeout;
+    while (phase() == Reclamation::Phase::Sealing && steadyNow() < sealDeadline) {
         sendSeals();
         co_await pause(m_options.sealInterval);
     }
     bool done = phase() != Reclamation::Phase::Closing;
     while (!done) {
-        done = co_await close();
+        done = co_await closeIncarnation();
         if (!done) {
             co_await pause(m_options.sealInterval);
         }
     }
     if (phase() == Reclamation::Phase::Closed) {
-        tellSidecars();
-        ++m_closed;
+        sendSettledRuns();
+        ++m_reclaimedCount;
     }
-    const std::int64_t missing = missingWitnesses();
+    const std::int64_t missing = missingSidecarCount();
     const bool recovered = phase() == Reclamation::Phase::Closed;
     logLine(Severity::Info,
             recovered ? "grants of a dead router recovered" : "recovery ended without closing; its grants stay held",
--- a/src/membership/reclaimservice.h
+++ b/src/membership/reclaimservice.h
@@ -20,11 +20,11 @@
 public:
     struct Options {
         std::string reclaimer;
-        Duration probeTime = std::chrono::seconds(1);
+        Duration probeTimeout = std::chrono::seconds(1);
         Duration sealInterval = std::chrono::milliseconds(500);
         /// Time for all sidecars to answer before the next suspect gets its turn. One whose witnesses are missing must not keep the others
         /// waiting.
-        Duration sealPatience = std::chrono::seconds(10);
+        Duration sealTimeout = std::chrono::seconds(10);
     };
 
     ReclaimService(PlatformClient &platform, Options options);
@@ -39,20 +39,20 @@
     void onSealAnswer(const wire::SealAnswer &answer);
 
     /// Reclamations that came to their end.
-    std::uint64_t closed() const
+    std::uint64_t reclaimedCount() const
     {
-        return m_closed;
+        return m_reclaimedCount;
     }
 
 private:
     void sendSeals();
     Reclamation::Phase phase();
-    std::int64_t missingWitnesses();
-    asio::awaitable<void> declare();
-    asio::awaitable<bool> close();
-    asio::awaitable<bool> readBilled(std::string ledger, std::uint64_t earliestFlush);
-    asio::awaitable<absl::StatusOr<TableVerdict>> transactSurely(TableTransaction transaction);
-    void tellSidecars();
+    std::int64_t missingSidecarCount();
+    asio::awaitable<void> declareDead();
+    asio::awaitable<bool> closeIncarnation();
+    asio::awaitable<bool> readBilledRequests(std::string ledger, std::uint64_t earliestFlush);
+    asio::awaitable<absl::StatusOr<TableVerdict>> transactWithRetries(TableTransaction transaction);
+    void sendSettledRuns();
 
     PlatformClient &m_platform;
     Options m_options;
@@ -60,7 +60,7 @@
     std::mutex m_mutex;
     std::unique_ptr<Reclamation> m_current;
     std::string m_incarnation;
-    std::atomic<std::uint64_t> m_closed = 0;
+    std::atomic<std::uint64_t> m_reclaimedCount = 0;
 };
 
 }
