--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -243,7 +243,7 @@
     std::function<std::size_t()> countedRouters() const
     {
         return [this] {
-            return m_registry.counted() ? m_registry.routers() : 0;
+            return m_registry.hasCounted() ? m_registry.routers() : 0;
         };
     }
 
@@ -450,7 +450,7 @@
             m_callers.closeIdle();
         }
         m_ledger.beginClose();
-        co_await m_registry.leave();
+        co_await m_registry.deregister();
         const Instant closeDeadline = drainStart + m_options.gracePeriod - s_shutdownReserve / 3;
         while (!m_ledger.closed() && steadyNow() < closeDeadline) {
             co_await pause(s_shutdownPollInterval);
--- a/src/membership/routerregistry.h
+++ b/src/membership/routerregistry.h
@@ -29,10 +29,10 @@
         std::function<void(const std::vector<std::string> &)> onCounted;
         Duration interval = std::chrono::seconds(4);
         /// A row not written for three intervals is a router that is gone.
-        Duration silence = std::chrono::seconds(12);
+        Duration rowTimeout = std::chrono::seconds(12);
         /// Where all routers start together, the first count waits this long for the others' rows: they start within a few tenths of a
         /// second of each other, and take up to a second to come up on a slow host.
-        Duration settle = std::chrono::milliseconds(1500);
+        Duration startupWait = std::chrono::milliseconds(1500);
     };
 
     RouterRegistry(Store &store, Options options)
@@ -42,20 +42,20 @@
     }
 
     /// Writes and counts for as long as the process. `together`: all routers start now.
-    boost::asio::awaitable<void> run(bool together)
+    boost::asio::awaitable<void> run(bool simultaneousStart)
     {
-        if (!together) {
+        if (!simultaneousStart) {
             // The others' rows are there already; a write that gets lost must not keep this router from counting them.
-            co_await count();
+            co_await countRouters();
         }
-        while (!m_leaving) {
-            const bool written = co_await write();
-            if (together) {
-                co_await pause(m_options.settle);
-                together = false;
+        while (!m_deregistering) {
+            const bool written = co_await writeRow();
+            if (simultaneousStart) {
+                co_await pause(m_options.startupWait);
+                simultaneousStart = false;
             }
-            const bool counted = co_await count();
-            if (written && counted) {
+            const bool rowsCounted = co_await countRouters();
+            if (written && rowsCounted) {
                 co_await pause(m_options.interval);
             } else {
                 co_await pause(m_options.interval / 4);
@@ -64,9 +64,9 @@
     }
 
     /// Takes this router's row away.
-    boost::asio::awaitable<void> leave()
+    boost::asio::awaitable<void> deregister()
     {
-        m_leaving = true;
+        m_deregistering = true;
         const RowTransaction transaction = rowWrite(std::nullopt);
         const absl::StatusOr<RowVerdict> verdict = co_await m_store.transact(transaction);
         if (!verdict.ok()) {
@@ -81,9 +81,9 @@
     }
 
     /// True after the first count.
-    bool counted() const
+    bool hasCounted() const
     {
-        return m_counted;
+        return m_hasCounted;
     }
 
 private:
@@ -97,9 +97,9 @@
         return {.changes = {{.address = ownAddress(), .value = std::move(value)}}};
     }
 
-    boost::asio::awaitable<bool> write()
+    boost::asio::awaitable<bool> writeRow()
     {
-        const RowTransaction transaction = rowWrite(absl::StrCat(storeNowMs()));
+        const RowTransaction transaction = rowWrite(absl::StrCat(estimatedStoreTime()));
         const absl::StatusOr<RowVerdict> verdict = co_await m_store.transact(transaction);
         if (verdict.ok()) {
             m_storeTime = verdict->storeTime;
@@ -108,7 +108,7 @@
         co_return verdict.ok();
     }
 
-    boost::asio::awaitable<bool> count()
+    boost::asio::awaitable<bool> countRouters()
     {
         const RowAddress own = ownAddress();
         const absl::StatusOr<RowsRead> read = co_await m_store.read(own.table, own.part);
@@ -119,7 +119,7 @@
         m_storeTimeAt = steadyNow();
         std::vector<std::string> live;
         for (const StoredRow &row : read->rows) {
-            if (lives(row, read->storeTime)) {
+            if (isLive(row, read->storeTime)) {
                 live.push_back(row.address.key);
             }
         }
@@ -130,30 +130,30 @@
                     {{"routers", static_cast<std::int64_t>(routers)}, {"before", static_cast<std::int64_t>(m_routers)}});
         }
         m_routers = routers;
-        m_counted = true;
+        m_hasCounted = true;
         m_options.onCounted(live);
         co_return true;
     }
 
     /// Whether a row names a router that lives. One that names no address, or a time that is none or far ahead, comes from somewhere else:
     /// it would be counted, connected to and asked for loans by every router for as long as it stands.
-    bool lives(const StoredRow &row, StoreTimeMs now) const
+    bool isLive(const StoredRow &row, StoreTimeMs now) const
     {
-        StoreTimeMs beat = 0;
-        const bool sound = absl::SimpleAtoi(row.value, &beat) && endpointFrom(row.address.key).has_value();
-        if (!sound) {
-            if (row.version > m_newestSpoilt) {
-                m_newestSpoilt = row.version;
+        StoreTimeMs writtenAt = 0;
+        const bool valid = absl::SimpleAtoi(row.value, &writtenAt) && endpointFrom(row.address.key).has_value();
+        if (!valid) {
+            if (row.version > m_newestInvalidVersion) {
+                m_newestInvalidVersion = row.version;
                 logLine(Severity::Error, "routers.row_unreadable", {{"row", row.address.key}});
             }
             return false;
         }
-        const StoreTimeMs silence = std::chrono::duration_cast<std::chrono::milliseconds>(m_options.silence).count();
+        const StoreTimeMs rowTimeout = std::chrono::duration_cast<std::chrono::milliseconds>(m_options.rowTimeout).count();
         // A row written before the router knew the store's time counts as just written.
-        return beat == 0 || (beat >= now - silence && beat <= now + silence);
+        return writtenAt == 0 || (writtenAt >= now - rowTimeout && writtenAt <= now + rowTimeout);
     }
 
-    StoreTimeMs storeNowMs() const
+    StoreTimeMs estimatedStoreTime() const
     {
         if (m_storeTime == 0) {
             return 0;
@@ -167,9 +167,9 @@
     Instant m_storeTimeAt{};
     std::size_t m_routers = 1;
     /// Of the rows that cannot be read, the newest that the log has told of.
-    mutable std::uint64_t m_newestSpoilt = 0;
-    bool m_counted = false;
-    bool m_leaving = false;
+    mutable std::uint64_t m_newestInvalidVersion = 0;
+    bool m_hasCounted = false;
+    bool m_deregistering = false;
 };
 
 }
--- a/src/tests/routerregistrytest.cpp
+++ b/src/tests/routerregistrytest.cpp
@@ -39,7 +39,7 @@
 };
 
 /// The routers that a registry counts among these rows.
-std::vector<std::string> counted(ScriptedRows &rows)
+std::vector<std::string> countedRouters(ScriptedRows &rows)
 {
     boost::asio::io_context loop;
     std::vector<std::string> live;
@@ -63,7 +63,7 @@
     rows.put("10.0.0.2:7400", "995000");
     rows.put("10.0.0.3:7400", "900000");
     rows.put("10.0.0.4:7400", "0");
-    BOOST_TEST((counted(rows) == std::vector<std::string>{"10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.4:7400"}));
+    BOOST_TEST((countedRouters(rows) == std::vector<std::string>{"10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.4:7400"}));
 }
 
 // Rows of another writer: names that are no address, beats that are no time, or one of years to come. Each would be counted among the
@@ -81,7 +81,7 @@
     rows.put("10.0.0.7:7400", "999000000");
     rows.put("10.0.0.8:7400", "9223372036854775807");
     rows.put("10.0.0.9:7400", "-9223372036854775808");
-    BOOST_TEST((counted(rows) == std::vector<std::string>{"10.0.0.1:7400"}));
+    BOOST_TEST((countedRouters(rows) == std::vector<std::string>{"10.0.0.1:7400"}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
