--- a/src/tests/detourstest.cpp
+++ b/src/tests/detourstest.cpp
@@ -19,7 +19,7 @@
 
 BOOST_AUTO_TEST_SUITE(DetoursTest)
 
-BOOST_AUTO_TEST_CASE(relaysOfTheOwnFailureDomainComeFirst)
+BOOST_AUTO_TEST_CASE(prefersRelaysOfTheOwnFailureDomain)
 {
     RelaySelector selector = relaySelector();
     BOOST_TEST(!selector.choose(s_start).has_value());
@@ -35,7 +35,7 @@
 
 // A router asks the same dead relay again and again while the store is one hop away. Relays that failed rest, each time for longer, and the
 // next one is tried; one that works again starts over.
-BOOST_AUTO_TEST_CASE(relaysThatFailedRest)
+BOOST_AUTO_TEST_CASE(failedRelaysBackOff)
 {
     RelaySelector selector = relaySelector();
     selector.addTargetRelay("a", "10.0.1.1:7340", "near");
--- a/src/tests/evacuationstest.cpp
+++ b/src/tests/evacuationstest.cpp
@@ -16,7 +16,7 @@
 BOOST_AUTO_TEST_SUITE(EvacuationsTest)
 
 // Guards against an order that a late notice or a slow read brings back after it was taken back, or takes back after it was given again.
-BOOST_AUTO_TEST_CASE(newestStateHoldsWhateverTheOrder)
+BOOST_AUTO_TEST_CASE(newestStateIsInForceInAnyOrder)
 {
     const bool held = rc::check("the newest version heard of is in force", [] {
         Evacuations evacuations;
--- a/src/tests/peerdirectorytest.cpp
+++ b/src/tests/peerdirectorytest.cpp
@@ -22,7 +22,7 @@
 
 // A healthy router would be declared dead. One that cannot reach the table lets its row stand still but sends heartbeats; one cut off from
 // its peers is silent but writes its row. Only who does neither is suspected.
-BOOST_AUTO_TEST_CASE(suspectsOnlyWhoIsSilentOnBothWays)
+BOOST_AUTO_TEST_CASE(suspectsOnlyRoutersWithoutHeartbeatsAndRowChanges)
 {
     PeerDirectory directory({.self = "me", .suspicionTimeout = std::chrono::seconds(10)});
     directory.updateRows(std::vector{row("me", 1), row("cut-from-table", 2), row("cut-from-peers", 3), row("zz-dead", 4)}, at(0));
@@ -33,7 +33,7 @@
     BOOST_TEST(suspects[0].key == "node/zz-dead");
 }
 
-BOOST_AUTO_TEST_CASE(countsPeersAndHelpers)
+BOOST_AUTO_TEST_CASE(countsLiveRoutersAndRecentPeers)
 {
     PeerDirectory directory({.self = "me"});
     directory.updateRows(std::vector{row("me", 1), row("a", 2), row("b", 3, "sealing"), row("c", 4, "closed")}, at(0));
--- a/src/tests/planseekertest.cpp
+++ b/src/tests/planseekertest.cpp
@@ -35,7 +35,7 @@
 
 BOOST_AUTO_TEST_SUITE(PlanSeekerTest)
 
-BOOST_AUTO_TEST_CASE(theStoreHasTimeByTheSizeOfTheDocument)
+BOOST_AUTO_TEST_CASE(waitForTheStoreGrowsWithTheDocument)
 {
     PlanFetchScheduler small = makeScheduler();
     small.setVersionInForce(1, 1000);
@@ -52,7 +52,7 @@
     BOOST_TEST(large.nextPieceRequest(at(260)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(nothingIsAskedForThatTheStoreHasBrought)
+BOOST_AUTO_TEST_CASE(versionsReceivedFromTheStoreAreNotRequested)
 {
     PlanFetchScheduler scheduler = makeScheduler();
     scheduler.recordPeerVersion("peer", 2, at(0));
@@ -62,7 +62,7 @@
 }
 
 // A peer dies while it sends a document. What has come of it stays, and another peer with the same version sends the rest.
-BOOST_AUTO_TEST_CASE(anotherPeerGoesOnWhereOneStopped)
+BOOST_AUTO_TEST_CASE(anotherPeerResumesAnInterruptedTransfer)
 {
     PlanFetchScheduler scheduler = makeScheduler();
     PlanSource source;
@@ -91,7 +91,7 @@
 
 // Changes follow each other faster than a document crosses the link. Each document that was begun is finished, so that the router is never
 // further behind than one crossing.
-BOOST_AUTO_TEST_CASE(aStreamOfChangesDoesNotStarveTheNewest)
+BOOST_AUTO_TEST_CASE(frequentChangesDoNotStallTransfers)
 {
     PlanFetchScheduler scheduler = makeScheduler();
     PlanSource source;
@@ -129,7 +129,7 @@
 }
 
 // Answers late, doubled, foreign and torn in any order: a document that is handed out is always one that some peer has, whole.
-BOOST_AUTO_TEST_CASE(onlyWholeDocumentsAreHandedOut)
+BOOST_AUTO_TEST_CASE(onlyCompleteDocumentsAreReturned)
 {
     const bool holds = rc::check("whole documents only", [] {
         PlanFetchScheduler scheduler = makeScheduler();
--- a/src/tests/reclamationtest.cpp
+++ b/src/tests/reclamationtest.cpp
@@ -31,7 +31,7 @@
 
 // A team sees its tokens come back after a router's death, less what the dead router's request used. Order: the run ends, the router dies
 // before it settles, a peer asks the sidecars. Cause: the only record of the charge is at the sidecar.
-BOOST_AUTO_TEST_CASE(chargesWhatTheDeadRouterRanAndReturnsTheRest)
+BOOST_AUTO_TEST_CASE(chargesRunsOfTheDeadRouterAndReturnsTheRest)
 {
     FakeFleet fleet = withOneRun(true);
     fleet.kill(0);
@@ -43,7 +43,7 @@
 }
 
 // The router had settled and died before its sidecar was told. The run must not be billed a second time.
-BOOST_AUTO_TEST_CASE(whatTheDeadRouterBilledIsNotBilledAgain)
+BOOST_AUTO_TEST_CASE(billedRunsAreNotBilledAgain)
 {
     FakeFleet fleet = withOneRun(true);
     fleet.flush(0, Delivery::AnswerLost);
@@ -54,7 +54,7 @@
     BOOST_TEST(fleet.invariantViolation() == "");
 }
 
-BOOST_AUTO_TEST_CASE(waitsForRunsStillGoing)
+BOOST_AUTO_TEST_CASE(waitsForRunsInProgress)
 {
     FakeFleet fleet = withOneRun(false);
     fleet.kill(0);
@@ -83,7 +83,7 @@
 }
 
 // Router and sidecar die together before the charge reaches the table. Nobody knows what ran, so the grant stays counted as spent.
-BOOST_AUTO_TEST_CASE(lossOfBothWitnessesHoldsTheGrant)
+BOOST_AUTO_TEST_CASE(grantStaysHeldIfRouterAndSidecarAreLost)
 {
     FakeFleet fleet = withOneRun(true);
     const Tokens free = fleet.free(0);
@@ -95,7 +95,7 @@
 }
 
 // A router paused past its being declared dead wakes with a grant it believes in. Its next request must not run.
-BOOST_AUTO_TEST_CASE(aWokenRouterCannotSpend)
+BOOST_AUTO_TEST_CASE(aResumedRouterCannotSpend)
 {
     FakeFleet fleet = withOneRun(true);
     fleet.pause(0);
@@ -110,7 +110,7 @@
     BOOST_TEST(fleet.invariantViolation() == "");
 }
 
-BOOST_AUTO_TEST_CASE(everyLostAnswerOfTheReclaimerIsResolved)
+BOOST_AUTO_TEST_CASE(lostAnswersToTheReclaimerAreResolved)
 {
     for (const Delivery delivery : {Delivery::RequestLost, Delivery::AnswerLost, Delivery::Delayed}) {
         FakeFleet fleet = withOneRun(true);
@@ -128,7 +128,7 @@
 
 // A call of a plain service costs no tokens, so its router may hold no grant of the team's budget. Its line must not be lost with the
 // router.
-BOOST_AUTO_TEST_CASE(aCallThatCostsNothingStillGetsItsLine)
+BOOST_AUTO_TEST_CASE(zeroTokenCallsAreRecordedInTheLedger)
 {
     Reclamation reclamation({.incarnation = "router~1", .reclaimer = "router~2", .targets = {"a"}},
                             {.key = "node/router~1", .version = 3, .fields = {{"state", "live"}}});
@@ -146,7 +146,7 @@
     BOOST_TEST((reclamation.phase() == Reclamation::Phase::Closed));
 }
 
-BOOST_AUTO_TEST_CASE(nobodyIsDeclaredDeadByOneWhoCanAskNobody)
+BOOST_AUTO_TEST_CASE(noRouterIsDeclaredDeadWithoutASidecarAnswer)
 {
     Reclamation reclamation({.incarnation = "router~1", .reclaimer = "router~2", .targets = {"target"}},
                             {.key = "node/router~1", .version = 3, .fields = {{"state", "live"}}});
@@ -154,7 +154,7 @@
     BOOST_TEST((reclamation.phase() == Reclamation::Phase::Abandoned));
 }
 
-BOOST_AUTO_TEST_CASE(aSidecarThatHeardItStopsTheDeclaration)
+BOOST_AUTO_TEST_CASE(aSidecarThatHeardTheRouterStopsTheDeclaration)
 {
     Reclamation reclamation({.incarnation = "router~1", .reclaimer = "router~2", .targets = {"a", "b"}},
                             {.key = "node/router~1", .version = 3, .fields = {{"state", "live"}}});
--- a/src/tests/relayedstoretest.cpp
+++ b/src/tests/relayedstoretest.cpp
@@ -15,7 +15,7 @@
 constexpr StoreTimeMs s_storeTime = 1000;
 
 /// The store in memory, over ways that the test opens and closes.
-struct Way {
+struct SwitchableStore {
     asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
     {
         ++*calls;
@@ -48,8 +48,8 @@
     int *calls = nullptr;
 };
 
-struct Scene {
-    Scene()
+struct RelayedStoreFixture {
+    RelayedStoreFixture()
         : direct{.rows = &rows, .open = &directOpen, .calls = &directCalls}
         , link(loop.get_executor(), {.self = "127.0.0.1:1"})
         , relaySelector({.self = "127.0.0.1:1", .failureDomain = "near"})
@@ -58,9 +58,9 @@
         relaySelector.addTargetRelay("a", "relay-a", "near");
         relaySelector.addTargetRelay("b", "relay-b", "far");
         store.setRelays(relaySelector, [this](const std::string &relay) {
-            opened.push_back(relay);
+            openedRelays.push_back(relay);
             bool *open = relay == "relay-a" ? &nearOpen : &farOpen;
-            return std::make_unique<Way>(Way{.rows = &rows, .open = open, .calls = &detourCalls});
+            return std::make_unique<SwitchableStore>(SwitchableStore{.rows = &rows, .open = open, .calls = &relayCalls});
         });
     }
 
@@ -95,12 +95,12 @@
     bool nearOpen = true;
     bool farOpen = true;
     int directCalls = 0;
-    int detourCalls = 0;
-    std::vector<std::string> opened;
-    Way direct;
+    int relayCalls = 0;
+    std::vector<std::string> openedRelays;
+    SwitchableStore direct;
     PeerLink link;
     RelaySelector relaySelector;
-    RelayedStore<Way> store;
+    RelayedStore<SwitchableStore> store;
 };
 
 }
@@ -109,51 +109,51 @@
 
 // A router's way to the store is cut and callers are refused for want of tokens that the store has. The write that found out goes through a
 // relay beside a target in the same call, the next ones at once; when the way is open again the router finds out by itself.
-BOOST_AUTO_TEST_CASE(aCutRouterReachesTheStoreThroughARelay)
+BOOST_AUTO_TEST_CASE(usesARelayWhileTheDirectPathIsDown)
 {
-    Scene scene;
-    BOOST_TEST(scene.write("1").ok());
-    BOOST_TEST(scene.opened.empty());
-    scene.directOpen = false;
-    BOOST_TEST(scene.write("2").ok());
-    BOOST_TEST((scene.opened == std::vector<std::string>{"relay-a"}));
-    const int before = scene.directCalls;
-    BOOST_TEST(scene.write("3").ok());
-    BOOST_TEST(scene.directCalls == before);
-    BOOST_TEST(!scene.store.directReachable());
-    scene.directOpen = true;
-    scene.runUntil([&scene] {
-        return scene.store.directReachable();
+    RelayedStoreFixture fixture;
+    BOOST_TEST(fixture.write("1").ok());
+    BOOST_TEST(fixture.openedRelays.empty());
+    fixture.directOpen = false;
+    BOOST_TEST(fixture.write("2").ok());
+    BOOST_TEST((fixture.openedRelays == std::vector<std::string>{"relay-a"}));
+    const int directCallsBefore = fixture.directCalls;
+    BOOST_TEST(fixture.write("3").ok());
+    BOOST_TEST(fixture.directCalls == directCallsBefore);
+    BOOST_TEST(!fixture.store.directReachable());
+    fixture.directOpen = true;
+    fixture.runUntil([&fixture] {
+        return fixture.store.directReachable();
     });
-    const int detoured = scene.detourCalls;
-    BOOST_TEST(scene.write("4").ok());
-    BOOST_TEST(scene.detourCalls == detoured);
+    const int relayCallsBefore = fixture.relayCalls;
+    BOOST_TEST(fixture.write("4").ok());
+    BOOST_TEST(fixture.relayCalls == relayCallsBefore);
 }
 
 // The relay in use goes away with its host in the middle of the cut. The call goes through another one.
-BOOST_AUTO_TEST_CASE(anotherRelayStandsInForOneThatIsGone)
+BOOST_AUTO_TEST_CASE(failsOverToAnotherRelay)
 {
-    Scene scene;
-    scene.directOpen = false;
-    scene.nearOpen = false;
-    BOOST_TEST(scene.write("1").ok());
-    BOOST_TEST((scene.opened == std::vector<std::string>{"relay-a", "relay-b"}));
+    RelayedStoreFixture fixture;
+    fixture.directOpen = false;
+    fixture.nearOpen = false;
+    BOOST_TEST(fixture.write("1").ok());
+    BOOST_TEST((fixture.openedRelays == std::vector<std::string>{"relay-a", "relay-b"}));
 }
 
 // The store itself is away. A write that was sent may have taken effect, and whoever sent it must not take it for not run: a budget drawn
 // twice would be the end of it.
-BOOST_AUTO_TEST_CASE(withoutAnyWayTheOutcomeIsUnknown)
+BOOST_AUTO_TEST_CASE(outcomeIsUnknownIfNothingReachesTheStore)
 {
-    Scene scene;
-    scene.directOpen = false;
-    scene.nearOpen = false;
-    scene.farOpen = false;
-    const absl::StatusOr<RowVerdict> verdict = scene.write("1");
+    RelayedStoreFixture fixture;
+    fixture.directOpen = false;
+    fixture.nearOpen = false;
+    fixture.farOpen = false;
+    const absl::StatusOr<RowVerdict> verdict = fixture.write("1");
     BOOST_REQUIRE(!verdict.ok());
     BOOST_TEST((toFailure(verdict.status()).executed == Executed::Unknown));
-    const int before = scene.detourCalls;
-    BOOST_TEST(!scene.write("2").ok());
-    BOOST_TEST(scene.detourCalls == before);
+    const int directCallsBefore = fixture.relayCalls;
+    BOOST_TEST(!fixture.write("2").ok());
+    BOOST_TEST(fixture.relayCalls == directCallsBefore);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/tests/routerregistrytest.cpp
+++ b/src/tests/routerregistrytest.cpp
@@ -56,7 +56,7 @@
 
 BOOST_AUTO_TEST_SUITE(RouterRegistryTest)
 
-BOOST_AUTO_TEST_CASE(countsThoseThatWroteLately)
+BOOST_AUTO_TEST_CASE(countsRoutersWithRecentRows)
 {
     ScriptedRows rows;
     rows.put("10.0.0.1:7400", "999000");
@@ -68,7 +68,7 @@
 
 // Rows of another writer: names that are no address, beats that are no time, or one of years to come. Each would be counted among the
 // routers that share budgets and retries, connected to, and asked for loans, by every router, for as long as the row stands.
-BOOST_AUTO_TEST_CASE(spoiltRowsAreNoRouters)
+BOOST_AUTO_TEST_CASE(ignoresInvalidRows)
 {
     ScriptedRows rows;
     rows.put("10.0.0.1:7400", "999000");
