--- a/src/configuration/configurationstore.cpp
+++ b/src/configuration/configurationstore.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int s_tries = 5;
+constexpr int s_maxAttempts = 5;
 
 std::string changeKey(const std::string &changeId)
 {
@@ -120,7 +120,7 @@
     const auto budgets = budgetOperations(base, change.inventory, *rowExists);
     transaction.operations.insert(transaction.operations.end(), budgets.begin(), budgets.end());
     absl::Status last = absl::OkStatus();
-    for (int attempt = 0; attempt < s_tries; ++attempt) {
+    for (int attempt = 0; attempt < s_maxAttempts; ++attempt) {
         last = co_await platform.putObject(object, writeInventory(change.inventory));
         if (!last.ok()) {
             continue;
@@ -131,9 +131,9 @@
             co_return version;
         }
         // An earlier try whose answer was lost may have taken effect; its own change row tells it apart from another operator's.
-        const auto mine = co_await platform.readOne(changeKey(change.changeId));
-        if (mine.ok() && mine->version != 0) {
-            co_return static_cast<std::uint64_t>(integerField(mine->fields, "version"));
+        const auto ownChange = co_await platform.readOne(changeKey(change.changeId));
+        if (ownChange.ok() && ownChange->version != 0) {
+            co_return static_cast<std::uint64_t>(integerField(ownChange->fields, "version"));
         }
         if (verdict.ok()) {
             co_return obstacleFailure(*verdict);
