--- a/src/inventory/documentreader.cpp
+++ b/src/inventory/documentreader.cpp
@@ -39,27 +39,27 @@
     return std::string(value->get_string());
 }
 
-std::int64_t DocumentReader::number(std::string_view field, std::int64_t lowest, std::int64_t highest, std::int64_t fallback)
+std::int64_t DocumentReader::number(std::string_view field, std::int64_t minimum, std::int64_t maximum, std::int64_t fallback)
 {
     const boost::json::value *value = find(field);
     if (value == nullptr) {
         return fallback;
     }
     const bool whole = value->is_int64();
-    if (!whole || value->get_int64() < lowest || value->get_int64() > highest) {
-        fail(field, absl::StrCat("must be a whole number from ", lowest, " to ", highest));
+    if (!whole || value->get_int64() < minimum || value->get_int64() > maximum) {
+        fail(field, absl::StrCat("must be a whole number from ", minimum, " to ", maximum));
         return fallback;
     }
     return value->get_int64();
 }
 
-std::int64_t DocumentReader::requiredNumber(std::string_view field, std::int64_t lowest, std::int64_t highest)
+std::int64_t DocumentReader::requiredNumber(std::string_view field, std::int64_t minimum, std::int64_t maximum)
 {
     if (find(field) == nullptr) {
-        fail(field, absl::StrCat("is missing; a whole number from ", lowest, " to ", highest, " is required"));
-        return lowest;
+        fail(field, absl::StrCat("is missing; a whole number from ", minimum, " to ", maximum, " is required"));
+        return minimum;
     }
-    return number(field, lowest, highest, lowest);
+    return number(field, minimum, maximum, minimum);
 }
 
 double DocumentReader::positive(std::string_view field, double fallback)
@@ -77,7 +77,7 @@
     return real;
 }
 
-double DocumentReader::notNegative(std::string_view field, double fallback)
+double DocumentReader::nonNegative(std::string_view field, double fallback)
 {
     const boost::json::value *value = find(field);
     boost::json::error_code error;
--- a/src/inventory/documentreader.h
+++ b/src/inventory/documentreader.h
@@ -23,16 +23,16 @@
     std::string text(std::string_view field, bool optional = false);
 
     /// A whole number within [lowest, highest]; absent gives the fallback.
-    std::int64_t number(std::string_view field, std::int64_t lowest, std::int64_t highest, std::int64_t fallback);
+    std::int64_t number(std::string_view field, std::int64_t minimum, std::int64_t maximum, std::int64_t fallback);
 
     /// A whole number that has to be there.
-    std::int64_t requiredNumber(std::string_view field, std::int64_t lowest, std::int64_t highest);
+    std::int64_t requiredNumber(std::string_view field, std::int64_t minimum, std::int64_t maximum);
 
     /// A positive real number; absent gives the fallback.
     double positive(std::string_view field, double fallback);
 
     /// A real number that is 0 or above; absent gives the fallback.
-    double notNegative(std::string_view field, double fallback);
+    double nonNegative(std::string_view field, double fallback);
 
     /// A positive real number that has to be there.
     double requiredPositive(std::string_view field);
--- a/src/inventory/inventory.cpp
+++ b/src/inventory/inventory.cpp
@@ -64,7 +64,7 @@
     NameSet teams;
 };
 
-void readPlaces(DocumentReader &root, Inventory &inventory, Names &names)
+void readFailureDomains(DocumentReader &root, Inventory &inventory, Names &names)
 {
     for (DocumentReader &reader : root.objects("failure_domains")) {
         reader.allowOnly({"name"});
@@ -308,7 +308,7 @@
     inventory.name = root.text("name");
     inventory.clientLatencyUs = root.number("client_latency_us", 0, s_maxLatencyUs, 0);
     inventory.defaultLinkLatencyUs = root.number("default_link_latency_us", 0, s_maxLatencyUs, 0);
-    readPlaces(root, inventory, names);
+    readFailureDomains(root, inventory, names);
     readHosts(root, inventory, names);
     readTargets(root, inventory, names);
     readTeams(root, inventory, names);
--- a/src/tests/inventorytest.cpp
+++ b/src/tests/inventorytest.cpp
@@ -73,7 +73,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(brokenDocumentsAreRefused)
+BOOST_AUTO_TEST_CASE(invalidDocumentsAreRejected)
 {
     for (const char *text : {"", "[]", "{", "{\"name\": 3}", "{\"name\":\"x\",\"hosts\":{}}", "{\"name\":\"x\",\"hosts\":[1]}"}) {
         const InventoryReading reading = readInventory(text);
