--- a/src/link/framecodec.cpp
+++ b/src/link/framecodec.cpp
@@ -26,15 +26,15 @@
 };
 
 template<typename Pairs, typename From>
-auto translated(const Pairs &pairs, From from)
+auto translate(const Pairs &pairs, From from)
 {
-    for (const auto &[own, wired] : pairs) {
-        if constexpr (std::is_same_v<std::remove_const_t<decltype(own)>, From>) {
-            if (own == from) {
-                return wired;
+    for (const auto &[internalValue, wireValue] : pairs) {
+        if constexpr (std::is_same_v<std::remove_const_t<decltype(internalValue)>, From>) {
+            if (internalValue == from) {
+                return wireValue;
             }
-        } else if (wired == from) {
-            return own;
+        } else if (wireValue == from) {
+            return internalValue;
         }
     }
     if constexpr (std::is_same_v<std::remove_const_t<decltype(pairs.front().first)>, From>) {
@@ -65,20 +65,20 @@
 
     void operator()(const AnswerFrame::End &end) const
     {
-        wire::FrameEnd &wired = *message.mutable_end();
-        wired.set_end(toWire(end.end));
-        wired.set_charged(end.charged);
-        wired.set_data_bytes(end.dataBytes);
+        wire::FrameEnd &wireEnd = *message.mutable_end();
+        wireEnd.set_end(toWire(end.end));
+        wireEnd.set_charged(end.charged);
+        wireEnd.set_data_bytes(end.dataBytes);
         if (end.usage) {
-            wired.mutable_usage()->set_reported(true);
-            wired.mutable_usage()->set_prompt_tokens(end.usage->prompt);
-            wired.mutable_usage()->set_output_tokens(end.usage->output);
+            wireEnd.mutable_usage()->set_reported(true);
+            wireEnd.mutable_usage()->set_prompt_tokens(end.usage->prompt);
+            wireEnd.mutable_usage()->set_output_tokens(end.usage->output);
         }
     }
 
     void operator()(const AnswerFrame::Refused &refused) const
     {
-        message.set_refusal(translated(s_refusals, refused.reason));
+        message.set_refusal(translate(s_refusals, refused.reason));
     }
 };
 
@@ -86,7 +86,7 @@
 
 AnswerFrame::End fromWire(const wire::FrameEnd &message)
 {
-    AnswerFrame::End end{.end = translated(s_ends, message.end()), .charged = message.charged(), .dataBytes = message.data_bytes()};
+    AnswerFrame::End end{.end = translate(s_ends, message.end()), .charged = message.charged(), .dataBytes = message.data_bytes()};
     if (message.usage().reported()) {
         end.usage = TokenUsage{.prompt = message.usage().prompt_tokens(), .output = message.usage().output_tokens()};
     }
@@ -95,12 +95,12 @@
 
 RunEnd fromWire(wire::RunEnd end)
 {
-    return translated(s_ends, end);
+    return translate(s_ends, end);
 }
 
 wire::RunEnd toWire(RunEnd end)
 {
-    return translated(s_ends, end);
+    return translate(s_ends, end);
 }
 
 wire::Frame toWire(std::string_view requestId, const AnswerFrame &frame)
@@ -127,7 +127,7 @@
         frame.content = AnswerFrame::PromptCounted{.tokens = message.prompt_tokens()};
         break;
     case wire::Frame::kRefusal:
-        frame.content = AnswerFrame::Refused{.reason = translated(s_refusals, message.refusal())};
+        frame.content = AnswerFrame::Refused{.reason = translate(s_refusals, message.refusal())};
         break;
     case wire::Frame::kEnd:
         frame.content = fromWire(message.end());
--- a/src/link/linkhub.cpp
+++ b/src/link/linkhub.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr int s_unacknowledgedMs = 4000;
-constexpr int s_reconnectMs = 50;
-constexpr int s_reconnectMaxMs = 1000;
+constexpr int s_maxUnacknowledgedMs = 4000;
+constexpr int s_minReconnectIntervalMs = 50;
+constexpr int s_maxReconnectIntervalMs = 1000;
 /// Messages taken in one go before queued orders get their turn.
-constexpr int s_receiveBatch = 256;
+constexpr int s_maxMessagesPerReceive = 256;
 
 bool isControl(const wire::Envelope &message)
 {
@@ -66,9 +66,9 @@
     m_socket.set(zmq::sockopt::router_handover, true);
     // A peer whose host vanished closes nothing. ZeroMQ's own heartbeats would find out too, but libzmq 4.3.4 aborts (!_io_error) when one
     // fires on a connection that has just failed, so TCP does it: unacknowledged data for this long ends the connection.
-    m_socket.set(zmq::sockopt::tcp_maxrt, s_unacknowledgedMs);
-    m_socket.set(zmq::sockopt::reconnect_ivl, s_reconnectMs);
-    m_socket.set(zmq::sockopt::reconnect_ivl_max, s_reconnectMaxMs);
+    m_socket.set(zmq::sockopt::tcp_maxrt, s_maxUnacknowledgedMs);
+    m_socket.set(zmq::sockopt::reconnect_ivl, s_minReconnectIntervalMs);
+    m_socket.set(zmq::sockopt::reconnect_ivl_max, s_maxReconnectIntervalMs);
     try {
         m_socket.bind(m_options.endpoint);
     } catch (const zmq::error_t &error) {
@@ -82,7 +82,7 @@
 
 void LinkHub::wake()
 {
-    if (m_wakeDescriptor >= 0 && !m_awake.exchange(true)) {
+    if (m_wakeDescriptor >= 0 && !m_wakePending.exchange(true)) {
         const std::uint64_t one = 1;
         (void)!::write(m_wakeDescriptor, &one, sizeof(one));
     }
@@ -90,47 +90,47 @@
 
 void LinkHub::connect(std::string peer, std::string endpoint)
 {
-    m_orders.push({.kind = Order::Kind::Connect, .peer = std::move(peer), .content = std::move(endpoint)});
+    m_commands.push({.kind = Command::Kind::Connect, .peer = std::move(peer), .content = std::move(endpoint)});
     wake();
 }
 
 void LinkHub::disconnect(std::string peer, std::string endpoint)
 {
-    m_orders.push({.kind = Order::Kind::Disconnect, .peer = std::move(peer), .content = std::move(endpoint)});
+    m_commands.push({.kind = Command::Kind::Disconnect, .peer = std::move(peer), .content = std::move(endpoint)});
     wake();
 }
 
 void LinkHub::send(std::string_view peer, const wire::Envelope &message)
 {
-    Order order{.peer = std::string(peer)};
-    message.SerializeToString(&order.content);
+    Command command{.peer = std::string(peer)};
+    message.SerializeToString(&command.content);
     if (isControl(message)) {
-        m_controlBytes.fetch_add(order.content.size(), std::memory_order_relaxed);
+        m_controlBytes.fetch_add(command.content.size(), std::memory_order_relaxed);
     }
-    m_orders.push(std::move(order));
+    m_commands.push(std::move(command));
     wake();
 }
 
-void LinkHub::carryOut(Order &order)
+void LinkHub::execute(Command &command)
 {
-    if (order.kind == Order::Kind::Send) {
+    if (command.kind == Command::Kind::Send) {
         try {
-            m_socket.send(zmq::buffer(order.peer), zmq::send_flags::sndmore | zmq::send_flags::dontwait);
-            m_socket.send(zmq::buffer(order.content), zmq::send_flags::dontwait);
+            m_socket.send(zmq::buffer(command.peer), zmq::send_flags::sndmore | zmq::send_flags::dontwait);
+            m_socket.send(zmq::buffer(command.content), zmq::send_flags::dontwait);
         } catch (const zmq::error_t &) {
             m_dropped.fetch_add(1, std::memory_order_relaxed);
         }
         return;
     }
-    const bool connected = m_connected.contains(order.peer);
+    const bool connected = m_connected.contains(command.peer);
     try {
-        if (order.kind == Order::Kind::Connect && !connected) {
-            m_socket.set(zmq::sockopt::connect_routing_id, order.peer);
-            m_socket.connect(order.content);
-            m_connected.insert(order.peer);
-        } else if (order.kind == Order::Kind::Disconnect && connected) {
-            m_connected.erase(order.peer);
-            m_socket.disconnect(order.content);
+        if (command.kind == Command::Kind::Connect && !connected) {
+            m_socket.set(zmq::sockopt::connect_routing_id, command.peer);
+            m_socket.connect(command.content);
+            m_connected.insert(command.peer);
+        } else if (command.kind == Command::Kind::Disconnect && connected) {
+            m_connected.erase(command.peer);
+            m_socket.disconnect(command.content);
         }
     } catch (const zmq::error_t &) {
         m_dropped.fetch_add(1, std::memory_order_relaxed);
@@ -140,7 +140,7 @@
 void LinkHub::receive()
 {
     wire::Envelope message;
-    for (int taken = 0; taken < s_receiveBatch; ++taken) {
+    for (int taken = 0; taken < s_maxMessagesPerReceive; ++taken) {
         zmq::message_t peer;
         zmq::message_t content;
         if (!m_socket.recv(peer, zmq::recv_flags::dontwait)) {
@@ -171,10 +171,10 @@
             (void)!::read(m_wakeDescriptor, &ignored, sizeof(ignored));
         }
         // Cleared before the queue is emptied: an order pushed after this line wakes the thread again.
-        m_awake = false;
-        Order order;
-        while (m_orders.try_pop(order)) {
-            carryOut(order);
+        m_wakePending = false;
+        Command command;
+        while (m_commands.try_pop(command)) {
+            execute(command);
         }
         receive();
     }
--- a/src/link/linkhub.h
+++ b/src/link/linkhub.h
@@ -67,7 +67,7 @@
     }
 
 private:
-    struct Order {
+    struct Command {
         enum class Kind {
             Send,
             Connect,
@@ -81,16 +81,16 @@
 
     void run();
     void wake();
-    void carryOut(Order &order);
+    void execute(Command &command);
     void receive();
 
     Options m_options;
     Handler m_handler;
     zmq::context_t m_context;
     zmq::socket_t m_socket;
-    oneapi::tbb::concurrent_queue<Order> m_orders;
+    oneapi::tbb::concurrent_queue<Command> m_commands;
     absl::flat_hash_set<std::string> m_connected;
-    std::atomic<bool> m_awake = false;
+    std::atomic<bool> m_wakePending = false;
     std::atomic<bool> m_stopping = false;
     std::atomic<std::uint64_t> m_dropped = 0;
     std::atomic<std::uint64_t> m_controlBytes = 0;
