--- a/src/membership/evacuationnotice.h
+++ b/src/membership/evacuationnotice.h
@@ -5,7 +5,7 @@
 
 namespace bamboohold {
 
-/// What routers tell each other of evacuations, as messages.
+/// Converts the state of evacuations to and from the message that routers exchange.
 wire::EvacuationNotice toWire(const Evacuations::State &state);
 Evacuations::State fromWire(const wire::EvacuationNotice &notice);
 
--- a/src/membership/evacuationrows.h
+++ b/src/membership/evacuationrows.h
@@ -4,7 +4,7 @@
 
 namespace bamboohold {
 
-/// In the platform's table, a row for each failure domain that is evacuated: its key is this and the domain's name.
+/// Key prefix of the platform's table rows for evacuated failure domains; the name of the domain follows.
 inline constexpr std::string_view s_evacuationRowPrefix = "evacuation/";
 
 }
--- a/src/membership/evacuations.h
+++ b/src/membership/evacuations.h
@@ -7,32 +7,33 @@
 
 namespace bamboohold {
 
-/// Which failure domains the operators have evacuated: their targets take nothing new until the order is taken back.
+/// The failure domains that operators have evacuated: their targets receive no new requests until the order is revoked.
 ///
-/// A router learns of orders from the store and from peers, in any order. Each source tells the whole set as of a version of the store, and
-/// the newest version holds, so that neither a late notice nor a read by a slow way brings an older state back.
+/// A router learns of orders from the store and from peers, in any order. Each source reports the complete set of domains at a version of
+/// the store, and the newest version is in force, so that neither a late notice nor a read over a slow path restores an older state.
 class Evacuations
 {
 public:
-    /// The evacuated failure domains as of a version of the store.
+    /// The evacuated failure domains at a version of the store.
     struct State {
         std::uint64_t version = 0;
         std::set<std::string> domains;
     };
 
-    /// The table as of one moment; the domains that it has orders for.
+    /// Replaces the domains by those of a consistent read of the whole table. Takes effect with commitStoreVersion().
     void replaceStoreDomains(std::set<std::string> domains);
 
-    /// One order was given or taken back, after the last state that was read.
+    /// Applies an order that was given or revoked after the last state that was read. Takes effect with commitStoreVersion().
     void applyStoreChange(const std::string &domain, bool evacuated);
 
-    /// All that was read or changed so far is the store's state as of this version. True when it changes what is in force here.
+    /// Puts the rows applied so far in force as the store's state at this version, unless a newer state is in force. Returns whether the
+    /// evacuated domains changed.
     bool commitStoreVersion(std::uint64_t version);
 
-    /// A peer's state. True when it changes what is in force here.
+    /// Puts a peer's state in force, unless a newer one is. Returns whether the evacuated domains changed.
     bool applyPeerState(const State &state);
 
-    /// What is in force; none until the store or a peer has told.
+    /// The state in force; none until the first one from the store or a peer.
     const std::optional<State> &inForce() const
     {
         return m_inForce;
@@ -41,7 +42,7 @@
 private:
     bool adoptIfNewer(const State &state);
 
-    /// What the store's table has, as far as it was read.
+    /// The evacuated domains of the store's table, as far as its rows were applied.
     std::set<std::string> m_storeDomains;
     std::optional<State> m_inForce;
 };
--- a/src/membership/peerdirectory.h
+++ b/src/membership/peerdirectory.h
@@ -13,24 +13,27 @@
 
 namespace bamboohold {
 
-/// What a router knows of the other router incarnations: their rows in the table and their heartbeats.
+/// Tracks the other router incarnations by their rows in the table and by their heartbeats.
 ///
-/// Pure. An incarnation is suspected only when both its heartbeats and its row have stood still for the whole window: a router cut off from
-/// its peers still writes its row, one cut off from the table still sends heartbeats.
+/// An incarnation is suspected only if neither a heartbeat nor a change of its row was seen for the whole timeout: a router that is cut off
+/// from its peers still writes its row, and one that is cut off from the table still sends heartbeats.
+///
+/// Free of side effects: all events and the current time are passed in.
 class PeerDirectory
 {
 public:
     struct Options {
         std::string self;
-        /// Silence after which an incarnation is suspected.
+        /// An incarnation is suspected after this time without a heartbeat or a change of its row.
         Duration suspicionTimeout = std::chrono::seconds(15);
-        /// Extra time for each place in the order of live routers, so that they do not all set to work on one death.
+        /// Added to the timeout for each live router that precedes this one in the order of incarnations, so that not all routers start to
+        /// recover the same dead router.
         Duration suspicionStagger = std::chrono::seconds(1);
-        /// A peer heard of within this time can be asked for help.
+        /// A peer whose last message is at most this old can be asked to relay calls.
         Duration recentPeerWindow = std::chrono::seconds(3);
     };
 
-    /// A peer and where its link listens.
+    /// A peer and the address that its link listens on.
     struct Peer {
         std::string incarnation;
         std::string address;
@@ -38,22 +41,22 @@
 
     explicit PeerDirectory(Options options);
 
-    /// The rows of all incarnations, as just read.
+    /// Replaces the known incarnations by the rows of a read of the whole table.
     void updateRows(std::span<const TableRow> rows, Instant now);
 
-    /// A message of the peer arrived.
+    /// Records that a message of the peer arrived. Ignored for an incarnation without a row.
     void recordMessage(std::string_view peer, Instant now);
 
     /// Live incarnations other than this router.
     std::vector<Peer> peers() const;
 
-    /// Live incarnations, this one included.
+    /// Number of live incarnations, including this one.
     std::size_t liveRouterCount() const;
 
-    /// Peers heard of a moment ago.
+    /// Peers from which a message arrived within recentPeerWindow.
     std::vector<std::string> recentPeers(Instant now) const;
 
-    /// Incarnations that seem dead, with their rows.
+    /// Rows of the incarnations that are suspected to be dead.
     std::vector<TableRow> suspects(Instant now) const;
 
 private:
--- a/src/membership/peerlink.cpp
+++ b/src/membership/peerlink.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// Messages queued for one peer: calls are answered within tenths of a second or not at all, so older ones are worth nothing.
+/// Maximum number of messages queued for one peer. Calls time out after tenths of a second, so a longer queue would hold only messages that
+/// nobody waits for.
 constexpr int s_maxQueuedMessages = 1000;
 
 }
@@ -56,7 +57,7 @@
 
 void PeerLink::connect(const std::string &peer)
 {
-    // Two connections between one pair would fight over one name: only the lesser one connects.
+    // Two connections between the same peers would compete for one routing id, so only the peer with the lesser address connects.
     if (m_options.self < peer) {
         m_hub.connect(peer, absl::StrCat("tcp://", peer));
     }
@@ -158,7 +159,7 @@
         return;
     }
     const auto pending = m_pendingCalls.find(message.peer_answer().call_id());
-    // An answer after its call's time is up has nobody to take it: a loan in it stays counted as spent by its lender.
+    // Nobody receives an answer that arrives after the timeout of its call. A loan in it stays counted as spent by its lender.
     if (message.has_peer_answer() && pending != m_pendingCalls.end()) {
         pending->second->answer = message.peer_answer();
         pending->second->answerArrived.cancel();
--- a/src/membership/peerlink.h
+++ b/src/membership/peerlink.h
@@ -20,16 +20,16 @@
 
 namespace bamboohold {
 
-/// Calls and notices between routers that serve without sidecars. Peers are named by the address that their link listens on, which a
-/// restarted process keeps, so that connections find it again by themselves. Lives on one event loop; the link's thread only hands messages
-/// over.
+/// Sends calls and notices between routers that work without sidecars. A peer is identified by the address that its link listens on. A
+/// restarted process keeps that address, so connections are re-established without further action. Must be used on one event loop; the
+/// link's thread only posts messages to it.
 class PeerLink
 {
 public:
     struct Options {
         /// This router's link address, ADDRESS:PORT.
         std::string self;
-        /// Link addresses known before the store was read; some may be out of date.
+        /// Link addresses to connect to before the store was read; some may be outdated.
         std::vector<std::string> seeds;
     };
 
@@ -41,37 +41,38 @@
 
     PeerLink(boost::asio::any_io_executor executor, Options options);
 
-    /// Who answers peers' calls, and who hears of their configurations. Before open().
+    /// Sets the handlers for calls of peers and for notices of their configuration version. Must be called before open().
     void setCallHandler(CallHandler callHandler, PlanNoticeHandler onPlanNotice);
 
-    /// Who hears of targets that crashed, and of requests that are held back for it. Before open().
+    /// Sets the handlers for crashes of targets and for quarantined requests. Must be called before open().
     void setCrashHandlers(CrashHandler onCrash, QuarantineHandler onQuarantine);
 
-    /// Who hears of evacuations. Before open().
+    /// Sets the handler for evacuations. Must be called before open().
     void setEvacuationHandler(EvacuationHandler onEvacuation);
 
-    /// Listens; a taken address is an InvalidSetting.
+    /// Starts to listen and connects to the seeds. Fails with InvalidSetting if the address is in use.
     absl::Status open();
 
-    /// The routers that live, by link address; this one may be among them.
+    /// Replaces the peers by the live routers, given by link address; the list may contain this router.
     void setPeers(const std::vector<std::string> &peers);
 
-    /// Asks a peer. Failures: TargetLost with Executed::Unknown when no answer came in time.
+    /// Sends a call to a peer and waits for its answer. Fails with TargetLost and Executed::Unknown if no answer arrives within the
+    /// timeout.
     boost::asio::awaitable<absl::StatusOr<wire::PeerAnswer>> sendCall(std::string peer, wire::PeerCall call, Duration timeout);
 
-    /// Tells every peer which configuration is in force here.
+    /// Notifies every peer of the configuration version that is in force here.
     void announcePlan(std::uint64_t version);
 
-    /// Tells every peer what this router had under way at a target that crashed.
+    /// Notifies every peer of the requests that this router had in flight at a target that crashed.
     void announceCrash(wire::CrashNotice notice);
 
-    /// Tells every peer that a request is held back, or no longer is.
+    /// Notifies every peer that a request is quarantined or was released.
     void announceQuarantine(wire::QuarantineNotice notice);
 
-    /// Tells every peer which failure domains are evacuated.
+    /// Notifies every peer of the evacuated failure domains.
     void announceEvacuations(wire::EvacuationNotice notice);
 
-    /// The loop that answers and notices arrive on.
+    /// The event loop on which answers and notices are delivered.
     const boost::asio::any_io_executor &executor() const
     {
         return m_executor;
@@ -83,7 +84,7 @@
         return m_options.self;
     }
 
-    /// Peers by link address, this router left out.
+    /// Link addresses of the peers, without this router.
     std::vector<std::string> peers() const;
 
 private:
@@ -112,7 +113,7 @@
     std::set<std::string> m_peers;
     std::map<std::uint64_t, std::shared_ptr<PendingCall>> m_pendingCalls;
     std::uint64_t m_lastCall = 0;
-    /// Last, so that its thread ends before anything that it hands messages to.
+    /// Declared last, so that its thread ends before the members that it delivers messages to are destroyed.
     LinkHub m_hub;
 };
 
--- a/src/membership/planfetchscheduler.cpp
+++ b/src/membership/planfetchscheduler.cpp
@@ -75,7 +75,7 @@
     if (!m_firstNewer || now < storeWaitEnd()) {
         return std::nullopt;
     }
-    // Whoever can go on with a document that was begun comes first: nothing is sent twice.
+    // Peers that can continue a partially received document come first, so that no piece is transferred twice.
     const auto rank = [this](const auto &entry) {
         const bool isPartialSource = m_partialDocument.version != 0 && entry.first == m_partialDocumentSource;
         const bool hasPartialVersion = m_partialDocument.version != 0 && entry.second.version == m_partialDocument.version;
--- a/src/membership/planfetchscheduler.h
+++ b/src/membership/planfetchscheduler.h
@@ -10,49 +10,49 @@
 
 namespace bamboohold {
 
-/// A piece of a configuration document, as one peer sends it.
+/// A piece of a configuration document as sent by one peer.
 struct PlanPiece {
     std::uint64_t version = 0;
     std::string bytes;
-    /// Where the piece begins, and how long the document is; 0: the piece is all of it.
+    /// Position of the piece in the document and size of the document in bytes. A size of 0 means that the piece is the whole document.
     std::uint64_t offset = 0;
     std::uint64_t totalBytes = 0;
 };
 
-/// Decides when and from whom a router takes a configuration that peers have in force and the store has not brought.
+/// Schedules requests for a configuration that is in force at peers and has not arrived from the store.
 ///
-/// The store's own way comes first, and gets time by the size of the document in force: both ways share the router's link. Then one peer at
-/// a time is asked, for one piece at a time. Asked all at once for all of it, peers would fill a slow link with copies
-/// that nobody waits for any more, and every other call would time out behind them. What has come stays when a peer falls silent: another
-/// one goes on where it stopped.
+/// The store is preferred and gets time in proportion to the size of the document in force, because both transfers share the router's link.
+/// After that one peer at a time is asked for one piece at a time. If all peers were asked for the whole document at once, they would fill
+/// a slow link with copies that nobody waits for any more, and every other call would time out behind them. If a peer stops answering, the
+/// pieces received so far are kept and another peer continues from there.
 ///
-/// Pure: events and `now` in.
+/// Free of side effects: all events and the current time are passed in.
 class PlanFetchScheduler
 {
 public:
     struct Options {
-        /// This router's link address: peers with the same version are ranked differently by each router, so that one peer does not serve
-        /// all.
+        /// The link address of this router. Each router ranks peers with the same version differently, so that one peer does not serve all
+        /// routers.
         std::string self;
-        /// The store brings a small document within this.
+        /// Time within which a small document arrives from the store.
         Duration baseStoreWait = std::chrono::milliseconds(250);
-        /// And a large one at this speed or more, in bytes a second: half of what a link of 10 Mbit/s, the slowest known, carries as
-        /// base64.
+        /// Minimum rate, in bytes per second, at which a large document is assumed to arrive from the store: half of what a link of 10
+        /// Mbit/s, the slowest known, carries as base64.
         double storeBytesPerSecond = 0.45e6;
-        /// It is not waited for longer than this.
+        /// Maximum wait for the store.
         Duration maxStoreWait = std::chrono::seconds(3);
-        /// 26 ms of a link of 10 Mbit/s: calls behind a piece still come in time.
+        /// Takes 26 ms on a link of 10 Mbit/s, so that calls queued behind a piece do not time out.
         std::uint32_t pieceBytes = 32 * 1024;
-        /// A peer that did not answer, or that had no newer version after all, is left alone for this long.
+        /// Backoff of a peer that did not answer or turned out to have no newer version.
         Duration failedPeerBackoff = std::chrono::seconds(1);
     };
 
-    /// What to ask of whom.
+    /// A request for a piece, and the peer to send it to.
     struct PieceRequest {
         std::string peer;
-        /// The version in force here.
+        /// The version in force at this router.
         std::uint64_t newerThan = 0;
-        /// The document that was begun; 0 when none was.
+        /// Version of the partially received document; 0 if there is none.
         std::uint64_t version = 0;
         std::uint64_t offset = 0;
         std::uint32_t maxBytes = 0;
@@ -60,33 +60,33 @@
 
     explicit PlanFetchScheduler(Options options);
 
-    /// A peer has this version in force.
+    /// Records that a peer has this version in force.
     void recordPeerVersion(const std::string &peer, std::uint64_t version, Instant now);
 
-    /// This router has this version in force; its document is this long.
+    /// Records the version that is in force at this router and the size of its document.
     void setVersionInForce(std::uint64_t version, std::size_t documentBytes);
 
-    /// Whether the store can be waited for.
+    /// Sets whether the store is reachable. If it is not, the wait for it is only baseStoreWait.
     void setStoreReachable(bool reachable)
     {
         m_storeReachable = reachable;
     }
 
-    /// When next() is worth a call; none while nothing newer is known of.
+    /// When to call nextPieceRequest() next; none while no newer version is known.
     std::optional<Instant> nextRequestDue() const;
 
-    /// The next piece to ask for; none before its time, or while every peer that could help rests. One ask at a time: each is followed by
-    /// answered() or failed().
+    /// The next request to send; none before its time and while every peer with a newer version backs off. Only one request may be
+    /// outstanding: each must be followed by recordPiece() or recordRequestFailure().
     std::optional<PieceRequest> nextPieceRequest(Instant now) const;
 
-    /// The peer's answer. Returns the document once it is whole.
+    /// Records a piece received from the peer. Returns the document once it is complete. A piece that is of no use backs the peer off.
     std::optional<std::string> recordPiece(const std::string &peer, PlanPiece piece, Instant now);
 
-    /// The peer did not answer, or has no newer version.
+    /// Records that the peer did not answer or has no newer version, and backs it off.
     void recordRequestFailure(const std::string &peer, Instant now);
 
 private:
-    /// A version that was heard of, and when first.
+    /// A version, and when it first became known.
     struct KnownVersion {
         std::uint64_t version = 0;
         Instant since{};
@@ -109,11 +109,12 @@
     std::uint64_t m_versionInForce = 0;
     std::size_t m_documentBytes = 0;
     bool m_storeReachable = true;
-    /// The first version heard of that is newer than the one in force, and the newest: while changes follow each other, the time that the
-    /// store has counts from the first.
+    /// The first version recorded that is newer than the one in force, and the newest one. While changes follow each other, the wait for
+    /// the store counts from the first.
     std::optional<KnownVersion> m_firstNewer;
     std::optional<KnownVersion> m_newestKnown;
-    /// What has come of a document, and from whom. That peer keeps the document until it is whole here, also when it has a newer one.
+    /// The pieces of a document received so far, and their sender. The sender keeps that version until this router has all of it, even if a
+    /// newer one comes into force.
     PlanPiece m_partialDocument;
     std::string m_partialDocumentSource;
 };
--- a/src/membership/plansource.h
+++ b/src/membership/plansource.h
@@ -11,17 +11,19 @@
 
 namespace bamboohold {
 
-/// The configuration documents that this router gives to peers, piece by piece.
+/// The configuration documents that this router sends to peers in pieces.
 ///
-/// A peer that has begun one goes on with it while newer ones come into force: where changes follow each other faster than a document
-/// crosses the peer's link, it would begin anew for ever. A document that nobody asks for any more is let go.
+/// A peer that has received part of a document continues with that version even if newer ones come into force: if changes follow each other
+/// faster than a document crosses the peer's link, it would otherwise start over forever. A document that is not in force and that no peer
+/// requests any more is released.
 ///
-/// Pure: events and `now` in.
+/// Free of side effects: all events and the current time are passed in.
 class PlanSource
 {
 public:
     struct Options {
-        /// A peer that has asked for nothing for this long has got the document elsewhere, or is gone. Longer than a piece is waited for.
+        /// A peer that has requested nothing for this long has received the document from elsewhere or is gone. Must be longer than the
+        /// timeout for a piece.
         Duration transferTimeout = std::chrono::seconds(5);
     };
 
@@ -35,17 +37,17 @@
     {
     }
 
-    /// The document in force here.
+    /// Sets the document in force at this router.
     void set(std::uint64_t version, std::string document);
 
-    /// The size of the document in force.
+    /// Size of the document in force in bytes.
     std::size_t documentBytes() const
     {
         return m_newest ? m_newest->text.size() : 0;
     }
 
-    /// The piece that the peer asks for: of the document that it has begun, or else from the beginning of the newest. None when the peer
-    /// has that version already. `mostBytes` 0 asks for the whole.
+    /// The requested piece: of the document that the peer has received in part, otherwise the beginning of the newest one. None if the peer
+    /// already has that version. A `maxBytes` of 0 requests the whole document.
     std::optional<PlanPiece> piece(const PlanFetchScheduler::PieceRequest &request, Instant now);
 
 private:
@@ -61,7 +63,7 @@
 
     Options m_options;
     std::shared_ptr<const Document> m_newest;
-    /// By peer. Shared, because several peers may have begun the same one.
+    /// Transfers in progress by peer. Documents are shared because several peers may be receiving the same one.
     std::map<std::string, Transfer> m_transfers;
 };
 
--- a/src/membership/reclaimservice.cpp
+++ b/src/membership/reclaimservice.cpp
@@ -92,8 +92,8 @@
         if (verdict.ok() && verdict->applied) {
             co_return verdict;
         }
-        // The first row names reclaimer, epoch and ledger page, so finding it as this transaction writes it means that an earlier try took
-        // effect.
+        // The first row names the reclaimer, the epoch and the ledger page. If it reads as this transaction writes it, an earlier attempt
+        // whose answer was lost has taken effect.
         const auto row = co_await m_platform.readOne(transaction.operations.front().key);
         if (row.ok() && row->version != 0 && row->fields == transaction.operations.front().fields) {
             co_return TableVerdict{.applied = true, .versions = {row->version}};
--- a/src/membership/reclaimservice.h
+++ b/src/membership/reclaimservice.h
@@ -12,9 +12,9 @@
 
 namespace bamboohold {
 
-/// Drives Reclamation for one suspect at a time.
+/// Runs Reclamation for one suspected router at a time.
 ///
-/// Lock: m_mutex guards the reclamation under way; it is never held across a wait.
+/// Locking: m_mutex guards the reclamation in progress and is never held across a suspension point.
 class ReclaimService
 {
 public:
@@ -22,23 +22,24 @@
         std::string reclaimer;
         Duration probeTimeout = std::chrono::seconds(1);
         Duration sealInterval = std::chrono::milliseconds(500);
-        /// Time for all sidecars to answer before the next suspect gets its turn. One whose witnesses are missing must not keep the others
-        /// waiting.
+        /// Maximum time for all sidecars to answer before the next suspect is handled, so that one suspect with unreachable sidecars does
+        /// not delay the others.
         Duration sealTimeout = std::chrono::seconds(10);
     };
 
     ReclaimService(PlatformClient &platform, Options options);
 
-    /// The link to send on; set before the first reclamation.
+    /// Sets the link to send on. Must be called before the first reclamation.
     void setLink(LinkHub *link);
 
-    /// Recovers what a suspect held; returns when it is closed, alive after all, or taken over by another router.
+    /// Recovers the grants of a suspect. Returns once its row is closed, it turned out to be alive, another router has taken over, or
+    /// sidecars did not answer in time.
     asio::awaitable<void> reclaim(TableRow suspect, std::vector<std::string> targets);
 
-    /// A sidecar answered a probe or a seal.
+    /// Handles the answer of a sidecar to a probe or a seal.
     void onSealAnswer(const wire::SealAnswer &answer);
 
-    /// Reclamations that came to their end.
+    /// Number of reclamations that ended with a closed row.
     std::uint64_t reclaimedCount() const
     {
         return m_reclaimedCount;
--- a/src/membership/reclamation.cpp
+++ b/src/membership/reclamation.cpp
@@ -18,7 +18,7 @@
     if (m_nodeRow.version == 0 || state == "closed") {
         m_phase = Phase::Closed;
     } else if (state == "sealing") {
-        // An earlier reclaimer has declared it dead: that stands, and only the work is taken over.
+        // An earlier reclaimer has already declared the incarnation dead. The declaration stands; this one takes over its work.
         m_phase = Phase::Declaring;
     }
 }
@@ -73,7 +73,7 @@
 void Reclamation::probeEnded()
 {
     if (m_phase == Phase::Probing) {
-        // Nobody to ask means that the asker may be the one that is cut off.
+        // If no sidecar answers, this router may be the one that is cut off.
         m_phase = m_answers.empty() ? Phase::Abandoned : Phase::Declaring;
         m_answers.clear();
     }
@@ -123,8 +123,8 @@
         return;
     }
     if (!verdict.applied) {
-        // The row moved: its holder flushed and lives, or another reclaimer was quicker, or this one's earlier answer was lost. All are
-        // found out by reading the row again.
+        // The row has changed: its owner has flushed and is alive, another reclaimer was faster, or an earlier attempt of this one took
+        // effect and its answer was lost. Reading the row again tells which.
         m_phase = Phase::Abandoned;
         return;
     }
@@ -194,7 +194,7 @@
             charged += charge.tokens;
             page.charges.push_back(std::move(charge));
         }
-        // Reservations never exceed the grant they are made against.
+        // Reservations never exceed the grant that they are made against.
         assert(charged <= unspent);
         const std::string key = budgetKey(budget);
         operations.push_back(addToField(key, "free", unspent - charged, 0));
@@ -204,14 +204,15 @@
     }
     const bool last = count == m_grants.size();
     if (last) {
-        // Calls that cost nothing have no grant to be charged to; they still get their line.
+        // Calls that cost nothing have no grant to be charged against, but are still recorded in the ledger.
         for (Charge &charge : zeroTokenCharges()) {
             page.charges.push_back(std::move(charge));
         }
     }
     std::string ledger = page.previous;
     if (!page.charges.empty()) {
-        // Each step has a page of its own: a reclaimer that dies between two steps leaves no run billed whose tokens have not moved.
+        // Each step has its own ledger page, so that a reclaimer that dies between two steps leaves no run recorded as billed whose tokens
+        // were not deducted.
         step.objectKey = ledgerKey(m_options.incarnation, absl::StrCat("r", m_epoch, "-", m_step));
         step.object = serializeLedgerPage(page);
         ledger = step.objectKey;
--- a/src/membership/reclamation.h
+++ b/src/membership/reclamation.h
@@ -16,54 +16,54 @@
 
 namespace bamboohold {
 
-/// A sidecar's answer about a router incarnation.
+/// The answer of a sidecar about a router incarnation.
 struct SidecarAnswer {
     std::string target;
     std::uint64_t epoch = 0;
     SealVerdict verdict;
 };
 
-/// A transaction that closes part of a dead incarnation's grants, and the ledger page that must be stored before it is sent.
+/// A transaction that closes some grants of a dead incarnation, and the ledger page that must be stored before the transaction is sent.
 struct ClosingStep {
     std::string objectKey;
     std::string object;
     TableTransaction transaction;
 };
 
-/// The recovery of what one dead router incarnation held: from the suspicion to the row that says closed.
+/// Recovers the grants of one dead router incarnation, from the suspicion until its row is closed.
 ///
-/// The order makes it safe. First every sidecar that answers must agree that the incarnation is silent. Then the table's row is moved from
-/// live to sealing over its exact version, which fences the holder's flushes. Then every sidecar is told to run nothing more for it and
-/// says what it ran; only when all of them have answered, with nothing running, is it known what the holder spent, and the rest goes back
-/// to the budgets. A target that cannot answer keeps the grants held: counted as spent, never granted twice. Any router can take over from
-/// a reclaimer that dies on the way.
+/// The order of the steps makes this safe. First, no sidecar that answers may have heard from the incarnation recently. Then its row in the
+/// table is changed from live to sealing, conditional on the exact version of the row, which fences off flushes of the incarnation. Then
+/// every sidecar is told to run nothing more for it and reports what it ran. Only after all of them have answered, with nothing still
+/// running, is it known what the incarnation spent, and the rest is returned to the budgets. If a target cannot answer, the grants stay
+/// held: they are counted as spent and never granted twice. If a reclaimer dies before the end, any router can take over.
 ///
-/// Pure: the driver sends what the steps ask for and feeds back answers.
+/// Free of side effects: the caller sends what each step requires and passes in the answers.
 class Reclamation
 {
 public:
-    /// How far the recovery has come.
+    /// Progress of the recovery.
     enum class Phase {
         Probing,
         Declaring,
         Sealing,
         Closing,
         Closed,
-        /// The incarnation lives, or another router is at work on it.
+        /// The incarnation is alive, or another router recovers it.
         Abandoned,
     };
 
     struct Options {
         std::string incarnation;
-        /// The router that does the work.
+        /// The incarnation of the router that performs the recovery.
         std::string reclaimer;
         /// All targets that the incarnation may have used.
         std::vector<std::string> targets;
-        /// Grants closed in one transaction.
+        /// Maximum number of grants closed by one transaction.
         std::size_t grantsPerStep = 24;
     };
 
-    /// Begins from the incarnation's row as just read.
+    /// Starts from the incarnation's row as just read.
     Reclamation(Options options, TableRow nodeRow);
 
     Phase phase() const
@@ -71,38 +71,38 @@
         return m_phase;
     }
 
-    /// Epoch to put into seals: 0 while probing.
+    /// The epoch to send in seals; 0 while probing.
     std::uint64_t epoch() const;
 
-    /// Targets whose answer is still missing.
+    /// Targets whose sidecars have not answered yet.
     std::vector<std::string> missingTargets() const;
 
-    /// A sidecar answered.
+    /// Records the answer of a sidecar.
     void onSidecarAnswer(const SidecarAnswer &answer);
 
-    /// The time for probing is over: goes on when somebody answered and nobody heard the incarnation.
+    /// Ends the probing: the recovery continues if at least one sidecar answered and none has heard from the incarnation.
     void probeEnded();
 
     /// While Declaring: the transaction that marks the row as sealing.
     TableTransaction declaration() const;
 
-    /// The table's answer to the declaration.
+    /// Records the table's answer to the declaration.
     void onDeclared(const TableVerdict &verdict);
 
-    /// Flush number from which the ledger may hold charges of the reported runs.
+    /// Number of the earliest flush whose ledger page may contain charges of the reported runs.
     std::uint64_t earliestFlush() const;
 
-    /// While Closing: takes over the charges that the incarnation itself billed since earliestFlush() and its grant rows as just read.
+    /// While Closing: set the requests that the incarnation itself has billed since earliestFlush(), and its grant rows as just read.
     void setBilledRequests(absl::flat_hash_set<std::string> billed);
     void setGrants(std::vector<TableRow> grants);
 
-    /// While Closing: the next step, the last of which marks the row as closed.
+    /// While Closing: the next step; the last one marks the row as closed.
     ClosingStep nextClosingStep() const;
 
-    /// The table's answer to a closing step.
+    /// Records the table's answer to a closing step.
     void onClosed(const ClosingStep &step, const TableVerdict &verdict);
 
-    /// Runs that the reclamation has billed or found billed, by target: their sidecars can forget them.
+    /// Requests whose runs the reclamation has billed or found billed, by target. Their sidecars can drop the records of them.
     std::map<std::string, std::vector<std::string>> settledRuns() const;
 
 private:
--- a/src/membership/relayedstore.h
+++ b/src/membership/relayedstore.h
@@ -19,7 +19,7 @@
 
 namespace bamboohold {
 
-/// Conversions between rows and their form on the link.
+/// Conversions between rows and their messages on the link.
 wire::StoreTransaction toWire(const RowTransaction &transaction);
 RowTransaction fromWire(const wire::StoreTransaction &message);
 wire::StoreAnswer toWire(const RowVerdict &verdict);
@@ -27,28 +27,29 @@
 RowVerdict verdictFromWire(const wire::StoreAnswer &message);
 RowsRead readFromWire(const wire::StoreAnswer &message);
 
-/// A store that is reached directly, or while the direct way is cut through a relay beside a target, or through a peer. A transaction may
-/// be sent several ways: it is conditional, and its sender recognises a copy that took effect before.
+/// A store that is reached directly or, while the direct path is down, through a relay beside a target or through a peer. A transaction may
+/// be sent over several paths, because it is conditional and its sender recognises a copy that took effect earlier.
 template<RowStore Store>
 class RelayedStore
 {
 public:
     struct Options {
-        /// A peer's call to the store takes as long as an own one.
+        /// Timeout of a call through a peer; the peer's call to the store takes as long as one of this router.
         Duration peerCallTimeout = std::chrono::milliseconds(700);
-        /// While no peer reaches the store either, they are asked this often.
+        /// If no peer reaches the store either, peers are not asked again for this long.
         Duration peerRetryInterval = std::chrono::milliseconds(400);
-        /// Peers tried for one call: they are told apart only by asking. 0: none.
+        /// Maximum number of peers tried for one call; whether a peer reaches the store is known only after asking it. 0 disables calls
+        /// through peers.
         std::size_t maxPeersTried = 3;
-        /// Relays tried for one call: the second stands in for one that has just gone.
+        /// Maximum number of relays tried for one call: the second covers a relay that has just failed.
         std::size_t maxRelaysTried = 2;
-        /// When no relay helped, the store itself is most likely away; relays are left alone for this long.
+        /// If no relay reached the store, the store itself is probably down, and relays are not tried again for this long.
         Duration relayRetryInterval = std::chrono::milliseconds(300);
-        /// While the direct way is cut, it is tried this often.
+        /// While the direct path is down, it is probed at this interval.
         Duration directProbeInterval = std::chrono::milliseconds(300);
     };
 
-    /// Opens the store by way of a relay at this address; null when there is no such way.
+    /// Opens the store through the relay at this address; null if that is not possible.
     using OpenRelayStore = std::function<std::unique_ptr<Store>(const std::string &relay)>;
 
     RelayedStore(Store &direct, PeerLink &link, Options options)
@@ -64,7 +65,7 @@
     {
     }
 
-    /// From now on calls may take the relays that `detours` knows. It outlives this.
+    /// Makes calls use the relays that `relaySelector` selects. It must outlive this object.
     void setRelays(RelaySelector &relaySelector, OpenRelayStore open)
     {
         m_relaySelector = &relaySelector;
@@ -132,14 +133,14 @@
         if (triedDirect) {
             co_return failed(FailureKind::TableUnreachable, "neither directly nor through a peer");
         }
-        // Somebody has to find out when the direct way is open again.
+        // Nothing was tried directly in this call, so this attempt detects whether the direct path works again.
         absl::StatusOr<RowsRead> rows = co_await m_direct.read(table, part);
         recordDirectOutcome(rows.status());
         co_return rows;
     }
 
-    /// Changes are followed directly or through a relay, not through peers; without relays, whoever follows finds out when the direct way
-    /// is open again.
+    /// Follows changes directly or through a relay, but not through peers. Without relays the direct path is tried each time, which detects
+    /// whether it works again.
     boost::asio::awaitable<absl::StatusOr<RowsFeed>> follow(const std::string &table, std::uint64_t version, Duration wait)
     {
         if (!m_directReachable) {
@@ -156,7 +157,7 @@
         co_return feed;
     }
 
-    /// Carries a peer's call, directly or not at all.
+    /// Executes a peer's store call over the direct path only. The answer is not done if that path is down.
     boost::asio::awaitable<wire::PeerAnswer> executeForPeer(wire::PeerCall call)
     {
         wire::PeerAnswer answer;
@@ -184,7 +185,7 @@
         co_return answer;
     }
 
-    /// True while the store answers this process itself.
+    /// True while this process reaches the store directly.
     bool directReachable() const
     {
         return m_directReachable;
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Tries the direct way until it is open again: with relays that answer, nobody else would.
+    /// Probes the direct path until it works again. While relays answer, no other call would try it.
     boost::asio::awaitable<void> probeDirectPath()
     {
         const std::string emptyPart;
@@ -213,7 +214,7 @@
         m_probingDirectPath = false;
     }
 
-    /// What the store said by way of a relay; none when there is no relay to try.
+    /// The store's answer through a relay; none if there is no relay to try.
     template<typename Answer, typename Send>
     boost::asio::awaitable<std::optional<absl::StatusOr<Answer>>> callThroughRelay(Send send)
     {
@@ -257,7 +258,7 @@
         return m_relayStore;
     }
 
-    /// The relay did not help. Calls that were made at the same time may have noticed it first.
+    /// Records the failure of a relay and stops using it, unless a concurrent call has already done so.
     void abandonRelay(const std::string &relay)
     {
         m_relaySelector->recordRelayFailure(relay, steadyNow());
@@ -267,7 +268,7 @@
         }
     }
 
-    /// The store's answer through some peer, or whether the call may have taken effect.
+    /// The store's answer through a peer, or whether the call may have been executed.
     boost::asio::awaitable<std::pair<Executed, std::optional<wire::StoreAnswer>>> callThroughPeer(wire::PeerCall call)
     {
         std::pair<Executed, std::optional<wire::StoreAnswer>> result{Executed::No, std::nullopt};
@@ -276,7 +277,7 @@
         }
         std::vector<std::string> peers = m_link.peers();
         std::shuffle(peers.begin(), peers.end(), m_random);
-        // The last one that helped is asked first.
+        // The peer that succeeded last is asked first.
         std::stable_partition(peers.begin(), peers.end(), [this](const std::string &peer) {
             return peer == m_lastSuccessfulPeer;
         });
@@ -296,13 +297,13 @@
         co_return result;
     }
 
-    /// A read of an empty table costs the store as little as anything.
+    /// Reading an empty table is the cheapest call.
     static constexpr std::string_view s_probeTable = "probe";
 
     Store &m_direct;
     PeerLink &m_link;
     Options m_options;
-    /// The relays, and the way through the one in use.
+    /// The relays, and the connection through the one in use.
     RelaySelector *m_relaySelector = nullptr;
     OpenRelayStore m_openRelayStore;
     std::shared_ptr<Store> m_relayStore;
--- a/src/membership/relayselector.cpp
+++ b/src/membership/relayselector.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Beyond this, doubling a rest makes no difference any more.
+/// Avoids overflow: with the default options the backoff has reached its maximum before that.
 constexpr std::uint32_t s_maxBackoffDoublings = 6;
 
 }
@@ -27,7 +27,7 @@
     }
     Relay &known = m_relays[target];
     if (known.address != relay) {
-        // Another host: what was learned of the one before does not hold for it.
+        // The relay runs on another host, so the failures of the previous one do not apply to it.
         known = {.address = relay};
     }
     known.failureDomain = failureDomain;
--- a/src/membership/relayselector.h
+++ b/src/membership/relayselector.h
@@ -9,41 +9,43 @@
 
 namespace bamboohold {
 
-/// The relays by which a router may reach the store while its own path there is cut, and the choice among them.
+/// Selects the relay through which a router reaches the store while its direct path is down.
 ///
-/// Relays run beside targets, and the list of targets names them. Where none runs, at a plain service for instance, a connection is refused
-/// at once and the address rests; the rest doubles with each failure. Relays of the router's own failure domain come first, since traffic
-/// between domains is paid for; among equals each router prefers another one, so that a cut of many routers spreads over all relays.
+/// Relays run beside targets and are listed with them. If no relay runs beside a target, for example beside a plain service, connections to
+/// the listed address are refused immediately, and the address backs off; the backoff doubles with each failure. Relays in the router's own
+/// failure domain come first, because traffic between domains costs money. Among equal relays each router prefers a different one, so that
+/// many routers that are cut off together spread over all relays.
 ///
-/// Pure: events and `now` in.
+/// Free of side effects: all events and the current time are passed in.
 class RelaySelector
 {
 public:
     struct Options {
-        /// This router's link address, and where it stands.
+        /// The link address of this router and its failure domain.
         std::string self;
         std::string failureDomain;
-        /// How long a relay that failed is left alone, at first and at most. Cuts last seconds, and another relay is there as a rule.
+        /// Backoff after the first failure of a relay, and its upper limit. Outages last seconds, and another relay is usually available.
         Duration initialRelayBackoff = std::chrono::seconds(1);
         Duration maxRelayBackoff = std::chrono::seconds(30);
     };
 
     explicit RelaySelector(Options options);
 
-    /// A target is listed, with the address at which a relay beside it listens. An empty address counts as none.
+    /// Adds a target with the address of the relay beside it, or replaces that address. An empty address means that there is no relay and
+    /// is ignored.
     void addTargetRelay(const std::string &target, const std::string &relay, const std::string &failureDomain);
 
-    /// A target is listed no longer.
+    /// Removes a target that is no longer listed.
     void removeTargetRelay(const std::string &target);
 
-    /// The relay to try next; none while all of them rest.
+    /// The relay to try next; none while all of them back off.
     std::optional<std::string> choose(Instant now) const;
 
-    /// How a call through the relay went.
+    /// Records the result of a call through a relay.
     void recordRelayFailure(const std::string &relay, Instant now);
     void recordRelaySuccess(const std::string &relay);
 
-    /// True when no target is listed, so that there is no second way at all.
+    /// True if no relay is listed, so that the store can be reached only directly or through a peer.
     bool empty() const
     {
         return m_relays.empty();
@@ -58,7 +60,7 @@
     };
 
     Options m_options;
-    /// By target.
+    /// Relays by target name.
     std::map<std::string, Relay> m_relays;
 };
 
--- a/src/membership/routerregistry.h
+++ b/src/membership/routerregistry.h
@@ -16,22 +16,22 @@
 
 namespace bamboohold {
 
-/// Counts the routers that live: each writes a row now and then, and reads the others'. The count only sizes shares of budgets and of
-/// retries; nothing that must hold depends on it.
+/// Counts the live routers: each one writes a row periodically and reads the rows of the others. The count is used only to size shares of
+/// budgets and retries; no guarantee depends on it.
 template<RowStore Store>
 class RouterRegistry
 {
 public:
     struct Options {
-        /// The address of this router's link; peers know it by that.
+        /// The address of this router's link, by which peers identify it.
         std::string router;
-        /// Told who lives, this router included, after each count.
+        /// Called with the live routers, including this one, after each count.
         std::function<void(const std::vector<std::string> &)> onCounted;
         Duration interval = std::chrono::seconds(4);
-        /// A row not written for three intervals is a router that is gone.
+        /// A router whose row is older than this is gone. Covers three intervals.
         Duration rowTimeout = std::chrono::seconds(12);
-        /// Where all routers start together, the first count waits this long for the others' rows: they start within a few tenths of a
-        /// second of each other, and take up to a second to come up on a slow host.
+        /// If all routers start together, the first count waits this long for the rows of the others. They start within a few tenths of a
+        /// second of each other and take up to a second to come up on a slow host.
         Duration startupWait = std::chrono::milliseconds(1500);
     };
 
@@ -41,11 +41,11 @@
     {
     }
 
-    /// Writes and counts for as long as the process. `together`: all routers start now.
+    /// Writes the row and counts the routers until deregister() is called. `simultaneousStart`: all routers are starting now.
     boost::asio::awaitable<void> run(bool simultaneousStart)
     {
         if (!simultaneousStart) {
-            // The others' rows are there already; a write that gets lost must not keep this router from counting them.
+            // The rows of the others already exist. Counting first ensures that a failed write does not delay it.
             co_await countRouters();
         }
         while (!m_deregistering) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes this router's row away.
+    /// Removes this router's row.
     boost::asio::awaitable<void> deregister()
     {
         m_deregistering = true;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Routers that live, this one included; 1 until the first count.
+    /// Number of live routers, including this one; 1 until the first count.
     std::size_t routers() const
     {
         return m_routers;
@@ -135,8 +135,8 @@
         co_return true;
     }
 
-    /// Whether a row names a router that lives. One that names no address, or a time that is none or far ahead, comes from somewhere else:
-    /// it would be counted, connected to and asked for loans by every router for as long as it stands.
+    /// Whether a row belongs to a live router. A row whose key is not an address, or whose time is not a number or far in the future, was
+    /// written by something else. Every router would count it, connect to it and ask it for loans for as long as the row exists.
     bool isLive(const StoredRow &row, StoreTimeMs now) const
     {
         StoreTimeMs writtenAt = 0;
@@ -149,7 +149,7 @@
             return false;
         }
         const StoreTimeMs rowTimeout = std::chrono::duration_cast<std::chrono::milliseconds>(m_options.rowTimeout).count();
-        // A row written before the router knew the store's time counts as just written.
+        // A router writes 0 until it knows the store's time, so such a row counts as just written.
         return writtenAt == 0 || (writtenAt >= now - rowTimeout && writtenAt <= now + rowTimeout);
     }
 
@@ -166,7 +166,7 @@
     StoreTimeMs m_storeTime = 0;
     Instant m_storeTimeAt{};
     std::size_t m_routers = 1;
-    /// Of the rows that cannot be read, the newest that the log has told of.
+    /// The newest version among the invalid rows that were logged.
     mutable std::uint64_t m_newestInvalidVersion = 0;
     bool m_hasCounted = false;
     bool m_deregistering = false;
--- a/src/membership/settlementtracker.h
+++ b/src/membership/settlementtracker.h
@@ -9,21 +9,24 @@
 
 namespace bamboohold {
 
-/// Finds out when a router has settled all that it gave to earlier processes at a target whose sidecar was replaced. Until the new sidecar
-/// knows that, it cannot vouch for what the router spent, and a reclaimer would have to hold the router's grants.
+/// Tracks when a router has settled all requests that it sent to earlier processes at a target whose sidecar was replaced. Until the new
+/// sidecar knows that, it cannot vouch for the tokens that the router spent, and a reclaimer has to keep the router's grants held.
 ///
-/// Pure. Three steps for each new incarnation: it is seen; all requests that began before are over; a flush that began after that is
-/// applied.
+/// Three things have to happen for each new incarnation of a target: a report names it, all requests that began before that report end, and
+/// a flush that began after their end is applied.
+///
+/// Free of side effects: all events and the current time are passed in.
 class SettlementTracker
 {
 public:
-    /// A report of the target's sidecar came.
+    /// Records the incarnation named by a report of the target's sidecar.
     void recordIncarnation(std::string_view target, std::string_view incarnation, Instant now);
 
-    /// What the router knows now: when its oldest request in flight began, and its flush numbers.
+    /// Updates all targets from the start of the router's oldest request in flight (none if it has none), the number of its next flush and
+    /// that of its last applied flush.
     void updateProgress(std::optional<Instant> oldestRequestStart, std::uint64_t nextFlush, std::uint64_t appliedFlush);
 
-    /// The target's incarnation before which everything is settled; empty while that is not sure.
+    /// The target's incarnation if everything sent to earlier ones is settled, otherwise empty.
     std::string settledBefore(std::string_view target) const;
 
 private:
--- a/src/membership/storerelay.cpp
+++ b/src/membership/storerelay.cpp
@@ -9,7 +9,7 @@
 
 namespace bamboohold {
 
-/// A relayed call that waits for its answer. Shared by the caller's coroutine and the table through which the answer finds it.
+/// A relayed call that waits for its answer. Shared by the caller's coroutine and the map that assigns answers to calls.
 struct StoreRelay::PendingCall {
     explicit PendingCall(const asio::any_io_executor &loop)
         : timer(loop)
--- a/src/membership/storerelay.h
+++ b/src/membership/storerelay.h
@@ -12,38 +12,38 @@
 
 namespace bamboohold {
 
-/// The way to the platform through a peer. A router that cannot reach the table sends its calls through one that can, so that draws,
-/// settlements and top-ups go on through a partition that cuts only some routers off. Nothing else is needed for safety: a relayed
-/// transaction is the same transaction.
+/// Reaches the platform through a peer. A router that cannot reach the table sends its calls through a peer that can, so that draws,
+/// settlements and top-ups continue during a partition that cuts off only some routers. This needs no further safety measures, because a
+/// relayed transaction is the same transaction.
 ///
-/// Lock: m_mutex guards the calls under way.
+/// Locking: m_mutex guards the calls in progress.
 class StoreRelay
 {
 public:
     struct Options {
         Duration timeout = std::chrono::seconds(2);
-        /// Peers asked before a call is given up.
+        /// Maximum number of peers asked for one call.
         std::size_t maxPeersAsked = 2;
     };
 
-    /// Peers that were heard of a moment ago.
+    /// Returns the peers from which a message arrived recently.
     using RecentPeerSource = std::function<std::vector<std::string>()>;
 
     StoreRelay(asio::any_io_executor loop, PlatformClient &platform, RecentPeerSource recentPeers, Options options);
 
-    /// The link to send on; set before the first call.
+    /// Sets the link to send on. Must be called before the first call.
     void setLink(LinkHub *link);
 
-    /// Carries a call through a peer; TableUnreachable when no peer reaches the platform either.
+    /// Sends a call through a peer. Fails with TableUnreachable if no peer reaches the platform either.
     asio::awaitable<absl::StatusOr<HttpReply>> call(HttpCallOptions options);
 
-    /// A peer asks this router to carry a call. Called on the link's thread.
+    /// Executes a peer's call. Called on the link's thread.
     void onRequest(std::string_view peer, wire::RelayRequest request);
 
-    /// A peer's answer. Called on the link's thread.
+    /// Handles a peer's answer to a call of this router. Called on the link's thread.
     void onAnswer(wire::RelayAnswer answer);
 
-    /// Calls that went through a peer.
+    /// Number of calls that were answered through a peer.
     std::uint64_t relayedCallCount() const
     {
         return m_relayedCallCount;
