--- a/src/tests/detourstest.cpp
+++ b/src/tests/detourstest.cpp
@@ -33,8 +33,8 @@
     BOOST_TEST(selector.empty());
 }
 
-// A router asks the same dead relay again and again while the store is one hop away. Relays that failed rest, each time for longer, and the
-// next one is tried; one that works again starts over.
+// Guards against a router that keeps calling a dead relay while another one could reach the store. Failed relays back off for increasing
+// times and the next one is tried; a success resets the backoff.
 BOOST_AUTO_TEST_CASE(failedRelaysBackOff)
 {
     RelaySelector selector = relaySelector();
@@ -56,7 +56,7 @@
     BOOST_TEST(selector.choose(afterBackoff + std::chrono::milliseconds(2001)).value() == second);
 }
 
-// All routers of a failure domain are cut off at once. They do not all take the same relay.
+// Guards against all routers of a failure domain choosing the same relay when they are cut off together.
 BOOST_AUTO_TEST_CASE(routersSpreadOverRelays)
 {
     std::set<std::string> chosen;
--- a/src/tests/evacuationstest.cpp
+++ b/src/tests/evacuationstest.cpp
@@ -15,12 +15,12 @@
 
 BOOST_AUTO_TEST_SUITE(EvacuationsTest)
 
-// Guards against an order that a late notice or a slow read brings back after it was taken back, or takes back after it was given again.
+// Guards against a late notice or a slow read that restores an order after it was revoked, or revokes one that was given again.
 BOOST_AUTO_TEST_CASE(newestStateIsInForceInAnyOrder)
 {
     const bool held = rc::check("the newest version heard of is in force", [] {
         Evacuations evacuations;
-        // The store's own history; its version is the index.
+        // The history of the store; the index is the version.
         std::vector<Domains> history{{}};
         for (const auto &[domain, evacuated] :
              *rc::gen::container<std::vector<std::pair<int, bool>>>(rc::gen::pair(rc::gen::inRange(0, 3), rc::gen::arbitrary<bool>()))) {
@@ -39,7 +39,7 @@
                 evacuations.applyPeerState({.version = drawn, .domains = history[drawn]});
                 newest = std::max(newest, drawn);
             } else {
-                // The store's table is read whole, or followed, from where this router was.
+                // The router reads the store's table as a whole, or follows its changes from the version that it has.
                 read = std::max(read, drawn);
                 if (kind == 1) {
                     evacuations.replaceStoreDomains(history[read]);
--- a/src/tests/handovertest.cpp
+++ b/src/tests/handovertest.cpp
@@ -6,8 +6,9 @@
 
 BOOST_AUTO_TEST_SUITE(HandoverTest)
 
-// Tokens would be given back although a replaced sidecar's runs were not billed yet. Order: the sidecar is replaced while a request of its
-// predecessor is open, the request ends, a flush bills it. Only after that flush may the router vouch for the past.
+// Guards against returning tokens although runs of a replaced sidecar are not billed yet. The sidecar is replaced while a request sent to
+// its predecessor is in flight, the request ends, and a flush bills it. Only after that flush may the router report the earlier requests as
+// settled.
 BOOST_AUTO_TEST_CASE(waitsForEarlierRequestsAndALaterFlush)
 {
     const auto at = [](int seconds) {
--- a/src/tests/peerdirectorytest.cpp
+++ b/src/tests/peerdirectorytest.cpp
@@ -20,8 +20,8 @@
 
 }
 
-// A healthy router would be declared dead. One that cannot reach the table lets its row stand still but sends heartbeats; one cut off from
-// its peers is silent but writes its row. Only who does neither is suspected.
+// Guards against declaring a healthy router dead. One that cannot reach the table does not change its row but sends heartbeats; one that is
+// cut off from its peers sends none but writes its row. Only a router that does neither is suspected.
 BOOST_AUTO_TEST_CASE(suspectsOnlyRoutersWithoutHeartbeatsAndRowChanges)
 {
     PeerDirectory directory({.self = "me", .suspicionTimeout = std::chrono::seconds(10)});
--- a/src/tests/planseekertest.cpp
+++ b/src/tests/planseekertest.cpp
@@ -22,13 +22,13 @@
     return PlanFetchScheduler({.self = "me"});
 }
 
-/// A document that tells its version, 100 KB long: four pieces.
+/// A document of 100 KB, which is four pieces; it begins with its version.
 std::string document(std::uint64_t version)
 {
     return absl::StrCat(version, ":") + std::string(100'000, 'x');
 }
 
-/// A link that carries one piece in this time.
+/// Time that the link takes for one piece, in milliseconds.
 constexpr int s_pieceMs = 50;
 
 }
@@ -61,7 +61,8 @@
     BOOST_TEST(!scheduler.nextPieceRequest(at(1000)));
 }
 
-// A peer dies while it sends a document. What has come of it stays, and another peer with the same version sends the rest.
+// Guards against starting over when a peer dies while it sends a document. The pieces received so far are kept, and another peer with the
+// same version sends the rest.
 BOOST_AUTO_TEST_CASE(anotherPeerResumesAnInterruptedTransfer)
 {
     PlanFetchScheduler scheduler = makeScheduler();
@@ -89,8 +90,8 @@
     BOOST_TEST((*whole == document(2)));
 }
 
-// Changes follow each other faster than a document crosses the link. Each document that was begun is finished, so that the router is never
-// further behind than one crossing.
+// Guards against a router that falls further and further behind when changes follow each other faster than a document crosses the link.
+// Each transfer that was started is completed, so the lag stays bounded.
 BOOST_AUTO_TEST_CASE(frequentChangesDoNotStallTransfers)
 {
     PlanFetchScheduler scheduler = makeScheduler();
@@ -124,11 +125,13 @@
             worstLag = std::max(worstLag, static_cast<int>(newest - inForce));
         }
     }
-    // Four pieces and the store's time, 250 ms and 100 KB at 0.45 MB/s: 0.7 s, seven changes; then the next one is begun.
+    // Four pieces and the wait for the store, 250 ms and 100 KB at 0.45 MB/s, take 0.7 s, which is seven changes. The next transfer starts
+    // after that.
     BOOST_TEST(worstLag <= 14);
 }
 
-// Answers late, doubled, foreign and torn in any order: a document that is handed out is always one that some peer has, whole.
+// Guards against documents assembled from pieces of different versions when answers are late, duplicated, sent by another peer or
+// truncated. A returned document is always a complete one that some peer has.
 BOOST_AUTO_TEST_CASE(onlyCompleteDocumentsAreReturned)
 {
     const bool holds = rc::check("whole documents only", [] {
@@ -156,7 +159,7 @@
                 continue;
             }
             if (kind == 2) {
-                // An answer to an ask of long ago.
+                // An answer to an outdated request.
                 request->offset = static_cast<std::uint64_t>(*rc::gen::inRange(0, 100'000));
             }
             const std::string askedPeer = request->peer;
--- a/src/tests/reclamationtest.cpp
+++ b/src/tests/reclamationtest.cpp
@@ -15,7 +15,7 @@
     }
 }
 
-/// A fleet in which router 0 holds tokens and has one run that used 120 of 300.
+/// A fleet in which router 0 holds tokens and has one run that used 120 of its bound of 300.
 FakeFleet withOneRun(bool finished)
 {
     FakeFleet fleet({.prepaid = {50'000, 800}});
@@ -29,8 +29,8 @@
 
 }
 
-// A team sees its tokens come back after a router's death, less what the dead router's request used. Order: the run ends, the router dies
-// before it settles, a peer asks the sidecars. Cause: the only record of the charge is at the sidecar.
+// Guards against returning tokens that a dead router's request has used. The run ends, the router dies before it settles, and a peer asks
+// the sidecars: the only record of the charge is at the sidecar.
 BOOST_AUTO_TEST_CASE(chargesRunsOfTheDeadRouterAndReturnsTheRest)
 {
     FakeFleet fleet = withOneRun(true);
@@ -42,7 +42,7 @@
     BOOST_TEST(fleet.invariantViolation() == "");
 }
 
-// The router had settled and died before its sidecar was told. The run must not be billed a second time.
+// Guards against billing a run twice. The router settled the run and died before its sidecar was told.
 BOOST_AUTO_TEST_CASE(billedRunsAreNotBilledAgain)
 {
     FakeFleet fleet = withOneRun(true);
@@ -66,7 +66,7 @@
     BOOST_TEST(fleet.consumed(0) == 120);
 }
 
-// A sidecar that cannot be reached may have run anything the grant allowed: nothing goes back until it answers.
+// A sidecar that cannot be reached may have run anything that the grant allowed. Nothing is returned until it answers.
 BOOST_AUTO_TEST_CASE(anUnreachableSidecarKeepsTheGrantHeld)
 {
     FakeFleet fleet = withOneRun(true);
@@ -82,7 +82,7 @@
     BOOST_TEST(fleet.free(0) > free);
 }
 
-// Router and sidecar die together before the charge reaches the table. Nobody knows what ran, so the grant stays counted as spent.
+// The router and the sidecar are lost before the charge reaches the table. What was run is unknown, so the grant stays counted as spent.
 BOOST_AUTO_TEST_CASE(grantStaysHeldIfRouterAndSidecarAreLost)
 {
     FakeFleet fleet = withOneRun(true);
@@ -94,7 +94,8 @@
     BOOST_TEST(fleet.invariantViolation() == "");
 }
 
-// A router paused past its being declared dead wakes with a grant it believes in. Its next request must not run.
+// Guards against spending by a router that was paused, declared dead, and resumes with a grant that it believes to hold. Its next request
+// must not run.
 BOOST_AUTO_TEST_CASE(aResumedRouterCannotSpend)
 {
     FakeFleet fleet = withOneRun(true);
@@ -126,8 +127,8 @@
     }
 }
 
-// A call of a plain service costs no tokens, so its router may hold no grant of the team's budget. Its line must not be lost with the
-// router.
+// Guards against losing the ledger entry of a plain service's call. It costs no tokens, so its router may hold no grant of the team's
+// budget.
 BOOST_AUTO_TEST_CASE(zeroTokenCallsAreRecordedInTheLedger)
 {
     Reclamation reclamation({.incarnation = "router~1", .reclaimer = "router~2", .targets = {"a"}},
--- a/src/tests/relayedstoretest.cpp
+++ b/src/tests/relayedstoretest.cpp
@@ -14,7 +14,7 @@
 
 constexpr StoreTimeMs s_storeTime = 1000;
 
-/// The store in memory, over ways that the test opens and closes.
+/// A store in memory that the test makes reachable or unreachable.
 struct SwitchableStore {
     asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
     {
@@ -64,7 +64,7 @@
         });
     }
 
-    /// The outcome of one write.
+    /// Writes one row and returns the result.
     absl::StatusOr<RowVerdict> write(const std::string &value)
     {
         const RowTransaction transaction{.changes = {{.address = {.table = "t", .part = "p", .key = "k"}, .value = value}}};
@@ -107,8 +107,9 @@
 
 BOOST_AUTO_TEST_SUITE(RelayedStoreTest)
 
-// A router's way to the store is cut and callers are refused for want of tokens that the store has. The write that found out goes through a
-// relay beside a target in the same call, the next ones at once; when the way is open again the router finds out by itself.
+// Guards against rejecting callers for lack of tokens, which the store has, because the direct path to the store is down. The write that
+// detects the outage goes through a relay in the same call, later ones use the relay immediately, and the router detects by itself that the
+// direct path works again.
 BOOST_AUTO_TEST_CASE(usesARelayWhileTheDirectPathIsDown)
 {
     RelayedStoreFixture fixture;
@@ -130,7 +131,7 @@
     BOOST_TEST(fixture.relayCalls == relayCallsBefore);
 }
 
-// The relay in use goes away with its host in the middle of the cut. The call goes through another one.
+// Guards against a failed call when the relay in use goes away with its host during an outage. The call uses another relay.
 BOOST_AUTO_TEST_CASE(failsOverToAnotherRelay)
 {
     RelayedStoreFixture fixture;
@@ -140,8 +141,8 @@
     BOOST_TEST((fixture.openedRelays == std::vector<std::string>{"relay-a", "relay-b"}));
 }
 
-// The store itself is away. A write that was sent may have taken effect, and whoever sent it must not take it for not run: a budget drawn
-// twice would be the end of it.
+// The store itself is down. A write that was sent may have been executed, and its sender must not assume otherwise: the same budget could
+// be drawn twice.
 BOOST_AUTO_TEST_CASE(outcomeIsUnknownIfNothingReachesTheStore)
 {
     RelayedStoreFixture fixture;
--- a/src/tests/routerregistrytest.cpp
+++ b/src/tests/routerregistrytest.cpp
@@ -13,7 +13,7 @@
 
 constexpr StoreTimeMs s_now = 1'000'000;
 
-/// A store with the rows that the test puts there; it takes every write.
+/// A store with the rows that the test adds; it accepts every write.
 struct ScriptedRows {
     boost::asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &)
     {
@@ -66,8 +66,8 @@
     BOOST_TEST((countedRouters(rows) == std::vector<std::string>{"10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.4:7400"}));
 }
 
-// Rows of another writer: names that are no address, beats that are no time, or one of years to come. Each would be counted among the
-// routers that share budgets and retries, connected to, and asked for loans, by every router, for as long as the row stands.
+// Guards against rows of another writer: keys that are not an address, and times that are not a number or years in the future. Every router
+// would count them among the routers that share budgets and retries, connect to them and ask them for loans for as long as the rows exist.
 BOOST_AUTO_TEST_CASE(ignoresInvalidRows)
 {
     ScriptedRows rows;
