--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -11,29 +11,29 @@
 
 namespace bamboohold {
 
-/// Key of the row that names the newest accepted configuration, and the object under which a version's document is kept.
+/// Key of the row that names the newest accepted configuration, and key of the object that stores the document of a version.
 inline constexpr std::string_view s_configurationHead = "configuration/head";
 std::string configurationObject(std::uint64_t version, std::string_view changeId);
 
-/// One accepted version of the inventory and rules, with the look-ups that requests need. Immutable, so that any thread may read it.
+/// One accepted version of the inventory and its rules, with the lookups that requests need. Immutable, so that any thread may read it.
 class Configuration
 {
 public:
     Configuration(std::uint64_t version, Inventory inventory);
 
-    /// Number of the version; 0 before the first.
+    /// The version number; 0 before the first accepted version.
     std::uint64_t version() const
     {
         return m_version;
     }
 
-    /// The document.
+    /// The inventory that was accepted with this version.
     const Inventory &inventory() const
     {
         return m_inventory;
     }
 
-    /// The team to which a bearer key belongs, or null. Compares in constant time.
+    /// The team that a bearer key belongs to, or null. Hashes are compared in constant time.
     const Team *authenticate(std::string_view key) const;
 
 private:
@@ -42,7 +42,7 @@
     absl::flat_hash_map<std::string, const Team *> m_teams;
 };
 
-/// Shared by the requests that run under a version while a newer one takes its place.
+/// Shared, because requests keep the version that they started with while a newer one replaces it.
 using ConfigurationPointer = std::shared_ptr<const Configuration>;
 
 }
--- a/src/configuration/configurationstore.cpp
+++ b/src/configuration/configurationstore.cpp
@@ -18,7 +18,7 @@
     return "configuration/change/" + changeId;
 }
 
-/// The operations that bring the budgets' rows from one version's prepaid amounts to the next one's.
+/// The operations that adjust the rows of the budgets from the prepaid amounts of one version to those of the next.
 std::vector<TableOperation>
 budgetOperations(const StoredConfiguration &base, const Inventory &next, const absl::flat_hash_map<std::string, bool> &rowExists)
 {
@@ -130,7 +130,8 @@
         if (verdict.ok() && verdict->applied) {
             co_return version;
         }
-        // An earlier try whose answer was lost may have taken effect; its own change row tells it apart from another operator's.
+        // An earlier attempt whose answer was lost may have taken effect. Its own change row distinguishes it from another operator's
+        // change.
         const auto ownChange = co_await platform.readOne(changeKey(change.changeId));
         if (ownChange.ok() && ownChange->version != 0) {
             co_return static_cast<std::uint64_t>(integerField(ownChange->fields, "version"));
