--- a/src/inventory/documentreader.h
+++ b/src/inventory/documentreader.h
@@ -13,55 +13,55 @@
 
 namespace bamboohold {
 
-/// Reads typed fields out of a JSON object and collects every mistake with its path, so that an operator mends a file in one go.
+/// Reads typed fields of a JSON object and collects all errors with their paths, so that an operator can correct a file in one pass.
 class DocumentReader
 {
 public:
     DocumentReader(const boost::json::object &object, std::string path, std::vector<DocumentError> &errors);
 
-    /// A non-empty string; an absent or empty one is an error unless optional.
+    /// A non-empty string; a missing or empty one is an error unless `optional` is set.
     std::string text(std::string_view field, bool optional = false);
 
-    /// A whole number within [lowest, highest]; absent gives the fallback.
+    /// An integer within [minimum, maximum]; the fallback if the field is missing.
     std::int64_t number(std::string_view field, std::int64_t minimum, std::int64_t maximum, std::int64_t fallback);
 
-    /// A whole number that has to be there.
+    /// A required integer within [minimum, maximum].
     std::int64_t requiredNumber(std::string_view field, std::int64_t minimum, std::int64_t maximum);
 
-    /// A positive real number; absent gives the fallback.
+    /// A number above 0; the fallback if the field is missing.
     double positive(std::string_view field, double fallback);
 
-    /// A real number that is 0 or above; absent gives the fallback.
+    /// A number of at least 0; the fallback if the field is missing.
     double nonNegative(std::string_view field, double fallback);
 
-    /// A positive real number that has to be there.
+    /// A required number above 0.
     double requiredPositive(std::string_view field);
 
-    /// True or false; absent gives false.
+    /// A boolean; false if the field is missing.
     bool flag(std::string_view field);
 
-    /// True when the field is there and not null.
+    /// True if the field exists and is not null.
     bool has(std::string_view field) const;
 
-    /// True when the field is there, whatever it holds.
+    /// True if the field exists, even if it is null.
     bool contains(std::string_view field) const;
 
-    /// A nested object with a reader of its own; none when it is absent.
+    /// A reader for a nested object; none if the field is missing or null.
     std::optional<DocumentReader> object(std::string_view field);
 
-    /// A list of strings; absent gives an empty one.
+    /// A list of strings; empty if the field is missing.
     std::vector<std::string> texts(std::string_view field);
 
-    /// The objects of a list, each with a reader of its own.
+    /// Readers for the objects of a list; empty if the field is missing.
     std::vector<DocumentReader> objects(std::string_view field);
 
-    /// Reports fields outside the given names: most often a misspelt one, which would otherwise be ignored in silence.
+    /// Adds an error for each field outside the given names. Most of them are misspelled and would otherwise be ignored silently.
     void allowOnly(std::initializer_list<std::string_view> names);
 
-    /// Adds an error at a field of this object.
+    /// Adds an error for a field of this object.
     void fail(std::string_view field, std::string_view message);
 
-    /// Path of this object in the file.
+    /// Path of this object in the document.
     const std::string &path() const
     {
         return m_path;
--- a/src/inventory/inventory.cpp
+++ b/src/inventory/inventory.cpp
@@ -32,7 +32,7 @@
     });
 }
 
-/// Names seen so far in one list; a second use is an error at its place.
+/// The names used so far in one list; a duplicate is an error at its path.
 class NameSet
 {
 public:
@@ -54,7 +54,7 @@
     absl::flat_hash_set<std::string> m_names;
 };
 
-/// All names of a document, for checking references between its lists.
+/// All names of a document, to check references between its lists.
 struct Names {
     NameSet failureDomains;
     NameSet hosts;
--- a/src/inventory/inventory.h
+++ b/src/inventory/inventory.h
@@ -13,25 +13,25 @@
 
 namespace bamboohold {
 
-/// A part of the site that fails as one: a building, a hall, a power feed.
+/// A part of the site that fails as a unit: a building, a hall, a power feed.
 struct FailureDomain {
     std::string name;
 };
 
-/// The path between two failure domains. Latency is one way, in microseconds.
+/// The network path between two failure domains. The latency is one way, in microseconds.
 struct Link {
     std::string from;
     std::string to;
     std::int64_t latencyUs = 0;
 };
 
-/// What a host is there for.
+/// The purpose of a host.
 enum class HostRole {
     Entry,
     Target,
 };
 
-/// A machine of the asset register. It keeps nothing over a restart.
+/// A machine of the asset register. It keeps no data across a restart.
 struct Host {
     std::string name;
     std::string failureDomain;
@@ -39,7 +39,7 @@
     HostRole role = HostRole::Target;
 };
 
-/// A model in a given version, served by engines.
+/// A version of a model, served by engines.
 struct Model {
     std::string name;
     std::string version;
@@ -49,11 +49,11 @@
 struct Target {
     std::string name;
     std::string host;
-    /// Name of the model, empty for a plain service.
+    /// Name of the model; empty for a plain service.
     std::string model;
-    /// Name of the plain service, empty for a model engine.
+    /// Name of the plain service; empty for a model engine.
     std::string service;
-    /// Requests it runs at a time.
+    /// Maximum number of requests that it runs concurrently.
     std::uint32_t slots = 1;
     std::uint16_t enginePort = 9000;
     std::uint16_t linkPort = 7400;
@@ -72,37 +72,37 @@
     Tokens prepaid = 0;
 };
 
-/// A customer's unit with a key of its own. Only a salted hash of the key is kept.
+/// A unit of the customer with its own key. Only a salted hash of the key is stored.
 struct Team {
     std::string name;
     std::string budget;
-    /// Share of a busy fleet relative to other teams.
+    /// Share of a busy fleet relative to that of other teams.
     double weight = 1.0;
     std::string keySalt;
     std::string keySha256;
 };
 
-/// Which models and services a team may use; "*" stands for every team, model or service.
+/// The models and services that a team may use; "*" matches every team, model or service.
 struct AccessRule {
     std::string team;
     std::vector<std::string> models;
     std::vector<std::string> services;
 };
 
-/// Calls of a plain service that must not run twice. The path is a prefix.
+/// Calls of a plain service that must not run twice. The path is a prefix; "*" matches every service or method.
 struct NonIdempotentRule {
     std::string service;
     std::string method;
     std::string path;
 };
 
-/// One mistake in a document, with its place in the file.
+/// An error in a document, with the path of the field.
 struct DocumentError {
     std::string path;
     std::string message;
 };
 
-/// Everything operators decide: the register and the rules. Immutable once accepted; Configuration numbers its versions.
+/// Everything that operators configure: the asset register and the rules. Immutable once accepted; Configuration assigns version numbers.
 struct Inventory {
     std::string name;
     std::int64_t clientLatencyUs = 0;
@@ -117,36 +117,35 @@
     std::vector<AccessRule> access;
     std::vector<NonIdempotentRule> nonIdempotent;
 
-    /// The host of that name, or null.
+    /// The host with this name, or null.
     const Host *findHost(std::string_view hostName) const;
 
-    /// The team of that name, or null.
+    /// The team with this name, or null.
     const Team *findTeam(std::string_view teamName) const;
 
-    /// One-way latency between two failure domains in microseconds; 0 within one.
+    /// One-way latency between two failure domains in microseconds; 0 within a domain.
     std::int64_t latencyUs(std::string_view from, std::string_view to) const;
 
-    /// True when a rule lets the team use the model.
+    /// True if a rule allows the team to use the model.
     bool mayUseModel(std::string_view team, std::string_view model) const;
 
-    /// True when a rule lets the team use the plain service.
+    /// True if a rule allows the team to use the plain service.
     bool mayUseService(std::string_view team, std::string_view service) const;
 
-    /// True when a rule marks the call as one that must not run twice.
+    /// True if a rule marks the call as one that must not run twice.
     bool isNonIdempotent(std::string_view service, std::string_view method, std::string_view path) const;
 };
 
-/// Result of reading a document: an inventory, or every mistake found in it.
+/// The result of reading a document: an inventory, or all errors found in it.
 struct InventoryReading {
     std::optional<Inventory> inventory;
     std::vector<DocumentError> errors;
 };
 
-/// Reads and validates the whole document: types, ranges, duplicate names, references, addresses. All errors are listed, not just the
-/// first.
+/// Reads and validates the whole document: types, ranges, duplicate names, references, addresses. Reports all errors, not only the first.
 InventoryReading readInventory(std::string_view json);
 
-/// Writes the document that readInventory accepts, with the same content.
+/// Serializes an inventory to a document that readInventory() reads back with the same content.
 std::string writeInventory(const Inventory &inventory);
 
 }
