--- a/src/link/framecodec.h
+++ b/src/link/framecodec.h
@@ -6,19 +6,19 @@
 
 namespace bamboohold {
 
-/// Turns an answer's frame into its message.
+/// Converts a frame of an answer to its message.
 wire::Frame toWire(std::string_view requestId, const AnswerFrame &frame);
 
-/// Turns a message back into a frame. A message without content becomes an end of unknown outcome.
+/// Converts a message to a frame. A message without content becomes an end with an unknown outcome.
 AnswerFrame fromWire(wire::Frame &message);
 
-/// End of a run from its wire form.
+/// Converts the end of an answer from its message.
 AnswerFrame::End fromWire(const wire::FrameEnd &message);
 
-/// Run's end from its wire form.
+/// Converts how a run ended from its wire value; unknown values become RunEnd::Unknown.
 RunEnd fromWire(wire::RunEnd end);
 
-/// Wire form of a run's end.
+/// Converts how a run ended to its wire value.
 wire::RunEnd toWire(RunEnd end);
 
 }
--- a/src/link/linkhub.cpp
+++ b/src/link/linkhub.cpp
@@ -16,7 +16,7 @@
 constexpr int s_maxUnacknowledgedMs = 4000;
 constexpr int s_minReconnectIntervalMs = 50;
 constexpr int s_maxReconnectIntervalMs = 1000;
-/// Messages taken in one go before queued orders get their turn.
+/// Maximum number of messages received before queued commands are processed again.
 constexpr int s_maxMessagesPerReceive = 256;
 
 bool isControl(const wire::Envelope &message)
@@ -61,11 +61,12 @@
     m_socket.set(zmq::sockopt::linger, 0);
     m_socket.set(zmq::sockopt::sndhwm, m_options.queueLength);
     m_socket.set(zmq::sockopt::rcvhwm, m_options.queueLength);
-    // Without it a message to a peer that is gone vanishes unseen; with it the send fails and is counted.
+    // Without this option a message to a peer that is gone is dropped silently; with it the send fails and is counted.
     m_socket.set(zmq::sockopt::router_mandatory, true);
     m_socket.set(zmq::sockopt::router_handover, true);
-    // A peer whose host vanished closes nothing. ZeroMQ's own heartbeats would find out too, but libzmq 4.3.4 aborts (!_io_error) when one
-    // fires on a connection that has just failed, so TCP does it: unacknowledged data for this long ends the connection.
+    // A peer whose host has vanished does not close its connection. ZeroMQ's own heartbeats would detect that too, but libzmq 4.3.4 aborts
+    // (!_io_error) if one fires on a connection that has just failed. TCP detects it instead: data that stays unacknowledged for this long
+    // ends the connection.
     m_socket.set(zmq::sockopt::tcp_maxrt, s_maxUnacknowledgedMs);
     m_socket.set(zmq::sockopt::reconnect_ivl, s_minReconnectIntervalMs);
     m_socket.set(zmq::sockopt::reconnect_ivl_max, s_maxReconnectIntervalMs);
@@ -170,7 +171,7 @@
             std::uint64_t ignored = 0;
             (void)!::read(m_wakeDescriptor, &ignored, sizeof(ignored));
         }
-        // Cleared before the queue is emptied: an order pushed after this line wakes the thread again.
+        // Cleared before the queue is emptied, so that a command pushed after this line wakes the thread again.
         m_wakePending = false;
         Command command;
         while (m_commands.try_pop(command)) {
--- a/src/link/linkhub.h
+++ b/src/link/linkhub.h
@@ -17,19 +17,21 @@
 
 namespace bamboohold {
 
-/// The process's one socket to its peers. A thread of its own owns the socket; other threads hand it messages through a queue.
+/// The socket through which a process exchanges messages with its peers. A dedicated thread owns the socket; other threads pass it commands
+/// through a queue.
 ///
-/// A message can be lost (peer gone, queue full) or arrive after a reconnect, never twice on one connection and never out of order; every
-/// protocol on top numbers what must not be lost and names the incarnation it is meant for.
+/// A message can be lost (the peer is gone or the queue is full) or arrive after a reconnect, but within one connection it is never
+/// duplicated or reordered. Protocols on top of this number the messages that must not be lost and name the incarnation that they are meant
+/// for.
 class LinkHub
 {
 public:
     struct Options {
-        /// This process's incarnation; peers answer to it.
+        /// The incarnation of this process, by which peers address it.
         std::string identity;
         /// ZeroMQ endpoint to listen on, such as tcp://127.0.0.1:7400.
         std::string endpoint;
-        /// Messages queued for one peer before further ones are dropped.
+        /// Maximum number of messages queued for one peer; further ones are dropped.
         int queueLength = 100'000;
     };
 
@@ -42,25 +44,25 @@
     LinkHub(const LinkHub &) = delete;
     LinkHub &operator=(const LinkHub &) = delete;
 
-    /// Listens and starts the thread; a taken address is an InvalidSetting.
+    /// Starts to listen and starts the thread. Fails with InvalidSetting if the address is in use.
     absl::Status open();
 
-    /// Connects to a peer that will be known by this name here. Connecting again is harmless.
+    /// Connects to a peer and assigns it this name. Has no effect if already connected.
     void connect(std::string peer, std::string endpoint);
 
-    /// Breaks the connection to a peer.
+    /// Closes the connection to a peer.
     void disconnect(std::string peer, std::string endpoint);
 
-    /// Queues a message; never blocks.
+    /// Queues a message without blocking.
     void send(std::string_view peer, const wire::Envelope &message);
 
-    /// Messages that could not be handed to a peer.
+    /// Number of messages that could not be sent and of connection commands that failed.
     std::uint64_t dropped() const
     {
         return m_dropped.load(std::memory_order_relaxed);
     }
 
-    /// Bytes sent and received so far, without what dispatches and frames carry for callers.
+    /// Bytes of control messages sent and received so far: everything except dispatches, frames, credits and cancellations.
     std::uint64_t controlBytes() const
     {
         return m_controlBytes.load(std::memory_order_relaxed);
