--- a/src/configuration/configurationstore.cpp
+++ b/src/configuration/configurationstore.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-constexpr int s_tries = 5;
+constexpr int s_maxAttempts = 5;
 
 std::string changeKey(const std::string &changeId)
 {
     return "configuration/change/" + changeId;
 }
 
-/// The operations that bring the budgets' rows from one version's prepaid amounts to the next one's.
+/// The operations that adjust the rows of the budgets from the prepaid amounts of one version to those of the next.
 std::vector<TableOperation>
 budgetOperations(const StoredConfiguration &base, const Inventory &next, const absl::flat_hash_map<std::string, bool> &rowExists)
 {
@@ -120,7 +120,7 @@
     const auto budgets = budgetOperations(base, change.inventory, *rowExists);
     transaction.operations.insert(transaction.operations.end(), budgets.begin(), budgets.end());
     absl::Status last = absl::OkStatus();
-    for (int attempt = 0; attempt < s_tries; ++attempt) {
+    for (int attempt = 0; attempt < s_maxAttempts; ++attempt) {
         last = co_await platform.putObject(object, writeInventory(change.inventory));
         if (!last.ok()) {
             continue;
@@ -130,10 +130,11 @@
         if (verdict.ok() && verdict->applied) {
             co_return version;
         }
-        // An earlier try whose answer was lost may have taken effect; its own change row tells it apart from another operator's.
-        const auto mine = co_await platform.readOne(changeKey(change.changeId));
-        if (mine.ok() && mine->version != 0) {
-            co_return static_cast<std::uint64_t>(integerField(mine->fields, "version"));
+        // An earlier attempt whose answer was lost may have taken effect. Its own change row distinguishes it from another operator's
+        // change.
+        const auto ownChange = co_await platform.readOne(changeKey(change.changeId));
+        if (ownChange.ok() && ownChange->version != 0) {
+            co_return static_cast<std::uint64_t>(integerField(ownChange->fields, "version"));
         }
         if (verdict.ok()) {
             co_return obstacleFailure(*verdict);
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -75,7 +75,7 @@
                   },
                   {.limits = {.defaultLimit = settings.defaultOutputTokens, .maxLimit = settings.maxOutputTokens},
                    .defaultDeadline = settings.defaultDeadline})
-    , m_peers({.self = m_identity.incarnation, .silence = settings.reclaimTimeout})
+    , m_peers({.self = m_identity.incarnation, .suspicionTimeout = settings.reclaimTimeout})
     , m_relay(pool.mainLoop().get_executor(),
               m_platform,
               [this] {
@@ -144,7 +144,7 @@
 {
     {
         const std::lock_guard lock(m_peersMutex);
-        m_peers.heard(peer, steadyNow());
+        m_peers.recordMessage(peer, steadyNow());
     }
     switch (message.body_case()) {
     case wire::Envelope::kFrame:
@@ -183,7 +183,7 @@
 {
     {
         const std::lock_guard lock(m_peersMutex);
-        m_handover.seen(peer, report.incarnation(), steadyNow());
+        m_handover.recordIncarnation(peer, report.incarnation(), steadyNow());
     }
     const std::lock_guard lock(m_routingMutex);
     m_targets.recordReport(peer,
@@ -313,8 +313,8 @@
             std::size_t routers = 0;
             {
                 const std::lock_guard lock(m_peersMutex);
-                m_peers.rowsRead(*rows, steadyNow());
-                routers = m_peers.routers();
+                m_peers.updateRows(*rows, steadyNow());
+                routers = m_peers.liveRouterCount();
                 for (const PeerDirectory::Peer &peer : m_peers.peers()) {
                     // Two routers share one connection, opened by the one whose incarnation sorts first: the link accepts only one
                     // connection per identity.
@@ -332,7 +332,7 @@
 std::vector<std::string> Router::responsivePeers()
 {
     const std::lock_guard lock(m_peersMutex);
-    return m_peers.helpers(steadyNow());
+    return m_peers.recentPeers(steadyNow());
 }
 
 asio::awaitable<void> Router::watchForDeadRouters()
@@ -381,7 +381,7 @@
         const std::uint64_t nextFlush = m_budgets.nextFlush();
         {
             const std::lock_guard lock(m_peersMutex);
-            m_handover.advance(oldestBegin, nextFlush, m_budgets.appliedFlush());
+            m_handover.updateProgress(oldestBegin, nextFlush, m_budgets.appliedFlush());
             for (const auto &[target, address] : m_targetAddresses) {
                 envelope.mutable_heartbeat()->set_settled_before_incarnation(m_handover.settledBefore(target));
                 m_link->send(target, envelope);
--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -61,7 +61,7 @@
             return std::optional<std::string>();
         };
         /// Opens the store through a relay beside a target; empty if there are no relays.
-        typename Relayed::OpenDetour openDetour;
+        typename Relayed::OpenRelayStore openRelayStore;
         Mechanisms mechanisms;
     };
 
@@ -70,7 +70,7 @@
         , m_executor(pool.mainLoop().get_executor())
         , m_options(withMechanismsApplied(std::move(options)))
         , m_link(m_executor, {.self = addressText(m_options.link), .seeds = m_options.seeds})
-        , m_detours({.self = addressText(m_options.link), .failureDomain = m_options.gateway.board.failureDomain})
+        , m_relaySelector({.self = addressText(m_options.link), .failureDomain = m_options.gateway.board.failureDomain})
         , m_store(store, m_link, relayedOptions())
         , m_registry(m_store, registryOptions())
         , m_ledger(m_executor,
@@ -88,15 +88,15 @@
         , m_help(m_link, m_store, m_ledger, m_gateway, m_evacuations, planDocumentHandler())
         , m_quarantine(m_store, m_gateway.guard())
         , m_targetFollower(
-              m_gateway.board(), m_detours, m_metrics, {.decodeListing = m_options.decodeTarget, .host = m_options.callers.address})
+              m_gateway.board(), m_relaySelector, m_metrics, {.decodeListing = m_options.decodeTarget, .host = m_options.callers.address})
         , m_plans(m_store, planWatcherOptions())
         , m_targets(m_store, targetWatcherOptions())
         , m_callers(pool, callerOptions(), callerHandler())
         , m_readiness(pool, {.address = m_options.readiness.address, .port = m_options.readiness.port}, readinessHandler())
         , m_metricsServer(pool, {.address = m_options.metrics.address, .port = m_options.metrics.port}, metricsHandler())
     {
-        if (m_options.openDetour && m_options.mechanisms.relays) {
-            m_store.setDetours(m_detours, m_options.openDetour);
+        if (m_options.openRelayStore && m_options.mechanisms.relays) {
+            m_store.setRelays(m_relaySelector, m_options.openRelayStore);
         }
         if (m_options.mechanisms.sharedLoads) {
             m_gateway.chooser().setLoadClient(m_loads);
@@ -214,7 +214,7 @@
     {
         typename Relayed::Options options;
         if (!m_options.mechanisms.carriedCalls) {
-            options.relaysTried = 0;
+            options.maxPeersTried = 0;
         }
         return options;
     }
@@ -243,7 +243,7 @@
     std::function<std::size_t()> countedRouters() const
     {
         return [this] {
-            return m_registry.counted() ? m_registry.routers() : 0;
+            return m_registry.hasCounted() ? m_registry.routers() : 0;
         };
     }
 
@@ -450,7 +450,7 @@
             m_callers.closeIdle();
         }
         m_ledger.beginClose();
-        co_await m_registry.leave();
+        co_await m_registry.deregister();
         const Instant closeDeadline = drainStart + m_options.gracePeriod - s_shutdownReserve / 3;
         while (!m_ledger.closed() && steadyNow() < closeDeadline) {
             co_await pause(s_shutdownPollInterval);
@@ -467,7 +467,7 @@
     Options m_options;
     Metrics m_metrics;
     PeerLink m_link;
-    Detours m_detours;
+    RelaySelector m_relaySelector;
     Relayed m_store;
     RouterRegistry<Relayed> m_registry;
     TeamLedger m_ledger;
--- a/src/gateway/peerexchange.h
+++ b/src/gateway/peerexchange.h
@@ -6,7 +6,7 @@
 #include "gateway/gateway.h"
 #include "membership/evacuationnotice.h"
 #include "membership/peerlink.h"
-#include "membership/planseeker.h"
+#include "membership/planfetchscheduler.h"
 #include "membership/plansource.h"
 #include "membership/relayedstore.h"
 #include "net/patience.h"
@@ -69,10 +69,10 @@
         , m_gateway(gateway)
         , m_evacuations(evacuations)
         , m_acceptDocument(std::move(acceptDocument))
-        , m_seeker({.self = link.self()})
+        , m_fetchScheduler({.self = link.self()})
         , m_pieceTimeout(m_options.pieceTimeout)
     {
-        m_link.serve(
+        m_link.setCallHandler(
             [this](wire::PeerCall call) {
                 return serve(std::move(call));
             },
@@ -80,7 +80,7 @@
                 notePeerPlan(peer, version);
             });
         connectCrashReports();
-        m_link.onEvacuations([this](const wire::EvacuationNotice &notice) {
+        m_link.setEvacuationHandler([this](const wire::EvacuationNotice &notice) {
             m_evacuations.applyPeerState(fromWire(notice), steadyNow());
         });
         m_ledger.setPeerFunctions(
@@ -173,7 +173,7 @@
             [this](const QuarantineChange &change) {
                 m_link.announceQuarantine(toWire(change));
             });
-        m_link.onCrashes(
+        m_link.setCrashHandlers(
             [&guard](const wire::CrashNotice &notice) {
                 guard.handleCrashReport(fromWire(notice));
             },
@@ -210,7 +210,7 @@
             answer.set_done(true);
             co_return answer;
         }
-        answer = co_await m_store.carry(std::move(call));
+        answer = co_await m_store.executeForPeer(std::move(call));
         co_return answer;
     }
 
@@ -219,7 +219,7 @@
     {
         wire::PeerCall call;
         call.mutable_crashes();
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.peerTimeout);
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.sendCall(peer, std::move(call), m_options.peerTimeout);
         if (!answer.ok()) {
             logLine(Severity::Info, "quarantine.peer_silent", {{"peer", peer}, {"detail", toFailure(answer.status()).detail}});
             co_return false;
@@ -265,7 +265,7 @@
         wire::PeerCall call;
         call.mutable_loan()->set_team(loan->team);
         call.mutable_loan()->set_tokens(loan->asked);
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.maxLoanWait);
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.sendCall(peer, std::move(call), m_options.maxLoanWait);
         if (!answer.ok()) {
             // Tokens that the peer may have lent are lost to the team.
             logLine(Severity::Warning, "budget.loan_unanswered", {{"team", loan->team}, {"peer", peer}, {"asked", loan->asked}});
@@ -285,7 +285,7 @@
         wire::PeerCall call;
         call.mutable_gift()->set_team(team);
         call.mutable_gift()->set_tokens(tokens);
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(peer, std::move(call), m_options.peerTimeout);
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.sendCall(peer, std::move(call), m_options.peerTimeout);
         if (!answer.ok()) {
             logLine(Severity::Warning, "budget.gift_unanswered", {{"team", team}, {"peer", peer}, {"tokens", tokens}});
         }
@@ -293,11 +293,11 @@
 
     void answerPlanRequest(const wire::PlanRequest &request, wire::PeerAnswer &answer)
     {
-        const PlanSeeker::Ask ask{.peer = request.asker(),
-                                  .newerThan = request.newer_than(),
-                                  .version = request.version(),
-                                  .offset = request.offset(),
-                                  .mostBytes = request.most_bytes()};
+        const PlanFetchScheduler::PieceRequest ask{.peer = request.asker(),
+                                                   .newerThan = request.newer_than(),
+                                                   .version = request.version(),
+                                                   .offset = request.offset(),
+                                                   .maxBytes = request.most_bytes()};
         std::optional<PlanPiece> piece = m_source.piece(ask, steadyNow());
         answer.set_done(piece.has_value());
         if (!piece) {
@@ -323,24 +323,24 @@
     /// Notes that a peer has a newer configuration. The store usually delivers it within moments; otherwise it is requested from the peer.
     void notePeerPlan(const std::string &peer, std::uint64_t version)
     {
-        m_seeker.heard(peer, version, steadyNow());
-        if (!m_seekerRunning) {
-            m_seekerRunning = true;
+        m_fetchScheduler.recordPeerVersion(peer, version, steadyNow());
+        if (!m_fetchRunning) {
+            m_fetchRunning = true;
             asio::co_spawn(m_link.executor(), fetchNewerPlans(), asio::detached);
         }
     }
 
-    /// Requests the pieces that the seeker selects, until no newer configuration is known.
+    /// Requests the pieces that the scheduler selects, until no newer configuration is known.
     asio::awaitable<void> fetchNewerPlans()
     {
         while (true) {
-            updateSeeker();
-            const std::optional<Instant> due = m_seeker.due();
+            updateFetchScheduler();
+            const std::optional<Instant> due = m_fetchScheduler.nextRequestDue();
             if (!due) {
                 break;
             }
             const Instant now = steadyNow();
-            const std::optional<PlanSeeker::Ask> ask = m_seeker.next(now);
+            const std::optional<PlanFetchScheduler::PieceRequest> ask = m_fetchScheduler.nextPieceRequest(now);
             if (ask) {
                 co_await requestPlanPiece(*ask);
             } else {
@@ -348,28 +348,28 @@
                 co_await pause(std::clamp(Duration(*due - now), s_minSeekInterval, s_maxSeekInterval));
             }
         }
-        m_seekerRunning = false;
+        m_fetchRunning = false;
     }
 
-    void updateSeeker()
+    void updateFetchScheduler()
     {
-        m_seeker.setStoreReachable(m_store.directReachable());
+        m_fetchScheduler.setStoreReachable(m_store.directReachable());
         if (m_gateway.plan()) {
-            m_seeker.inForce(m_gateway.plan()->version(), m_source.documentBytes());
+            m_fetchScheduler.setVersionInForce(m_gateway.plan()->version(), m_source.documentBytes());
         }
     }
 
-    asio::awaitable<void> requestPlanPiece(PlanSeeker::Ask ask)
+    asio::awaitable<void> requestPlanPiece(PlanFetchScheduler::PieceRequest ask)
     {
         wire::PeerCall call;
         wire::PlanRequest &request = *call.mutable_plan();
         request.set_newer_than(ask.newerThan);
         request.set_version(ask.version);
         request.set_offset(ask.offset);
-        request.set_most_bytes(ask.mostBytes);
+        request.set_most_bytes(ask.maxBytes);
         request.set_asker(m_link.self());
         const Instant startedAt = steadyNow();
-        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(ask.peer, std::move(call), m_pieceTimeout.current());
+        const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.sendCall(ask.peer, std::move(call), m_pieceTimeout.current());
         const Instant now = steadyNow();
         if (!answer.ok()) {
             m_pieceTimeout.missed();
@@ -379,7 +379,7 @@
         }
         if (!answer.ok() || !answer->done()) {
             // A peer without a configuration is not logged: all routers may have started together.
-            m_seeker.failed(ask.peer, now);
+            m_fetchScheduler.recordRequestFailure(ask.peer, now);
             co_return;
         }
         m_pieceTimeout.answered(now - startedAt);
@@ -387,12 +387,12 @@
         if (document.has_evacuations()) {
             m_evacuations.applyPeerState(fromWire(document.evacuations()), now);
         }
-        const std::optional<std::string> whole = m_seeker.answered(ask.peer,
-                                                                   {.version = document.version(),
-                                                                    .bytes = document.document(),
-                                                                    .offset = document.offset(),
-                                                                    .totalBytes = document.total_bytes()},
-                                                                   now);
+        const std::optional<std::string> whole = m_fetchScheduler.recordPiece(ask.peer,
+                                                                              {.version = document.version(),
+                                                                               .bytes = document.document(),
+                                                                               .offset = document.offset(),
+                                                                               .totalBytes = document.total_bytes()},
+                                                                              now);
         if (whole) {
             m_acceptDocument(*whole);
         }
@@ -412,10 +412,10 @@
     Options m_options;
     /// Peers that did not answer a loan request, and until when they are not asked again.
     std::map<std::string, Instant> m_backoffUntil;
-    PlanSeeker m_seeker;
+    PlanFetchScheduler m_fetchScheduler;
     PlanSource m_source;
     Patience m_pieceTimeout;
-    bool m_seekerRunning = false;
+    bool m_fetchRunning = false;
 };
 
 }
--- a/src/inventory/inventory.cpp
+++ b/src/inventory/inventory.cpp
@@ -32,7 +32,7 @@
     });
 }
 
-/// Names seen so far in one list; a second use is an error at its place.
+/// The names used so far in one list; a duplicate is an error at its path.
 class NameSet
 {
 public:
@@ -54,7 +54,7 @@
     absl::flat_hash_set<std::string> m_names;
 };
 
-/// All names of a document, for checking references between its lists.
+/// All names of a document, to check references between its lists.
 struct Names {
     NameSet failureDomains;
     NameSet hosts;
@@ -64,7 +64,7 @@
     NameSet teams;
 };
 
-void readPlaces(DocumentReader &root, Inventory &inventory, Names &names)
+void readFailureDomains(DocumentReader &root, Inventory &inventory, Names &names)
 {
     for (DocumentReader &reader : root.objects("failure_domains")) {
         reader.allowOnly({"name"});
@@ -308,7 +308,7 @@
     inventory.name = root.text("name");
     inventory.clientLatencyUs = root.number("client_latency_us", 0, s_maxLatencyUs, 0);
     inventory.defaultLinkLatencyUs = root.number("default_link_latency_us", 0, s_maxLatencyUs, 0);
-    readPlaces(root, inventory, names);
+    readFailureDomains(root, inventory, names);
     readHosts(root, inventory, names);
     readTargets(root, inventory, names);
     readTeams(root, inventory, names);
--- a/src/membership/reclamation.cpp
+++ b/src/membership/reclamation.cpp
@@ -18,7 +18,7 @@
     if (m_nodeRow.version == 0 || state == "closed") {
         m_phase = Phase::Closed;
     } else if (state == "sealing") {
-        // An earlier reclaimer has declared it dead: that stands, and only the work is taken over.
+        // An earlier reclaimer has already declared the incarnation dead. The declaration stands; this one takes over its work.
         m_phase = Phase::Declaring;
     }
 }
@@ -39,7 +39,7 @@
     return missing;
 }
 
-void Reclamation::onWitness(const WitnessAnswer &answer)
+void Reclamation::onSidecarAnswer(const SidecarAnswer &answer)
 {
     if (answer.epoch != epoch()) {
         return;
@@ -73,17 +73,17 @@
 void Reclamation::probeEnded()
 {
     if (m_phase == Phase::Probing) {
-        // Nobody to ask means that the asker may be the one that is cut off.
+        // If no sidecar answers, this router may be the one that is cut off.
         m_phase = m_answers.empty() ? Phase::Abandoned : Phase::Declaring;
         m_answers.clear();
     }
 }
 
-std::vector<Charge> Reclamation::freeCharges() const
+std::vector<Charge> Reclamation::zeroTokenCharges() const
 {
     absl::flat_hash_set<std::string> budgets;
     std::vector<Charge> charges;
-    for (const WitnessedRun &run : m_runs) {
+    for (const ReportedRun &run : m_runs) {
         budgets.insert(run.record.budget);
     }
     for (const std::string &budget : budgets) {
@@ -123,8 +123,8 @@
         return;
     }
     if (!verdict.applied) {
-        // The row moved: its holder flushed and lives, or another reclaimer was quicker, or this one's earlier answer was lost. All are
-        // found out by reading the row again.
+        // The row has changed: its owner has flushed and is alive, another reclaimer was faster, or an earlier attempt of this one took
+        // effect and its answer was lost. Reading the row again tells which.
         m_phase = Phase::Abandoned;
         return;
     }
@@ -139,15 +139,15 @@
 std::uint64_t Reclamation::earliestFlush() const
 {
     std::uint64_t earliest = UINT64_MAX;
-    for (const WitnessedRun &run : m_runs) {
+    for (const ReportedRun &run : m_runs) {
         earliest = std::min(earliest, run.record.earliestFlush);
     }
     return earliest;
 }
 
-void Reclamation::setBilled(absl::flat_hash_set<std::string> billed)
+void Reclamation::setBilledRequests(absl::flat_hash_set<std::string> billed)
 {
-    m_billed = std::move(billed);
+    m_billedRequests = std::move(billed);
 }
 
 void Reclamation::setGrants(std::vector<TableRow> grants)
@@ -158,9 +158,9 @@
 std::vector<Charge> Reclamation::chargesFor(std::string_view budget) const
 {
     std::vector<Charge> charges;
-    for (const WitnessedRun &run : m_runs) {
+    for (const ReportedRun &run : m_runs) {
         const RunRecord &record = run.record;
-        if (record.budget != budget || m_billed.contains(record.requestId)) {
+        if (record.budget != budget || m_billedRequests.contains(record.requestId)) {
             continue;
         }
         charges.push_back({.requestId = record.requestId,
@@ -194,7 +194,7 @@
             charged += charge.tokens;
             page.charges.push_back(std::move(charge));
         }
-        // Reservations never exceed the grant they are made against.
+        // Reservations never exceed the grant that they are made against.
         assert(charged <= unspent);
         const std::string key = budgetKey(budget);
         operations.push_back(addToField(key, "free", unspent - charged, 0));
@@ -204,14 +204,15 @@
     }
     const bool last = count == m_grants.size();
     if (last) {
-        // Calls that cost nothing have no grant to be charged to; they still get their line.
-        for (Charge &charge : freeCharges()) {
+        // Calls that cost nothing have no grant to be charged against, but are still recorded in the ledger.
+        for (Charge &charge : zeroTokenCharges()) {
             page.charges.push_back(std::move(charge));
         }
     }
     std::string ledger = page.previous;
     if (!page.charges.empty()) {
-        // Each step has a page of its own: a reclaimer that dies between two steps leaves no run billed whose tokens have not moved.
+        // Each step has its own ledger page, so that a reclaimer that dies between two steps leaves no run recorded as billed whose tokens
+        // were not deducted.
         step.objectKey = ledgerKey(m_options.incarnation, absl::StrCat("r", m_epoch, "-", m_step));
         step.object = serializeLedgerPage(page);
         ledger = step.objectKey;
@@ -238,7 +239,7 @@
 std::map<std::string, std::vector<std::string>> Reclamation::settledRuns() const
 {
     std::map<std::string, std::vector<std::string>> runs;
-    for (const WitnessedRun &run : m_runs) {
+    for (const ReportedRun &run : m_runs) {
         runs[run.target].push_back(run.record.requestId);
     }
     return runs;
--- a/src/membership/detours.cpp
+++ b/src/membership/relayselector.cpp
@@ -1,4 +1,4 @@
-#include "membership/detours.h"
+#include "membership/relayselector.h"
 
 #include "routing/stablehash.h"
 
@@ -10,35 +10,35 @@
 
 namespace {
 
-/// Beyond this, doubling a rest makes no difference any more.
-constexpr std::uint32_t s_mostDoublings = 6;
+/// Avoids overflow: with the default options the backoff has reached its maximum before that.
+constexpr std::uint32_t s_maxBackoffDoublings = 6;
 
 }
 
-Detours::Detours(Options options)
+RelaySelector::RelaySelector(Options options)
     : m_options(std::move(options))
 {
 }
 
-void Detours::listed(const std::string &target, const std::string &relay, const std::string &failureDomain)
+void RelaySelector::addTargetRelay(const std::string &target, const std::string &relay, const std::string &failureDomain)
 {
     if (relay.empty()) {
         return;
     }
     Relay &known = m_relays[target];
     if (known.address != relay) {
-        // Another host: what was learned of the one before does not hold for it.
+        // The relay runs on another host, so the failures of the previous one do not apply to it.
         known = {.address = relay};
     }
     known.failureDomain = failureDomain;
 }
 
-void Detours::unlisted(const std::string &target)
+void RelaySelector::removeTargetRelay(const std::string &target)
 {
     m_relays.erase(target);
 }
 
-std::optional<std::string> Detours::choose(Instant now) const
+std::optional<std::string> RelaySelector::choose(Instant now) const
 {
     const auto rank = [this](const Relay &relay) {
         const std::uint64_t order = mixed(stableHash(m_options.self) ^ stableHash(relay.address));
@@ -46,26 +46,26 @@
     };
     const Relay *best = nullptr;
     for (const auto &[target, relay] : m_relays) {
-        const bool rests = now < relay.restsUntil;
-        if (!rests && (best == nullptr || rank(relay) < rank(*best))) {
+        const bool inBackoff = now < relay.backoffUntil;
+        if (!inBackoff && (best == nullptr || rank(relay) < rank(*best))) {
             best = &relay;
         }
     }
     return best == nullptr ? std::nullopt : std::optional(best->address);
 }
 
-void Detours::failed(const std::string &relay, Instant now)
+void RelaySelector::recordRelayFailure(const std::string &relay, Instant now)
 {
     for (auto &[target, known] : m_relays) {
         if (known.address == relay) {
-            const Duration rest = m_options.firstRest * (std::int64_t{1} << std::min(known.failures, s_mostDoublings));
-            known.restsUntil = now + std::min(rest, m_options.longestRest);
+            const Duration backoff = m_options.initialRelayBackoff * (std::int64_t{1} << std::min(known.failures, s_maxBackoffDoublings));
+            known.backoffUntil = now + std::min(backoff, m_options.maxRelayBackoff);
             ++known.failures;
         }
     }
 }
 
-void Detours::worked(const std::string &relay)
+void RelaySelector::recordRelaySuccess(const std::string &relay)
 {
     for (auto &[target, known] : m_relays) {
         if (known.address == relay) {
--- a/src/tests/planseekertest.cpp
+++ b/src/tests/planseekertest.cpp
@@ -1,4 +1,4 @@
-#include "membership/planseeker.h"
+#include "membership/planfetchscheduler.h"
 
 #include "membership/plansource.h"
 
@@ -17,83 +17,84 @@
     return Instant(std::chrono::milliseconds(ms));
 }
 
-PlanSeeker seeker()
+PlanFetchScheduler makeScheduler()
 {
-    return PlanSeeker({.self = "me"});
+    return PlanFetchScheduler({.self = "me"});
 }
 
-/// A document that tells its version, 100 KB long: four pieces.
+/// A document of 100 KB, which is four pieces; it begins with its version.
 std::string document(std::uint64_t version)
 {
     return absl::StrCat(version, ":") + std::string(100'000, 'x');
 }
 
-/// A link that carries one piece in this time.
+/// Time that the link takes for one piece, in milliseconds.
 constexpr int s_pieceMs = 50;
 
 }
 
 BOOST_AUTO_TEST_SUITE(PlanSeekerTest)
 
-BOOST_AUTO_TEST_CASE(theStoreHasTimeByTheSizeOfTheDocument)
+BOOST_AUTO_TEST_CASE(waitForTheStoreGrowsWithTheDocument)
 {
-    PlanSeeker small = seeker();
-    small.inForce(1, 1000);
-    small.heard("peer", 2, at(0));
-    BOOST_TEST(!small.next(at(249)));
-    BOOST_TEST(small.next(at(260)).has_value());
-
-    PlanSeeker large = seeker();
-    large.inForce(1, 450'000);
-    large.heard("peer", 2, at(0));
-    BOOST_TEST(!large.next(at(1200)));
-    BOOST_TEST(large.next(at(1260)).has_value());
+    PlanFetchScheduler small = makeScheduler();
+    small.setVersionInForce(1, 1000);
+    small.recordPeerVersion("peer", 2, at(0));
+    BOOST_TEST(!small.nextPieceRequest(at(249)));
+    BOOST_TEST(small.nextPieceRequest(at(260)).has_value());
+
+    PlanFetchScheduler large = makeScheduler();
+    large.setVersionInForce(1, 450'000);
+    large.recordPeerVersion("peer", 2, at(0));
+    BOOST_TEST(!large.nextPieceRequest(at(1200)));
+    BOOST_TEST(large.nextPieceRequest(at(1260)).has_value());
     large.setStoreReachable(false);
-    BOOST_TEST(large.next(at(260)).has_value());
+    BOOST_TEST(large.nextPieceRequest(at(260)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(nothingIsAskedForThatTheStoreHasBrought)
+BOOST_AUTO_TEST_CASE(versionsReceivedFromTheStoreAreNotRequested)
 {
-    PlanSeeker one = seeker();
-    one.heard("peer", 2, at(0));
-    one.inForce(2, 100);
-    BOOST_TEST(!one.due());
-    BOOST_TEST(!one.next(at(1000)));
+    PlanFetchScheduler scheduler = makeScheduler();
+    scheduler.recordPeerVersion("peer", 2, at(0));
+    scheduler.setVersionInForce(2, 100);
+    BOOST_TEST(!scheduler.nextRequestDue());
+    BOOST_TEST(!scheduler.nextPieceRequest(at(1000)));
 }
 
-// A peer dies while it sends a document. What has come of it stays, and another peer with the same version sends the rest.
-BOOST_AUTO_TEST_CASE(anotherPeerGoesOnWhereOneStopped)
+// Guards against starting over when a peer dies while it sends a document. The pieces received so far are kept, and another peer with the
+// same version sends the rest.
+BOOST_AUTO_TEST_CASE(anotherPeerResumesAnInterruptedTransfer)
 {
-    PlanSeeker one = seeker();
+    PlanFetchScheduler scheduler = makeScheduler();
     PlanSource source;
     source.set(2, document(2));
-    one.heard("a", 2, at(0));
-    one.heard("b", 2, at(0));
-    const auto first = one.next(at(300));
+    scheduler.recordPeerVersion("a", 2, at(0));
+    scheduler.recordPeerVersion("b", 2, at(0));
+    const auto first = scheduler.nextPieceRequest(at(300));
     BOOST_REQUIRE(first);
-    BOOST_TEST(!one.answered(first->peer, *source.piece(*first, at(300)), at(310)));
-    const auto second = one.next(at(310));
+    BOOST_TEST(!scheduler.recordPiece(first->peer, *source.piece(*first, at(300)), at(310)));
+    const auto second = scheduler.nextPieceRequest(at(310));
     BOOST_REQUIRE(second);
     BOOST_TEST(second->peer == first->peer);
-    one.failed(second->peer, at(1200));
-    auto ask = one.next(at(1200));
-    BOOST_REQUIRE(ask);
-    BOOST_TEST(ask->peer != first->peer);
-    BOOST_TEST(ask->offset > 0U);
+    scheduler.recordRequestFailure(second->peer, at(1200));
+    auto request = scheduler.nextPieceRequest(at(1200));
+    BOOST_REQUIRE(request);
+    BOOST_TEST(request->peer != first->peer);
+    BOOST_TEST(request->offset > 0U);
     std::optional<std::string> whole;
     while (!whole) {
-        BOOST_REQUIRE(ask);
-        whole = one.answered(ask->peer, *source.piece(*ask, at(1200)), at(1200));
-        ask = one.next(at(1200));
+        BOOST_REQUIRE(request);
+        whole = scheduler.recordPiece(request->peer, *source.piece(*request, at(1200)), at(1200));
+        request = scheduler.nextPieceRequest(at(1200));
     }
     BOOST_TEST((*whole == document(2)));
 }
 
-// Changes follow each other faster than a document crosses the link. Each document that was begun is finished, so that the router is never
-// further behind than one crossing.
-BOOST_AUTO_TEST_CASE(aStreamOfChangesDoesNotStarveTheNewest)
+// Guards against a router that falls further and further behind when changes follow each other faster than a document crosses the link.
+// Each transfer that was started is completed, so the lag stays bounded.
+BOOST_AUTO_TEST_CASE(frequentChangesDoNotStallTransfers)
 {
-    PlanSeeker one = seeker();
+    PlanFetchScheduler scheduler = makeScheduler();
     PlanSource source;
     std::uint64_t newest = 1;
     std::uint64_t inForce = 0;
@@ -102,34 +103,39 @@
         if (now % 100 == 0) {
             ++newest;
             source.set(newest, document(newest));
-            one.heard("peer", newest, at(now));
+            scheduler.recordPeerVersion("peer", newest, at(now));
         }
-        const auto ask = one.next(at(now));
-        if (!ask) {
+        const auto request = scheduler.nextPieceRequest(at(now));
+        if (!request) {
             continue;
         }
-        const auto piece = source.piece(
-            {.peer = "me", .newerThan = ask->newerThan, .version = ask->version, .offset = ask->offset, .mostBytes = ask->mostBytes},
-            at(now));
+        const auto piece = source.piece({.peer = "me",
+                                         .newerThan = request->newerThan,
+                                         .version = request->version,
+                                         .offset = request->offset,
+                                         .maxBytes = request->maxBytes},
+                                        at(now));
         BOOST_REQUIRE(piece);
-        const auto whole = one.answered("peer", *piece, at(now));
+        const auto whole = scheduler.recordPiece("peer", *piece, at(now));
         if (whole) {
             inForce = std::stoull(*whole);
-            one.inForce(inForce, whole->size());
+            scheduler.setVersionInForce(inForce, whole->size());
         }
         if (now > 2000) {
             worstLag = std::max(worstLag, static_cast<int>(newest - inForce));
         }
     }
-    // Four pieces and the store's time, 250 ms and 100 KB at 0.45 MB/s: 0.7 s, seven changes; then the next one is begun.
+    // Four pieces and the wait for the store, 250 ms and 100 KB at 0.45 MB/s, take 0.7 s, which is seven changes. The next transfer starts
+    // after that.
     BOOST_TEST(worstLag <= 14);
 }
 
-// Answers late, doubled, foreign and torn in any order: a document that is handed out is always one that some peer has, whole.
-BOOST_AUTO_TEST_CASE(onlyWholeDocumentsAreHandedOut)
+// Guards against documents assembled from pieces of different versions when answers are late, duplicated, sent by another peer or
+// truncated. A returned document is always a complete one that some peer has.
+BOOST_AUTO_TEST_CASE(onlyCompleteDocumentsAreReturned)
 {
     const bool holds = rc::check("whole documents only", [] {
-        PlanSeeker one = seeker();
+        PlanFetchScheduler scheduler = makeScheduler();
         std::vector<PlanSource> sources(3);
         int now = 300;
         const int steps = *rc::gen::inRange(1, 60);
@@ -141,33 +147,33 @@
             if (kind == 0) {
                 const auto version = static_cast<std::uint64_t>(*rc::gen::inRange(1, 6));
                 sources[index].set(version, document(version));
-                one.heard(peer, version, at(now));
+                scheduler.recordPeerVersion(peer, version, at(now));
                 continue;
             }
             if (kind == 1) {
-                one.failed(peer, at(now));
+                scheduler.recordRequestFailure(peer, at(now));
                 continue;
             }
-            std::optional<PlanSeeker::Ask> ask = one.next(at(now));
-            if (!ask) {
+            std::optional<PlanFetchScheduler::PieceRequest> request = scheduler.nextPieceRequest(at(now));
+            if (!request) {
                 continue;
             }
             if (kind == 2) {
-                // An answer to an ask of long ago.
-                ask->offset = static_cast<std::uint64_t>(*rc::gen::inRange(0, 100'000));
+                // An answer to an outdated request.
+                request->offset = static_cast<std::uint64_t>(*rc::gen::inRange(0, 100'000));
             }
-            const std::string asked = ask->peer;
-            ask->peer = "me";
-            const std::optional<PlanPiece> piece = sources[static_cast<std::size_t>(asked.back() - '0')].piece(*ask, at(now));
+            const std::string askedPeer = request->peer;
+            request->peer = "me";
+            const std::optional<PlanPiece> piece = sources[static_cast<std::size_t>(askedPeer.back() - '0')].piece(*request, at(now));
             if (!piece) {
-                one.failed(asked, at(now));
+                scheduler.recordRequestFailure(askedPeer, at(now));
                 continue;
             }
-            const std::optional<std::string> whole = one.answered(asked, *piece, at(now));
+            const std::optional<std::string> whole = scheduler.recordPiece(askedPeer, *piece, at(now));
             if (whole) {
                 const std::uint64_t version = std::stoull(*whole);
                 RC_ASSERT(*whole == document(version));
-                one.inForce(version, whole->size());
+                scheduler.setVersionInForce(version, whole->size());
             }
         }
     });
--- a/src/tests/reclamationtest.cpp
+++ b/src/tests/reclamationtest.cpp
@@ -15,7 +15,7 @@
     }
 }
 
-/// A fleet in which router 0 holds tokens and has one run that used 120 of 300.
+/// A fleet in which router 0 holds tokens and has one run that used 120 of its bound of 300.
 FakeFleet withOneRun(bool finished)
 {
     FakeFleet fleet({.prepaid = {50'000, 800}});
@@ -29,9 +29,9 @@
 
 }
 
-// A team sees its tokens come back after a router's death, less what the dead router's request used. Order: the run ends, the router dies
-// before it settles, a peer asks the sidecars. Cause: the only record of the charge is at the sidecar.
-BOOST_AUTO_TEST_CASE(chargesWhatTheDeadRouterRanAndReturnsTheRest)
+// Guards against returning tokens that a dead router's request has used. The run ends, the router dies before it settles, and a peer asks
+// the sidecars: the only record of the charge is at the sidecar.
+BOOST_AUTO_TEST_CASE(chargesRunsOfTheDeadRouterAndReturnsTheRest)
 {
     FakeFleet fleet = withOneRun(true);
     fleet.kill(0);
@@ -42,8 +42,8 @@
     BOOST_TEST(fleet.invariantViolation() == "");
 }
 
-// The router had settled and died before its sidecar was told. The run must not be billed a second time.
-BOOST_AUTO_TEST_CASE(whatTheDeadRouterBilledIsNotBilledAgain)
+// Guards against billing a run twice. The router settled the run and died before its sidecar was told.
+BOOST_AUTO_TEST_CASE(billedRunsAreNotBilledAgain)
 {
     FakeFleet fleet = withOneRun(true);
     fleet.flush(0, Delivery::AnswerLost);
@@ -54,7 +54,7 @@
     BOOST_TEST(fleet.invariantViolation() == "");
 }
 
-BOOST_AUTO_TEST_CASE(waitsForRunsStillGoing)
+BOOST_AUTO_TEST_CASE(waitsForRunsInProgress)
 {
     FakeFleet fleet = withOneRun(false);
     fleet.kill(0);
@@ -66,7 +66,7 @@
     BOOST_TEST(fleet.consumed(0) == 120);
 }
 
-// A sidecar that cannot be reached may have run anything the grant allowed: nothing goes back until it answers.
+// A sidecar that cannot be reached may have run anything that the grant allowed. Nothing is returned until it answers.
 BOOST_AUTO_TEST_CASE(anUnreachableSidecarKeepsTheGrantHeld)
 {
     FakeFleet fleet = withOneRun(true);
@@ -82,8 +82,8 @@
     BOOST_TEST(fleet.free(0) > free);
 }
 
-// Router and sidecar die together before the charge reaches the table. Nobody knows what ran, so the grant stays counted as spent.
-BOOST_AUTO_TEST_CASE(lossOfBothWitnessesHoldsTheGrant)
+// The router and the sidecar are lost before the charge reaches the table. What was run is unknown, so the grant stays counted as spent.
+BOOST_AUTO_TEST_CASE(grantStaysHeldIfRouterAndSidecarAreLost)
 {
     FakeFleet fleet = withOneRun(true);
     const Tokens free = fleet.free(0);
@@ -94,8 +94,9 @@
     BOOST_TEST(fleet.invariantViolation() == "");
 }
 
-// A router paused past its being declared dead wakes with a grant it believes in. Its next request must not run.
-BOOST_AUTO_TEST_CASE(aWokenRouterCannotSpend)
+// Guards against spending by a router that was paused, declared dead, and resumes with a grant that it believes to hold. Its next request
+// must not run.
+BOOST_AUTO_TEST_CASE(aResumedRouterCannotSpend)
 {
     FakeFleet fleet = withOneRun(true);
     fleet.pause(0);
@@ -110,7 +111,7 @@
     BOOST_TEST(fleet.invariantViolation() == "");
 }
 
-BOOST_AUTO_TEST_CASE(everyLostAnswerOfTheReclaimerIsResolved)
+BOOST_AUTO_TEST_CASE(lostAnswersToTheReclaimerAreResolved)
 {
     for (const Delivery delivery : {Delivery::RequestLost, Delivery::AnswerLost, Delivery::Delayed}) {
         FakeFleet fleet = withOneRun(true);
@@ -126,19 +127,19 @@
     }
 }
 
-// A call of a plain service costs no tokens, so its router may hold no grant of the team's budget. Its line must not be lost with the
-// router.
-BOOST_AUTO_TEST_CASE(aCallThatCostsNothingStillGetsItsLine)
+// Guards against losing the ledger entry of a plain service's call. It costs no tokens, so its router may hold no grant of the team's
+// budget.
+BOOST_AUTO_TEST_CASE(zeroTokenCallsAreRecordedInTheLedger)
 {
     Reclamation reclamation({.incarnation = "router~1", .reclaimer = "router~2", .targets = {"a"}},
                             {.key = "node/router~1", .version = 3, .fields = {{"state", "live"}}});
-    reclamation.onWitness({.target = "a"});
+    reclamation.onSidecarAnswer({.target = "a"});
     reclamation.probeEnded();
     reclamation.onDeclared({.applied = true, .versions = {4}});
-    WitnessAnswer answer{.target = "a", .epoch = reclamation.epoch()};
+    SidecarAnswer answer{.target = "a", .epoch = reclamation.epoch()};
     answer.verdict.runs.push_back(
         {.requestId = "call", .budget = "team", .running = false, .end = RunEnd::Complete, .usage = TokenUsage{}});
-    reclamation.onWitness(answer);
+    reclamation.onSidecarAnswer(answer);
     BOOST_REQUIRE((reclamation.phase() == Reclamation::Phase::Closing));
     const ClosingStep step = reclamation.nextClosingStep();
     BOOST_TEST(step.object.find("\"call\"") != std::string::npos);
@@ -146,7 +147,7 @@
     BOOST_TEST((reclamation.phase() == Reclamation::Phase::Closed));
 }
 
-BOOST_AUTO_TEST_CASE(nobodyIsDeclaredDeadByOneWhoCanAskNobody)
+BOOST_AUTO_TEST_CASE(noRouterIsDeclaredDeadWithoutASidecarAnswer)
 {
     Reclamation reclamation({.incarnation = "router~1", .reclaimer = "router~2", .targets = {"target"}},
                             {.key = "node/router~1", .version = 3, .fields = {{"state", "live"}}});
@@ -154,12 +155,12 @@
     BOOST_TEST((reclamation.phase() == Reclamation::Phase::Abandoned));
 }
 
-BOOST_AUTO_TEST_CASE(aSidecarThatHeardItStopsTheDeclaration)
+BOOST_AUTO_TEST_CASE(aSidecarThatHeardTheRouterStopsTheDeclaration)
 {
     Reclamation reclamation({.incarnation = "router~1", .reclaimer = "router~2", .targets = {"a", "b"}},
                             {.key = "node/router~1", .version = 3, .fields = {{"state", "live"}}});
-    reclamation.onWitness({.target = "a", .verdict = {.alive = false}});
-    reclamation.onWitness({.target = "b", .verdict = {.alive = true}});
+    reclamation.onSidecarAnswer({.target = "a", .verdict = {.alive = false}});
+    reclamation.onSidecarAnswer({.target = "b", .verdict = {.alive = true}});
     reclamation.probeEnded();
     BOOST_TEST((reclamation.phase() == Reclamation::Phase::Abandoned));
 }
--- a/src/tests/routerregistrytest.cpp
+++ b/src/tests/routerregistrytest.cpp
@@ -13,7 +13,7 @@
 
 constexpr StoreTimeMs s_now = 1'000'000;
 
-/// A store with the rows that the test puts there; it takes every write.
+/// A store with the rows that the test adds; it accepts every write.
 struct ScriptedRows {
     boost::asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &)
     {
@@ -39,7 +39,7 @@
 };
 
 /// The routers that a registry counts among these rows.
-std::vector<std::string> counted(ScriptedRows &rows)
+std::vector<std::string> countedRouters(ScriptedRows &rows)
 {
     boost::asio::io_context loop;
     std::vector<std::string> live;
@@ -56,19 +56,19 @@
 
 BOOST_AUTO_TEST_SUITE(RouterRegistryTest)
 
-BOOST_AUTO_TEST_CASE(countsThoseThatWroteLately)
+BOOST_AUTO_TEST_CASE(countsRoutersWithRecentRows)
 {
     ScriptedRows rows;
     rows.put("10.0.0.1:7400", "999000");
     rows.put("10.0.0.2:7400", "995000");
     rows.put("10.0.0.3:7400", "900000");
     rows.put("10.0.0.4:7400", "0");
-    BOOST_TEST((counted(rows) == std::vector<std::string>{"10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.4:7400"}));
+    BOOST_TEST((countedRouters(rows) == std::vector<std::string>{"10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.4:7400"}));
 }
 
-// Rows of another writer: names that are no address, beats that are no time, or one of years to come. Each would be counted among the
-// routers that share budgets and retries, connected to, and asked for loans, by every router, for as long as the row stands.
-BOOST_AUTO_TEST_CASE(spoiltRowsAreNoRouters)
+// Guards against rows of another writer: keys that are not an address, and times that are not a number or years in the future. Every router
+// would count them among the routers that share budgets and retries, connect to them and ask them for loans for as long as the rows exist.
+BOOST_AUTO_TEST_CASE(ignoresInvalidRows)
 {
     ScriptedRows rows;
     rows.put("10.0.0.1:7400", "999000");
@@ -81,7 +81,7 @@
     rows.put("10.0.0.7:7400", "999000000");
     rows.put("10.0.0.8:7400", "9223372036854775807");
     rows.put("10.0.0.9:7400", "-9223372036854775808");
-    BOOST_TEST((counted(rows) == std::vector<std::string>{"10.0.0.1:7400"}));
+    BOOST_TEST((countedRouters(rows) == std::vector<std::string>{"10.0.0.1:7400"}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
