--- a/src/budget/budgetservice.cpp
+++ b/src/budget/budgetservice.cpp
@@ -264,7 +264,7 @@
     if (!plan) {
         co_return;
     }
-    absl::StatusOr<TableVerdict> verdict = failed(FailureKind::ObjectUnreachable, "ledger page", Executed::No);
+    absl::StatusOr<TableTransactionResult> verdict = failed(FailureKind::ObjectUnreachable, "ledger page", Executed::No);
     absl::Status stored = absl::OkStatus();
     if (!plan->objectKey.empty()) {
         stored = co_await m_platform.putObject(plan->objectKey, plan->object);
--- a/src/budget/checkpointwriter.h
+++ b/src/budget/checkpointwriter.h
@@ -82,7 +82,7 @@
         if (!transaction) {
             co_return true;
         }
-        const absl::StatusOr<RowVerdict> verdict = co_await m_store.transact(*transaction);
+        const absl::StatusOr<RowTransactionResult> verdict = co_await m_store.transact(*transaction);
         if (verdict.ok()) {
             m_ledger.checkpointAnswered(*verdict, steadyNow());
             co_return true;
--- a/src/budget/holdercheckpoint.cpp
+++ b/src/budget/holdercheckpoint.cpp
@@ -82,7 +82,7 @@
     return m_inFlight->transaction;
 }
 
-bool HolderCheckpoint::writeAnswered(const RowVerdict &verdict, Instant now)
+bool HolderCheckpoint::writeAnswered(const RowTransactionResult &verdict, Instant now)
 {
     if (!m_inFlight) {
         return false;
@@ -109,7 +109,7 @@
     return false;
 }
 
-void HolderCheckpoint::acknowledge(const RowVerdict &verdict, std::uint64_t version, Instant now)
+void HolderCheckpoint::acknowledge(const RowTransactionResult &verdict, std::uint64_t version, Instant now)
 {
     m_storeTime = verdict.storeTime;
     m_storeTimeAt = now;
--- a/src/budget/holdercheckpoint.h
+++ b/src/budget/holdercheckpoint.h
@@ -59,7 +59,7 @@
     std::optional<RowTransaction> planWrite(const Commitments &teams, Instant now);
 
     /// The store decided the write. Returns whether the planned checkpoint is in effect.
-    bool writeAnswered(const RowVerdict &verdict, Instant now);
+    bool writeAnswered(const RowTransactionResult &verdict, Instant now);
 
     /// The store did not accept the write, and it will not take effect later.
     void writeDeclined();
@@ -133,7 +133,7 @@
 
     StoreTimeMs minStoreTime(Instant now) const;
     void adopt(const StoredRow *row);
-    void acknowledge(const RowVerdict &verdict, std::uint64_t version, Instant now);
+    void acknowledge(const RowTransactionResult &verdict, std::uint64_t version, Instant now);
 
     Options m_options;
     bool m_read = false;
--- a/src/budget/ledgersynchronizer.h
+++ b/src/budget/ledgersynchronizer.h
@@ -96,7 +96,7 @@
             co_return true;
         }
         const std::optional<TeamHolding::Recovery> recovery = entry.holding.recovery();
-        const absl::StatusOr<RowVerdict> verdict = co_await m_store.transact(*transaction);
+        const absl::StatusOr<RowTransactionResult> verdict = co_await m_store.transact(*transaction);
         if (verdict.ok()) {
             entry.holding.flushAnswered(*verdict, steadyNow());
             if (recovery && entry.holding.recovered()) {
--- a/src/budget/nodeledger.cpp
+++ b/src/budget/nodeledger.cpp
@@ -237,7 +237,7 @@
     return billed;
 }
 
-void NodeLedger::rejectPendingFlush(const TableVerdict &verdict, Instant now)
+void NodeLedger::rejectPendingFlush(const TableTransactionResult &verdict, Instant now)
 {
     for (const BudgetUpdate &update : m_pendingFlush->budgetUpdates) {
         account(update.budget).onFlushRejected();
@@ -250,7 +250,7 @@
     m_supersededFlushes.push_back(*std::exchange(m_pendingFlush, std::nullopt));
 }
 
-std::vector<Charge> NodeLedger::onFlushAnswered(const TableVerdict &verdict, Instant now)
+std::vector<Charge> NodeLedger::onFlushAnswered(const TableTransactionResult &verdict, Instant now)
 {
     assert(m_pendingFlush);
     m_inFlight = false;
--- a/src/budget/nodeledger.h
+++ b/src/budget/nodeledger.h
@@ -90,7 +90,7 @@
     std::optional<FlushPlan> planFlush(const std::map<std::string, BudgetRow, std::less<>> &rows, const FleetView &fleet, Instant now);
 
     /// Call with the answer of the table to the flush in flight. Returns the charges that are now billed.
-    std::vector<Charge> onFlushAnswered(const TableVerdict &verdict, Instant now);
+    std::vector<Charge> onFlushAnswered(const TableTransactionResult &verdict, Instant now);
 
     /// Call if no answer arrived, so that it is unknown whether the flush took effect.
     void onFlushAnswerLost();
@@ -156,7 +156,7 @@
     bool holdsNothing() const;
     void addGrantRowRemovals(FlushPlan &plan) const;
     std::vector<Charge> completeFlush(const FlushPlan &plan, std::uint64_t nodeVersion, Instant now);
-    void rejectPendingFlush(const TableVerdict &verdict, Instant now);
+    void rejectPendingFlush(const TableTransactionResult &verdict, Instant now);
 
     Options m_options;
     std::map<std::string, BudgetAccount, std::less<>> m_accounts;
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -473,7 +473,7 @@
     return m_inFlight->transaction;
 }
 
-void TeamHolding::flushAnswered(const RowVerdict &verdict, Instant now)
+void TeamHolding::flushAnswered(const RowTransactionResult &verdict, Instant now)
 {
     setStoreTime(verdict.storeTime, now);
     m_seenVersion = std::max(m_seenVersion, verdict.version);
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -173,7 +173,7 @@
     std::optional<RowTransaction> planFlush(std::size_t routers, Instant now);
 
     /// The store decided the flush.
-    void flushAnswered(const RowVerdict &verdict, Instant now);
+    void flushAnswered(const RowTransactionResult &verdict, Instant now);
 
     /// The store did not accept the flush, and it will not take effect later.
     void flushDeclined();
--- a/src/budget/teamledger.cpp
+++ b/src/budget/teamledger.cpp
@@ -244,7 +244,7 @@
     return m_checkpoint->planWrite(commitments, now);
 }
 
-void TeamLedger::checkpointAnswered(const RowVerdict &verdict, Instant now)
+void TeamLedger::checkpointAnswered(const RowTransactionResult &verdict, Instant now)
 {
     const bool fencedBefore = m_checkpoint->predecessorsFenced();
     m_storeLatency += (now - m_checkpointFirstSent - m_storeLatency) / s_latencyWeight;
--- a/src/budget/teamledger.h
+++ b/src/budget/teamledger.h
@@ -146,7 +146,7 @@
     std::optional<RowTransaction> planCheckpoint(Instant now);
 
     /// The store decided a checkpoint, which may admit requests that wait.
-    void checkpointAnswered(const RowVerdict &verdict, Instant now);
+    void checkpointAnswered(const RowTransactionResult &verdict, Instant now);
 
     /// Whether the store answered the last write of a checkpoint.
     bool checkpointStoreReachable() const
--- a/src/configuration/configurationstore.cpp
+++ b/src/configuration/configurationstore.cpp
@@ -41,7 +41,7 @@
     return operations;
 }
 
-absl::Status obstacleFailure(const TableVerdict &verdict)
+absl::Status obstacleFailure(const TableTransactionResult &verdict)
 {
     const TableObstacle &obstacle = verdict.obstacles.front();
     if (obstacle.guard) {
--- a/src/membership/reclaimservice.cpp
+++ b/src/membership/reclaimservice.cpp
@@ -84,9 +84,9 @@
     }
 }
 
-asio::awaitable<absl::StatusOr<TableVerdict>> ReclaimService::transactSurely(TableTransaction transaction)
+asio::awaitable<absl::StatusOr<TableTransactionResult>> ReclaimService::transactSurely(TableTransaction transaction)
 {
-    absl::StatusOr<TableVerdict> verdict = failed(FailureKind::TableUnreachable, "no try yet");
+    absl::StatusOr<TableTransactionResult> verdict = failed(FailureKind::TableUnreachable, "no try yet");
     for (int attempt = 0; attempt < s_tries; ++attempt) {
         verdict = co_await m_platform.transact(transaction);
         if (verdict.ok() && verdict->applied) {
@@ -96,7 +96,7 @@
         // effect.
         const auto row = co_await m_platform.readOne(transaction.operations.front().key);
         if (row.ok() && row->version != 0 && row->fields == transaction.operations.front().fields) {
-            co_return TableVerdict{.applied = true, .versions = {row->version}};
+            co_return TableTransactionResult{.applied = true, .versions = {row->version}};
         }
         if (verdict.ok()) {
             co_return verdict;
@@ -115,7 +115,7 @@
     }
     const auto verdict = co_await transactSurely(std::move(declaration));
     const std::lock_guard lock(m_mutex);
-    m_current->onDeclared(verdict.ok() ? *verdict : TableVerdict{});
+    m_current->onDeclared(verdict.ok() ? *verdict : TableTransactionResult{});
 }
 
 asio::awaitable<bool> ReclaimService::readBilled(std::string ledger, std::uint64_t earliestFlush)
@@ -178,7 +178,7 @@
         }
         const auto verdict = co_await transactSurely(step.transaction);
         const std::lock_guard lock(m_mutex);
-        m_current->onClosed(step, verdict.ok() ? *verdict : TableVerdict{});
+        m_current->onClosed(step, verdict.ok() ? *verdict : TableTransactionResult{});
     }
     co_return true;
 }
--- a/src/membership/reclaimservice.h
+++ b/src/membership/reclaimservice.h
@@ -51,7 +51,7 @@
     asio::awaitable<void> declare();
     asio::awaitable<bool> close();
     asio::awaitable<bool> readBilled(std::string ledger, std::uint64_t earliestFlush);
-    asio::awaitable<absl::StatusOr<TableVerdict>> transactSurely(TableTransaction transaction);
+    asio::awaitable<absl::StatusOr<TableTransactionResult>> transactSurely(TableTransaction transaction);
     void tellSidecars();
 
     PlatformClient &m_platform;
--- a/src/membership/reclamation.cpp
+++ b/src/membership/reclamation.cpp
@@ -117,7 +117,7 @@
     return transaction;
 }
 
-void Reclamation::onDeclared(const TableVerdict &verdict)
+void Reclamation::onDeclared(const TableTransactionResult &verdict)
 {
     if (m_phase != Phase::Declaring) {
         return;
@@ -220,7 +220,7 @@
     return step;
 }
 
-void Reclamation::onClosed(const ClosingStep &step, const TableVerdict &verdict)
+void Reclamation::onClosed(const ClosingStep &step, const TableTransactionResult &verdict)
 {
     if (!verdict.applied) {
         m_phase = Phase::Abandoned;
--- a/src/membership/reclamation.h
+++ b/src/membership/reclamation.h
@@ -87,7 +87,7 @@
     TableTransaction declaration() const;
 
     /// The table's answer to the declaration.
-    void onDeclared(const TableVerdict &verdict);
+    void onDeclared(const TableTransactionResult &verdict);
 
     /// Flush number from which the ledger may hold charges of the reported runs.
     std::uint64_t earliestFlush() const;
@@ -100,7 +100,7 @@
     ClosingStep nextClosingStep() const;
 
     /// The table's answer to a closing step.
-    void onClosed(const ClosingStep &step, const TableVerdict &verdict);
+    void onClosed(const ClosingStep &step, const TableTransactionResult &verdict);
 
     /// Runs that the reclamation has billed or found billed, by target: their sidecars can forget them.
     std::map<std::string, std::vector<std::string>> settledRuns() const;
--- a/src/membership/relayedstore.cpp
+++ b/src/membership/relayedstore.cpp
@@ -68,7 +68,7 @@
     return transaction;
 }
 
-wire::StoreAnswer toWire(const RowVerdict &verdict)
+wire::StoreAnswer toWire(const RowTransactionResult &verdict)
 {
     wire::StoreAnswer message;
     message.set_applied(verdict.applied);
@@ -87,7 +87,7 @@
     return message;
 }
 
-RowVerdict verdictFromWire(const wire::StoreAnswer &message)
+RowTransactionResult verdictFromWire(const wire::StoreAnswer &message)
 {
     return {.applied = message.applied(), .version = message.version(), .current = rowsOf(message), .storeTime = message.store_time_ms()};
 }
--- a/src/membership/relayedstore.h
+++ b/src/membership/relayedstore.h
@@ -22,9 +22,9 @@
 /// Conversions between rows and their form on the link.
 wire::StoreTransaction toWire(const RowTransaction &transaction);
 RowTransaction fromWire(const wire::StoreTransaction &message);
-wire::StoreAnswer toWire(const RowVerdict &verdict);
+wire::StoreAnswer toWire(const RowTransactionResult &verdict);
 wire::StoreAnswer toWire(const RowsRead &read);
-RowVerdict verdictFromWire(const wire::StoreAnswer &message);
+RowTransactionResult verdictFromWire(const wire::StoreAnswer &message);
 RowsRead readFromWire(const wire::StoreAnswer &message);
 
 /// A store that is reached directly, or while the direct way is cut through a relay beside a target, or through a peer. A transaction may
@@ -71,11 +71,11 @@
         m_openDetour = std::move(open);
     }
 
-    boost::asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
+    boost::asio::awaitable<absl::StatusOr<RowTransactionResult>> transact(const RowTransaction &transaction)
     {
         Executed ran = Executed::No;
         if (m_directReachable) {
-            absl::StatusOr<RowVerdict> verdict = co_await m_direct.transact(transaction);
+            absl::StatusOr<RowTransactionResult> verdict = co_await m_direct.transact(transaction);
             noteDirect(verdict.status());
             if (verdict.ok()) {
                 co_return verdict;
@@ -85,7 +85,7 @@
         const auto send = [&transaction](Store &store) {
             return store.transact(transaction);
         };
-        const std::optional<absl::StatusOr<RowVerdict>> detoured = co_await detour<RowVerdict>(send);
+        const std::optional<absl::StatusOr<RowTransactionResult>> detoured = co_await detour<RowTransactionResult>(send);
         if (detoured) {
             if (detoured->ok()) {
                 co_return *detoured;
@@ -166,7 +166,7 @@
         absl::Status status;
         if (call.has_transaction()) {
             const RowTransaction transaction = fromWire(call.transaction());
-            const absl::StatusOr<RowVerdict> verdict = co_await m_direct.transact(transaction);
+            const absl::StatusOr<RowTransactionResult> verdict = co_await m_direct.transact(transaction);
             status = verdict.status();
             if (verdict.ok()) {
                 *answer.mutable_store() = toWire(*verdict);
--- a/src/membership/routerregistry.h
+++ b/src/membership/routerregistry.h
@@ -68,7 +68,7 @@
     {
         m_leaving = true;
         const RowTransaction transaction = rowWrite(std::nullopt);
-        const absl::StatusOr<RowVerdict> verdict = co_await m_store.transact(transaction);
+        const absl::StatusOr<RowTransactionResult> verdict = co_await m_store.transact(transaction);
         if (!verdict.ok()) {
             logLine(Severity::Info, "router.leave_unwritten", {{"detail", verdict.status().message().data()}});
         }
@@ -100,7 +100,7 @@
     boost::asio::awaitable<bool> write()
     {
         const RowTransaction transaction = rowWrite(absl::StrCat(storeNowMs()));
-        const absl::StatusOr<RowVerdict> verdict = co_await m_store.transact(transaction);
+        const absl::StatusOr<RowTransactionResult> verdict = co_await m_store.transact(transaction);
         if (verdict.ok()) {
             m_storeTime = verdict->storeTime;
             m_storeTimeAt = steadyNow();
--- a/src/quarantine/quarantinekeeper.h
+++ b/src/quarantine/quarantinekeeper.h
@@ -68,7 +68,7 @@
         if (transaction.changes.empty()) {
             co_return true;
         }
-        const absl::StatusOr<RowVerdict> verdict = co_await m_store.transact(transaction);
+        const absl::StatusOr<RowTransactionResult> verdict = co_await m_store.transact(transaction);
         logStoreState(verdict.ok());
         const bool applied = verdict.ok() && verdict->applied;
         if (applied) {
--- a/src/request/claimbatch.cpp
+++ b/src/request/claimbatch.cpp
@@ -62,7 +62,7 @@
     return transaction;
 }
 
-void ClaimBatch::answered(const TableVerdict &verdict)
+void ClaimBatch::answered(const TableTransactionResult &verdict)
 {
     std::vector<Wish *> open;
     for (Wish &wish : m_wishes) {
--- a/src/request/claimbatch.h
+++ b/src/request/claimbatch.h
@@ -61,7 +61,7 @@
     TableTransaction transaction() const;
 
     /// The table answered.
-    void answered(const TableVerdict &verdict);
+    void answered(const TableTransactionResult &verdict);
 
     /// True when every wish has its result.
     bool done() const;
--- a/src/store/memoryrows.cpp
+++ b/src/store/memoryrows.cpp
@@ -28,7 +28,7 @@
     return found == m_rows.end() ? 0 : found->second.version;
 }
 
-absl::StatusOr<RowVerdict> MemoryRows::transact(const RowTransaction &transaction, StoreTimeMs now)
+absl::StatusOr<RowTransactionResult> MemoryRows::transact(const RowTransaction &transaction, StoreTimeMs now)
 {
     if (!inOnePart(transaction)) {
         return failed(FailureKind::InvalidRequest, "a transaction reaches one part only");
@@ -36,17 +36,17 @@
     const auto holds = [this](const RowCondition &condition) {
         return versionOf(condition.address) == condition.version;
     };
-    RowVerdict verdict{.applied = std::ranges::all_of(transaction.conditions, holds), .storeTime = now};
-    if (!verdict.applied) {
+    RowTransactionResult result{.applied = std::ranges::all_of(transaction.conditions, holds), .storeTime = now};
+    if (!result.applied) {
         for (const RowCondition &condition : transaction.conditions) {
             const auto found = m_rows.find(condition.address);
             if (found != m_rows.end()) {
-                verdict.current.push_back(found->second);
+                result.current.push_back(found->second);
             }
         }
-        return verdict;
+        return result;
     }
-    verdict.version = ++m_version;
+    result.version = ++m_version;
     for (const RowChange &change : transaction.changes) {
         StoredRow row{.address = change.address, .value = change.value.value_or(""), .version = change.value ? m_version : 0};
         if (change.value) {
@@ -56,7 +56,7 @@
         }
         m_history.emplace_back(m_version, std::move(row));
     }
-    return verdict;
+    return result;
 }
 
 RowsRead MemoryRows::read(std::string_view table, std::string_view part, StoreTimeMs now) const
--- a/src/store/memoryrows.h
+++ b/src/store/memoryrows.h
@@ -13,7 +13,7 @@
 {
 public:
     /// Applies all changes if every condition holds. Fails with InvalidRequest when the entries are of several parts.
-    absl::StatusOr<RowVerdict> transact(const RowTransaction &transaction, StoreTimeMs now);
+    absl::StatusOr<RowTransactionResult> transact(const RowTransaction &transaction, StoreTimeMs now);
 
     /// All rows of a table's part, in key order.
     RowsRead read(std::string_view table, std::string_view part, StoreTimeMs now) const;
--- a/src/store/memorytable.cpp
+++ b/src/store/memorytable.cpp
@@ -22,8 +22,8 @@
     if (obstacle.row.version == 0) {
         return obstacle;
     }
-    const std::int64_t result = integerField(obstacle.row.fields, operation.field) + operation.delta;
-    if (operation.minimum && result < *operation.minimum) {
+    const std::int64_t sum = integerField(obstacle.row.fields, operation.field) + operation.delta;
+    if (operation.minimum && sum < *operation.minimum) {
         obstacle.guard = true;
         return obstacle;
     }
@@ -49,27 +49,27 @@
     row.fields[operation.field] = integerField(row.fields, operation.field) + operation.delta;
 }
 
-absl::StatusOr<TableVerdict> MemoryTable::transact(const TableTransaction &transaction)
+absl::StatusOr<TableTransactionResult> MemoryTable::transact(const TableTransaction &transaction)
 {
-    TableVerdict verdict;
+    TableTransactionResult result;
     for (std::size_t index = 0; index < transaction.operations.size(); ++index) {
         if (auto obstacle = obstacleTo(transaction.operations[index], index)) {
-            verdict.obstacles.push_back(*std::move(obstacle));
+            result.obstacles.push_back(*std::move(obstacle));
         }
     }
-    if (!verdict.obstacles.empty()) {
-        return verdict;
+    if (!result.obstacles.empty()) {
+        return result;
     }
     for (const TableOperation &operation : transaction.operations) {
         apply(operation);
     }
     for (const TableOperation &operation : transaction.operations) {
         const auto row = m_rows.find(operation.key);
-        verdict.versions.push_back(row == m_rows.end() ? 0 : row->second.version);
+        result.versions.push_back(row == m_rows.end() ? 0 : row->second.version);
     }
     ++m_writes;
-    verdict.applied = true;
-    return verdict;
+    result.applied = true;
+    return result;
 }
 
 absl::StatusOr<TableRow> MemoryTable::read(std::string_view key) const
--- a/src/store/memorytable.h
+++ b/src/store/memorytable.h
@@ -14,7 +14,7 @@
 {
 public:
     /// Checks every operation against the rows as they are, then applies all or none.
-    absl::StatusOr<TableVerdict> transact(const TableTransaction &transaction);
+    absl::StatusOr<TableTransactionResult> transact(const TableTransaction &transaction);
 
     /// The row under the key; version 0 when absent.
     absl::StatusOr<TableRow> read(std::string_view key) const;
--- a/src/store/platformclient.cpp
+++ b/src/store/platformclient.cpp
@@ -80,7 +80,7 @@
     co_return co_await m_relay(options);
 }
 
-asio::awaitable<absl::StatusOr<TableVerdict>> PlatformClient::transact(const TableTransaction &transaction)
+asio::awaitable<absl::StatusOr<TableTransactionResult>> PlatformClient::transact(const TableTransaction &transaction)
 {
     HttpCallOptions options{.method = "POST", .path = "/v1/table/transact", .body = boost::json::serialize(toJson(transaction))};
     const auto reply = co_await call(std::move(options));
@@ -91,7 +91,7 @@
     if (!value.ok()) {
         co_return value.status();
     }
-    co_return verdictFromJson(*value);
+    co_return tableResultFromJson(*value);
 }
 
 asio::awaitable<absl::StatusOr<std::vector<TableRow>>> PlatformClient::read(const std::vector<std::string> &keys)
--- a/src/store/platformclient.h
+++ b/src/store/platformclient.h
@@ -26,7 +26,7 @@
     void setRelay(Relay relay);
 
     /// Sends a transaction. TableUnreachable with Executed::Unknown: it may have taken effect.
-    asio::awaitable<absl::StatusOr<TableVerdict>> transact(const TableTransaction &transaction);
+    asio::awaitable<absl::StatusOr<TableTransactionResult>> transact(const TableTransaction &transaction);
 
     /// Reads rows; an absent one has version 0.
     asio::awaitable<absl::StatusOr<std::vector<TableRow>>> read(const std::vector<std::string> &keys);
--- a/src/store/rowstore.h
+++ b/src/store/rowstore.h
@@ -60,7 +60,7 @@
 using StoreTimeMs = std::int64_t;
 
 /// The store's answer to a transaction that it did decide.
-struct RowVerdict {
+struct RowTransactionResult {
     bool applied = false;
     /// When applied: the version of the changed rows.
     std::uint64_t version = 0;
@@ -116,7 +116,7 @@
 {
     {
         store.transact(transaction)
-        } -> std::same_as<boost::asio::awaitable<absl::StatusOr<RowVerdict>>>;
+        } -> std::same_as<boost::asio::awaitable<absl::StatusOr<RowTransactionResult>>>;
     {
         store.read(text, text)
         } -> std::same_as<boost::asio::awaitable<absl::StatusOr<RowsRead>>>;
--- a/src/store/table.cpp
+++ b/src/store/table.cpp
@@ -156,43 +156,43 @@
     return row;
 }
 
-boost::json::object toJson(const TableVerdict &verdict)
+boost::json::object toJson(const TableTransactionResult &result)
 {
     boost::json::array obstacles;
-    for (const TableObstacle &obstacle : verdict.obstacles) {
+    for (const TableObstacle &obstacle : result.obstacles) {
         obstacles.emplace_back(boost::json::object{
             {"operation", static_cast<std::int64_t>(obstacle.operation)}, {"guard", obstacle.guard}, {"row", toJson(obstacle.row)}});
     }
     boost::json::array versions;
-    for (const std::uint64_t version : verdict.versions) {
+    for (const std::uint64_t version : result.versions) {
         versions.emplace_back(static_cast<std::int64_t>(version));
     }
-    return {{"applied", verdict.applied}, {"versions", std::move(versions)}, {"obstacles", std::move(obstacles)}};
+    return {{"applied", result.applied}, {"versions", std::move(versions)}, {"obstacles", std::move(obstacles)}};
 }
 
-absl::StatusOr<TableVerdict> verdictFromJson(const boost::json::value &value)
+absl::StatusOr<TableTransactionResult> tableResultFromJson(const boost::json::value &value)
 {
     if (!value.is_object() || !value.get_object().contains("applied")) {
         return failed(FailureKind::TableUnreachable, "the table's answer is not a verdict", Executed::Unknown);
     }
     const boost::json::object &object = value.get_object();
-    TableVerdict verdict;
+    TableTransactionResult result;
     const auto *applied = object.if_contains("applied");
-    verdict.applied = applied->is_bool() && applied->get_bool();
+    result.applied = applied->is_bool() && applied->get_bool();
     if (const auto *list = object.if_contains("versions"); list != nullptr && list->is_array()) {
         for (const boost::json::value &version : list->get_array()) {
-            verdict.versions.push_back(static_cast<std::uint64_t>(version.is_int64() ? version.get_int64() : 0));
+            result.versions.push_back(static_cast<std::uint64_t>(version.is_int64() ? version.get_int64() : 0));
         }
     }
     if (const auto *list = object.if_contains("obstacles"); list != nullptr && list->is_array()) {
         for (const boost::json::value &item : list->get_array()) {
             const boost::json::object &obstacle = item.as_object();
-            verdict.obstacles.push_back({.operation = static_cast<std::size_t>(integerField(obstacle, "operation")),
-                                         .guard = obstacle.contains("guard") && obstacle.at("guard").as_bool(),
-                                         .row = rowFromJson(obstacle.at("row"))});
+            result.obstacles.push_back({.operation = static_cast<std::size_t>(integerField(obstacle, "operation")),
+                                        .guard = obstacle.contains("guard") && obstacle.at("guard").as_bool(),
+                                        .row = rowFromJson(obstacle.at("row"))});
         }
     }
-    return verdict;
+    return result;
 }
 
 }
--- a/src/store/table.h
+++ b/src/store/table.h
@@ -59,7 +59,7 @@
 };
 
 /// The table's answer to a transaction it did process.
-struct TableVerdict {
+struct TableTransactionResult {
     bool applied = false;
     /// When applied: the version of each operation's row afterwards, 0 for a removed or absent one.
     std::vector<std::uint64_t> versions;
@@ -92,8 +92,8 @@
 absl::StatusOr<TableTransaction> transactionFromJson(const boost::json::value &value);
 boost::json::object toJson(const TableRow &row);
 TableRow rowFromJson(const boost::json::value &value);
-boost::json::object toJson(const TableVerdict &verdict);
-absl::StatusOr<TableVerdict> verdictFromJson(const boost::json::value &value);
+boost::json::object toJson(const TableTransactionResult &result);
+absl::StatusOr<TableTransactionResult> tableResultFromJson(const boost::json::value &value);
 
 /// What the system asks of the platform, in the synchronous form that fakes and scenario drivers offer.
 /// Errors: TableUnreachable when it is not known whether a transaction took effect.
@@ -102,7 +102,7 @@
 {
     {
         platform.transact(transaction)
-        } -> std::same_as<absl::StatusOr<TableVerdict>>;
+        } -> std::same_as<absl::StatusOr<TableTransactionResult>>;
     {
         platform.read(key)
         } -> std::same_as<absl::StatusOr<TableRow>>;
--- a/src/tests/fakefleet.cpp
+++ b/src/tests/fakefleet.cpp
@@ -211,7 +211,7 @@
     return rows;
 }
 
-absl::StatusOr<TableVerdict> FakeFleet::send(const TableTransaction &transaction, Delivery delivery)
+absl::StatusOr<TableTransactionResult> FakeFleet::send(const TableTransaction &transaction, Delivery delivery)
 {
     const absl::Status lost = failed(FailureKind::TableUnreachable, "lost", Executed::Unknown);
     switch (delivery) {
@@ -369,7 +369,7 @@
         (void)m_table.putObject(step.objectKey, step.object);
     }
     const auto verdict = send(step.transaction, delivery);
-    m_reclamation->onClosed(step, verdict.ok() ? *verdict : TableVerdict{});
+    m_reclamation->onClosed(step, verdict.ok() ? *verdict : TableTransactionResult{});
 }
 
 void FakeFleet::reclaimStep(std::size_t reclaimer, Delivery delivery)
@@ -412,7 +412,7 @@
         break;
     case Reclamation::Phase::Declaring: {
         const auto verdict = send(m_reclamation->declaration(), delivery);
-        m_reclamation->onDeclared(verdict.ok() ? *verdict : TableVerdict{});
+        m_reclamation->onDeclared(verdict.ok() ? *verdict : TableTransactionResult{});
         break;
     }
     case Reclamation::Phase::Sealing:
--- a/src/tests/fakefleet.h
+++ b/src/tests/fakefleet.h
@@ -135,7 +135,7 @@
     void processResults(RouterProcess &router);
     void deliverRunEnd(const Run &run, Tokens charged, bool reported);
     void settleCharge(RouterProcess &router, const Charge &charge, Tokens charged);
-    absl::StatusOr<TableVerdict> send(const TableTransaction &transaction, Delivery delivery);
+    absl::StatusOr<TableTransactionResult> send(const TableTransaction &transaction, Delivery delivery);
     void querySidecars();
     void closeStep(Delivery delivery);
     std::map<std::string, BudgetRow, std::less<>> readRows(const std::vector<std::string> &budgets);
--- a/src/tests/memorytabletest.cpp
+++ b/src/tests/memorytabletest.cpp
@@ -10,11 +10,11 @@
 {
     MemoryTable table;
     (void)table.transact({.operations = {putRow("a", {{"free", 10}}, 0), putRow("b", {{"free", 1}}, 0)}});
-    const auto verdict = table.transact({.operations = {addToField("a", "free", -5, 0), addToField("b", "free", -5, 0)}});
-    BOOST_TEST(!verdict->applied);
-    BOOST_REQUIRE(verdict->obstacles.size() == 1);
-    BOOST_TEST(verdict->obstacles[0].guard);
-    BOOST_TEST(verdict->obstacles[0].operation == 1);
+    const auto result = table.transact({.operations = {addToField("a", "free", -5, 0), addToField("b", "free", -5, 0)}});
+    BOOST_TEST(!result->applied);
+    BOOST_REQUIRE(result->obstacles.size() == 1);
+    BOOST_TEST(result->obstacles[0].guard);
+    BOOST_TEST(result->obstacles[0].operation == 1);
     BOOST_TEST(integerField((*table.read("a")).fields, "free") == 10);
 }
 
--- a/src/tests/peerhelptest.cpp
+++ b/src/tests/peerhelptest.cpp
@@ -30,7 +30,7 @@
 
 /// A store that never answers.
 struct UnreachableStore {
-    asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &)
+    asio::awaitable<absl::StatusOr<RowTransactionResult>> transact(const RowTransaction &)
     {
         co_return failed(FailureKind::TableUnreachable, "away");
     }
--- a/src/tests/relayedstoretest.cpp
+++ b/src/tests/relayedstoretest.cpp
@@ -16,7 +16,7 @@
 
 /// The store in memory, over ways that the test opens and closes.
 struct Way {
-    asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
+    asio::awaitable<absl::StatusOr<RowTransactionResult>> transact(const RowTransaction &transaction)
     {
         ++*calls;
         if (!*open) {
@@ -65,10 +65,10 @@
     }
 
     /// The outcome of one write.
-    absl::StatusOr<RowVerdict> write(const std::string &value)
+    absl::StatusOr<RowTransactionResult> write(const std::string &value)
     {
         const RowTransaction transaction{.changes = {{.address = {.table = "t", .part = "p", .key = "k"}, .value = value}}};
-        std::optional<absl::StatusOr<RowVerdict>> verdict;
+        std::optional<absl::StatusOr<RowTransactionResult>> verdict;
         asio::co_spawn(loop, writeInto(transaction, verdict), asio::detached);
         runUntil([&verdict] {
             return verdict.has_value();
@@ -84,7 +84,7 @@
         }
     }
 
-    asio::awaitable<void> writeInto(const RowTransaction &transaction, std::optional<absl::StatusOr<RowVerdict>> &verdict)
+    asio::awaitable<void> writeInto(const RowTransaction &transaction, std::optional<absl::StatusOr<RowTransactionResult>> &verdict)
     {
         verdict = co_await store.transact(transaction);
     }
@@ -148,7 +148,7 @@
     scene.directOpen = false;
     scene.nearOpen = false;
     scene.farOpen = false;
-    const absl::StatusOr<RowVerdict> verdict = scene.write("1");
+    const absl::StatusOr<RowTransactionResult> verdict = scene.write("1");
     BOOST_REQUIRE(!verdict.ok());
     BOOST_TEST((toFailure(verdict.status()).executed == Executed::Unknown));
     const int before = scene.detourCalls;
--- a/src/tests/routerregistrytest.cpp
+++ b/src/tests/routerregistrytest.cpp
@@ -15,9 +15,9 @@
 
 /// A store with the rows that the test puts there; it takes every write.
 struct ScriptedRows {
-    boost::asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &)
+    boost::asio::awaitable<absl::StatusOr<RowTransactionResult>> transact(const RowTransaction &)
     {
-        co_return RowVerdict{.applied = true, .version = 1, .storeTime = s_now};
+        co_return RowTransactionResult{.applied = true, .version = 1, .storeTime = s_now};
     }
 
     boost::asio::awaitable<absl::StatusOr<RowsRead>> read(const std::string &, const std::string &)
--- a/src/tests/sharedrows.h
+++ b/src/tests/sharedrows.h
@@ -13,7 +13,7 @@
 
 /// The store shared by all routers of a test. It answers at once, with the store time that the test sets.
 struct SharedRows {
-    boost::asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
+    boost::asio::awaitable<absl::StatusOr<RowTransactionResult>> transact(const RowTransaction &transaction)
     {
         ++writes;
         co_return rows.transact(transaction, now);
--- a/src/tests/tablewatchertest.cpp
+++ b/src/tests/tablewatchertest.cpp
@@ -35,7 +35,7 @@
         co_return feed;
     }
 
-    boost::asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
+    boost::asio::awaitable<absl::StatusOr<RowTransactionResult>> transact(const RowTransaction &transaction)
     {
         co_return rows.transact(transaction, s_storeTime);
     }
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -18,7 +18,7 @@
 
 /// An in-memory store that answers at once, or not at all.
 struct Store {
-    asio::awaitable<absl::StatusOr<RowVerdict>> transact(const RowTransaction &transaction)
+    asio::awaitable<absl::StatusOr<RowTransactionResult>> transact(const RowTransaction &transaction)
     {
         if (!answers) {
             co_return failed(FailureKind::TableUnreachable, "cut off", Executed::Unknown);
