--- a/src/budget/checkpointwriter.h
+++ b/src/budget/checkpointwriter.h
@@ -69,7 +69,7 @@
     boost::asio::awaitable<bool> read()
     {
         const RowAddress address = m_ledger.checkpoint().address();
-        const absl::StatusOr<RowsRead> rows = co_await m_store.read(address.table, address.part);
+        const absl::StatusOr<RowsSnapshot> rows = co_await m_store.read(address.table, address.part);
         if (rows.ok()) {
             m_ledger.checkpoint().handleRead(*rows);
         }
--- a/src/budget/holdercheckpoint.cpp
+++ b/src/budget/holdercheckpoint.cpp
@@ -30,7 +30,7 @@
     return {.table = std::string(s_checkpointTable), .part = m_options.holder, .key = std::string(s_checkpointKey)};
 }
 
-void HolderCheckpoint::handleRead(const RowsRead &read)
+void HolderCheckpoint::handleRead(const RowsSnapshot &read)
 {
     if (m_read) {
         return;
--- a/src/budget/holdercheckpoint.h
+++ b/src/budget/holdercheckpoint.h
@@ -52,7 +52,7 @@
     }
 
     /// Takes the router's part of the checkpoint table, as read at the start.
-    void handleRead(const RowsRead &read);
+    void handleRead(const RowsSnapshot &read);
 
     /// The next write: a checkpoint with the commitments `teams` as of now, or the previous write again while its outcome is unknown. None
     /// before the row has been read, and once fenced.
--- a/src/budget/ledgersynchronizer.h
+++ b/src/budget/ledgersynchronizer.h
@@ -80,7 +80,7 @@
     boost::asio::awaitable<bool> readRows(TeamLedger::Entry &entry, const std::string &team)
     {
         const std::string table(s_budgetTable);
-        const absl::StatusOr<RowsRead> rows = co_await m_store.read(table, team);
+        const absl::StatusOr<RowsSnapshot> rows = co_await m_store.read(table, team);
         if (!rows.ok()) {
             co_return false;
         }
--- a/src/budget/teamholding.cpp
+++ b/src/budget/teamholding.cpp
@@ -256,7 +256,7 @@
     return m_storeTime + std::chrono::duration_cast<std::chrono::milliseconds>(now - m_storeTimeAt).count();
 }
 
-bool TeamHolding::handleRead(const RowsRead &read, Instant now)
+bool TeamHolding::handleRead(const RowsSnapshot &read, Instant now)
 {
     if (read.version < m_seenVersion) {
         return false;
--- a/src/budget/teamholding.h
+++ b/src/budget/teamholding.h
@@ -161,7 +161,7 @@
     /// Takes the rows of the team's part. A read of an older state than the store has shown before is ignored: a store that is rebuilding
     /// its history may return one, and a holder that relied on it would conclude that its own row was removed. Returns whether the read was
     /// used.
-    bool handleRead(const RowsRead &read, Instant now);
+    bool handleRead(const RowsSnapshot &read, Instant now);
 
     /// Whether the rows have to be read before anything else: at the start, and when a refusal depends on what other routers hold.
     bool needsRead(Instant now) const;
--- a/src/measure/bookfleet.cpp
+++ b/src/measure/bookfleet.cpp
@@ -62,7 +62,7 @@
 {
     Tokens left = 0;
     for (int budget = 0; budget < s_budgets; ++budget) {
-        const RowsRead rows = m_store.rows.read(s_budgetTable, BookRouter::teamName(budget), m_store.time);
+        const RowsSnapshot rows = m_store.rows.read(s_budgetTable, BookRouter::teamName(budget), m_store.time);
         for (const auto &router : m_routers) {
             TeamHolding &holding = router->holding(budget);
             holding.handleRead(rows, m_store.now);
--- a/src/measure/bookrouter.cpp
+++ b/src/measure/bookrouter.cpp
@@ -80,7 +80,7 @@
     }
     for (const auto &[budget, holding] : m_holdings) {
         if (holding->needsRead(m_store.now)) {
-            const RowsRead rows = m_store.rows.read(s_budgetTable, teamName(budget), m_store.time);
+            const RowsSnapshot rows = m_store.rows.read(s_budgetTable, teamName(budget), m_store.time);
             ++m_store.use.reads;
             for (const StoredRow &row : rows.rows) {
                 m_store.use.bytes += s_rowOverhead + encodedSize(row.value.size());
--- a/src/membership/relayedstore.cpp
+++ b/src/membership/relayedstore.cpp
@@ -78,7 +78,7 @@
     return message;
 }
 
-wire::StoreAnswer toWire(const RowsRead &read)
+wire::StoreAnswer toWire(const RowsSnapshot &read)
 {
     wire::StoreAnswer message;
     message.set_version(read.version);
@@ -92,7 +92,7 @@
     return {.applied = message.applied(), .version = message.version(), .current = rowsOf(message), .storeTime = message.store_time_ms()};
 }
 
-RowsRead readFromWire(const wire::StoreAnswer &message)
+RowsSnapshot readFromWire(const wire::StoreAnswer &message)
 {
     return {.rows = rowsOf(message), .version = message.version(), .storeTime = message.store_time_ms()};
 }
--- a/src/membership/relayedstore.h
+++ b/src/membership/relayedstore.h
@@ -23,9 +23,9 @@
 wire::StoreTransaction toWire(const RowTransaction &transaction);
 RowTransaction fromWire(const wire::StoreTransaction &message);
 wire::StoreAnswer toWire(const RowTransactionResult &verdict);
-wire::StoreAnswer toWire(const RowsRead &read);
+wire::StoreAnswer toWire(const RowsSnapshot &read);
 RowTransactionResult verdictFromWire(const wire::StoreAnswer &message);
-RowsRead readFromWire(const wire::StoreAnswer &message);
+RowsSnapshot readFromWire(const wire::StoreAnswer &message);
 
 /// A store that is reached directly, or while the direct way is cut through a relay beside a target, or through a peer. A transaction may
 /// be sent several ways: it is conditional, and its sender recognises a copy that took effect before.
@@ -105,11 +105,11 @@
             FailureKind::TableUnreachable, "neither directly nor through a peer", surelyNot ? Executed::No : Executed::Unknown);
     }
 
-    boost::asio::awaitable<absl::StatusOr<RowsRead>> read(const std::string &table, const std::string &part)
+    boost::asio::awaitable<absl::StatusOr<RowsSnapshot>> read(const std::string &table, const std::string &part)
     {
         const bool triedDirect = m_directReachable;
         if (triedDirect) {
-            absl::StatusOr<RowsRead> rows = co_await m_direct.read(table, part);
+            absl::StatusOr<RowsSnapshot> rows = co_await m_direct.read(table, part);
             noteDirect(rows.status());
             if (rows.ok()) {
                 co_return rows;
@@ -118,7 +118,7 @@
         const auto send = [&table, &part](Store &store) {
             return store.read(table, part);
         };
-        const std::optional<absl::StatusOr<RowsRead>> detoured = co_await detour<RowsRead>(send);
+        const std::optional<absl::StatusOr<RowsSnapshot>> detoured = co_await detour<RowsSnapshot>(send);
         if (detoured) {
             co_return *detoured;
         }
@@ -133,7 +133,7 @@
             co_return failed(FailureKind::TableUnreachable, "neither directly nor through a peer");
         }
         // Somebody has to find out when the direct way is open again.
-        absl::StatusOr<RowsRead> rows = co_await m_direct.read(table, part);
+        absl::StatusOr<RowsSnapshot> rows = co_await m_direct.read(table, part);
         noteDirect(rows.status());
         co_return rows;
     }
@@ -172,7 +172,7 @@
                 *answer.mutable_store() = toWire(*verdict);
             }
         } else {
-            const absl::StatusOr<RowsRead> rows = co_await m_direct.read(call.read().table(), call.read().part());
+            const absl::StatusOr<RowsSnapshot> rows = co_await m_direct.read(call.read().table(), call.read().part());
             status = rows.status();
             if (rows.ok()) {
                 *answer.mutable_store() = toWire(*rows);
@@ -207,7 +207,7 @@
         const std::string table(s_probedTable);
         while (!m_directReachable) {
             co_await pause(m_options.probePause);
-            const absl::StatusOr<RowsRead> rows = co_await m_direct.read(table, nowhere);
+            const absl::StatusOr<RowsSnapshot> rows = co_await m_direct.read(table, nowhere);
             m_directReachable = m_directReachable || rows.ok();
         }
         m_probing = false;
--- a/src/membership/routerregistry.h
+++ b/src/membership/routerregistry.h
@@ -111,7 +111,7 @@
     boost::asio::awaitable<bool> count()
     {
         const RowAddress own = ownAddress();
-        const absl::StatusOr<RowsRead> read = co_await m_store.read(own.table, own.part);
+        const absl::StatusOr<RowsSnapshot> read = co_await m_store.read(own.table, own.part);
         if (!read.ok()) {
             co_return false;
         }
--- a/src/quarantine/quarantinekeeper.h
+++ b/src/quarantine/quarantinekeeper.h
@@ -56,7 +56,7 @@
     {
         const std::string table(s_quarantineTable);
         const std::string wholePart;
-        const absl::StatusOr<RowsRead> read = co_await m_store.read(table, wholePart);
+        const absl::StatusOr<RowsSnapshot> read = co_await m_store.read(table, wholePart);
         logStoreState(read.ok());
         // A read older than a previous one may lack rows that exist. Requests missing from it would be released.
         if (!read.ok() || read->version < m_lastReadVersion) {
@@ -90,7 +90,7 @@
         return {.table = std::string(s_quarantineTable), .part = "", .key = fingerprint.text()};
     }
 
-    void applyRows(const RowsRead &read)
+    void applyRows(const RowsSnapshot &read)
     {
         m_rows.clear();
         for (const StoredRow &row : read.rows) {
@@ -163,7 +163,7 @@
         return Quarantine::clampedDuration(row.nextTrial - storeTime) <= -Quarantine::s_maxTrialInterval;
     }
 
-    RowTransaction pendingChanges(const RowsRead &read) const
+    RowTransaction pendingChanges(const RowsSnapshot &read) const
     {
         RowTransaction transaction;
         const auto change = [&transaction](const RequestFingerprint &fingerprint, std::uint64_t version, std::optional<std::string> value) {
--- a/src/store/memoryrows.cpp
+++ b/src/store/memoryrows.cpp
@@ -59,9 +59,9 @@
     return result;
 }
 
-RowsRead MemoryRows::read(std::string_view table, std::string_view part, StoreTimeMs now) const
+RowsSnapshot MemoryRows::read(std::string_view table, std::string_view part, StoreTimeMs now) const
 {
-    RowsRead read{.version = m_version, .storeTime = now};
+    RowsSnapshot read{.version = m_version, .storeTime = now};
     for (const auto &[address, row] : m_rows) {
         if (address.table == table && address.part == part) {
             read.rows.push_back(row);
--- a/src/store/memoryrows.h
+++ b/src/store/memoryrows.h
@@ -16,7 +16,7 @@
     absl::StatusOr<RowTransactionResult> transact(const RowTransaction &transaction, StoreTimeMs now);
 
     /// All rows of a table's part, in key order.
-    RowsRead read(std::string_view table, std::string_view part, StoreTimeMs now) const;
+    RowsSnapshot read(std::string_view table, std::string_view part, StoreTimeMs now) const;
 
     /// The changes of a table since a version.
     RowsFeed changesSince(std::string_view table, std::uint64_t version) const;
--- a/src/store/rowstore.h
+++ b/src/store/rowstore.h
@@ -70,7 +70,7 @@
 };
 
 /// Rows as of one moment.
-struct RowsRead {
+struct RowsSnapshot {
     std::vector<StoredRow> rows;
     /// The newest version of the store at that moment; a feed can go on from it.
     std::uint64_t version = 0;
@@ -119,7 +119,7 @@
         } -> std::same_as<boost::asio::awaitable<absl::StatusOr<RowTransactionResult>>>;
     {
         store.read(text, text)
-        } -> std::same_as<boost::asio::awaitable<absl::StatusOr<RowsRead>>>;
+        } -> std::same_as<boost::asio::awaitable<absl::StatusOr<RowsSnapshot>>>;
     {
         store.follow(text, version, wait)
         } -> std::same_as<boost::asio::awaitable<absl::StatusOr<RowsFeed>>>;
--- a/src/store/tablewatcher.h
+++ b/src/store/tablewatcher.h
@@ -63,7 +63,7 @@
     boost::asio::awaitable<bool> readOnce()
     {
         const std::string wholePart;
-        const absl::StatusOr<RowsRead> read = co_await m_store.read(m_options.table, wholePart);
+        const absl::StatusOr<RowsSnapshot> read = co_await m_store.read(m_options.table, wholePart);
         if (!read.ok()) {
             noteFailure("read", read.status());
             co_return false;
--- a/src/tests/peerhelptest.cpp
+++ b/src/tests/peerhelptest.cpp
@@ -35,7 +35,7 @@
         co_return failed(FailureKind::TableUnreachable, "away");
     }
 
-    asio::awaitable<absl::StatusOr<RowsRead>> read(const std::string &, const std::string &)
+    asio::awaitable<absl::StatusOr<RowsSnapshot>> read(const std::string &, const std::string &)
     {
         co_return failed(FailureKind::TableUnreachable, "away");
     }
--- a/src/tests/quarantinekeepertest.cpp
+++ b/src/tests/quarantinekeepertest.cpp
@@ -163,7 +163,7 @@
 {
     SharedRows rows;
     Router router(rows);
-    const RowsRead before = rows.rows.read("quarantine", "", rows.now);
+    const RowsSnapshot before = rows.rows.read("quarantine", "", rows.now);
     router.crashThreeTargets(request("poison"));
     router.synchronise();
     router.synchronise();
--- a/src/tests/relayedstoretest.cpp
+++ b/src/tests/relayedstoretest.cpp
@@ -25,7 +25,7 @@
         co_return rows->transact(transaction, s_storeTime);
     }
 
-    asio::awaitable<absl::StatusOr<RowsRead>> read(const std::string &table, const std::string &part)
+    asio::awaitable<absl::StatusOr<RowsSnapshot>> read(const std::string &table, const std::string &part)
     {
         ++*calls;
         if (!*open) {
--- a/src/tests/routerregistrytest.cpp
+++ b/src/tests/routerregistrytest.cpp
@@ -20,9 +20,9 @@
         co_return RowTransactionResult{.applied = true, .version = 1, .storeTime = s_now};
     }
 
-    boost::asio::awaitable<absl::StatusOr<RowsRead>> read(const std::string &, const std::string &)
+    boost::asio::awaitable<absl::StatusOr<RowsSnapshot>> read(const std::string &, const std::string &)
     {
-        co_return RowsRead{.rows = rows, .version = 1, .storeTime = s_now};
+        co_return RowsSnapshot{.rows = rows, .version = 1, .storeTime = s_now};
     }
 
     boost::asio::awaitable<absl::StatusOr<RowsFeed>> follow(const std::string &, std::uint64_t, Duration)
--- a/src/tests/sharedrows.h
+++ b/src/tests/sharedrows.h
@@ -19,7 +19,7 @@
         co_return rows.transact(transaction, now);
     }
 
-    boost::asio::awaitable<absl::StatusOr<RowsRead>> read(const std::string &table, const std::string &part)
+    boost::asio::awaitable<absl::StatusOr<RowsSnapshot>> read(const std::string &table, const std::string &part)
     {
         if (older) {
             co_return *older;
@@ -42,7 +42,7 @@
     StoreTimeMs now = 5'000'000;
     int writes = 0;
     /// If set, an outdated result that every read returns.
-    std::optional<RowsRead> older;
+    std::optional<RowsSnapshot> older;
 };
 
 }
--- a/src/tests/tablewatchertest.cpp
+++ b/src/tests/tablewatchertest.cpp
@@ -16,10 +16,10 @@
 
 /// A store behind a slow link, in a time of its own: every answer takes as long as its size, and the row changes all the while.
 struct BusyStore {
-    boost::asio::awaitable<absl::StatusOr<RowsRead>> read(const std::string &table, const std::string &part)
+    boost::asio::awaitable<absl::StatusOr<RowsSnapshot>> read(const std::string &table, const std::string &part)
     {
         co_await pause(Duration::zero());
-        RowsRead read = rows.read(table, part, s_storeTime);
+        RowsSnapshot read = rows.read(table, part, s_storeTime);
         carry(read.rows);
         co_return read;
     }
--- a/src/tests/teamholdingtest.cpp
+++ b/src/tests/teamholdingtest.cpp
@@ -246,7 +246,7 @@
     StoreTimeMs m_storeNow = 1000;
     std::vector<std::unique_ptr<Process>> m_processes;
     std::vector<RowTransaction> m_late;
-    std::optional<RowsRead> m_remembered;
+    std::optional<RowsSnapshot> m_remembered;
     Tokens m_spent = 0;
     std::size_t m_lives = 0;
 };
--- a/src/tests/teamledgertest.cpp
+++ b/src/tests/teamledgertest.cpp
@@ -26,7 +26,7 @@
         co_return rows.transact(transaction, s_storeTime);
     }
 
-    asio::awaitable<absl::StatusOr<RowsRead>> read(const std::string &table, const std::string &part)
+    asio::awaitable<absl::StatusOr<RowsSnapshot>> read(const std::string &table, const std::string &part)
     {
         if (!answers) {
             co_return failed(FailureKind::TableUnreachable, "cut off");
@@ -158,7 +158,7 @@
     });
     BOOST_TEST(scene.given == 2000);
     BOOST_TEST(!scene.givenTo.empty());
-    const RowsRead rows = scene.store.rows.read(s_budgetTable, "team", 0);
+    const RowsSnapshot rows = scene.store.rows.read(s_budgetTable, "team", 0);
     BOOST_TEST(rows.rows.empty());
 }
 
@@ -203,7 +203,7 @@
     Scene scene;
     const TeamLedger::Loan loan = scene.lend(6000);
     BOOST_TEST(loan.tokens == 6000);
-    const RowsRead rows = scene.store.rows.read(s_checkpointTable, "10.0.0.1:80", 0);
+    const RowsSnapshot rows = scene.store.rows.read(s_checkpointTable, "10.0.0.1:80", 0);
     BOOST_REQUIRE(rows.rows.size() == 1);
     BOOST_TEST(checkpointRowFrom(rows.rows.front()).own.teams.at("team").limitAfter(0) >= 6000);
 }
