--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -317,7 +317,7 @@
     typename TableWatcher<Relayed>::Options planWatcherOptions()
     {
         return {.table = m_options.planTable,
-                .onAll =
+                .onSnapshot =
                     [this](const std::vector<StoredRow> &rows) {
                         m_evacuations.applyTable(rows);
                         for (const StoredRow &row : rows) {
@@ -384,7 +384,7 @@
     typename TableWatcher<Relayed>::Options targetWatcherOptions()
     {
         return {.table = m_options.targetTable,
-                .onAll =
+                .onSnapshot =
                     [this](const std::vector<StoredRow> &rows) {
                         m_targetsKnown = true;
                         m_targetFollower.applyTable(rows, steadyNow());
--- a/src/store/tablewatcher.h
+++ b/src/store/tablewatcher.h
@@ -24,7 +24,7 @@
     struct Options {
         std::string table;
         /// The table as of one moment.
-        std::function<void(const std::vector<StoredRow> &)> onAll;
+        std::function<void(const std::vector<StoredRow> &)> onSnapshot;
         /// A changed row; version 0 when it was removed.
         std::function<void(const StoredRow &)> onChange;
         /// Whether the store answers.
@@ -33,7 +33,7 @@
         std::function<void(std::uint64_t version)> onVersion = [](std::uint64_t) {};
         /// The store holds a call back this long when nothing changes. Short, because a connection that went silent is noticed only by an
         /// answer that does not come.
-        Duration longestWait = std::chrono::milliseconds(1500);
+        Duration longPollTimeout = std::chrono::milliseconds(1500);
         Duration retryPause = std::chrono::milliseconds(150);
     };
 
@@ -75,7 +75,7 @@
         }
         m_version = read->version;
         m_synced = true;
-        m_options.onAll(read->rows);
+        m_options.onSnapshot(read->rows);
         m_options.onVersion(m_version);
         co_return true;
     }
@@ -84,7 +84,7 @@
     /// following does not.
     boost::asio::awaitable<bool> followOnce()
     {
-        const absl::StatusOr<RowsFeed> feed = co_await m_store.follow(m_options.table, m_version, m_options.longestWait);
+        const absl::StatusOr<RowsFeed> feed = co_await m_store.follow(m_options.table, m_version, m_options.longPollTimeout);
         if (!feed.ok()) {
             noteFailure("follow", feed.status());
             co_return false;
--- a/src/tests/tablewatchertest.cpp
+++ b/src/tests/tablewatchertest.cpp
@@ -80,7 +80,7 @@
     };
     TableWatcher<BusyStore> watcher(store,
                                     {.table = "t",
-                                     .onAll =
+                                     .onSnapshot =
                                          [&take](const std::vector<StoredRow> &) {
                                              take();
                                          },
