--- a/src/store/rowstore.h
+++ b/src/store/rowstore.h
@@ -107,7 +107,7 @@
 std::string_view storeCallName(StoreCall::Kind kind);
 
 /// Which of the changes, in order, are at least this many bytes large and followed by a newer state of the same row.
-std::vector<bool> supersededLargeRows(std::span<const StoredRow> changes, std::size_t leastBytes);
+std::vector<bool> supersededLargeRows(std::span<const StoredRow> changes, std::size_t minBytes);
 
 /// What the system asks of a store of versioned rows. Errors: TableUnreachable with Executed::No when the store declined, with
 /// Executed::Unknown when a transaction may have taken effect or may still do so.
--- a/src/store/tablewatcher.h
+++ b/src/store/tablewatcher.h
@@ -48,11 +48,11 @@
     {
         while (true) {
             if (m_synced) {
-                m_synced = co_await followOnce();
+                m_synced = co_await followChanges();
                 continue;
             }
-            const bool read = co_await readOnce();
-            noteReachable(read);
+            const bool read = co_await readTable();
+            updateReachability(read);
             if (!read) {
                 co_await pause(m_options.retryPause);
             }
@@ -60,15 +60,15 @@
     }
 
 private:
-    boost::asio::awaitable<bool> readOnce()
+    boost::asio::awaitable<bool> readTable()
     {
-        const std::string wholePart;
-        const absl::StatusOr<RowsSnapshot> read = co_await m_store.read(m_options.table, wholePart);
+        const std::string unnamedPart;
+        const absl::StatusOr<RowsSnapshot> read = co_await m_store.read(m_options.table, unnamedPart);
         if (!read.ok()) {
-            noteFailure("read", read.status());
+            logCallFailure("read", read.status());
             co_return false;
         }
-        m_failures = 0;
+        m_consecutiveFailures = 0;
         if (read->version < m_version) {
             // An answer older than what was seen already would take back changes that are in force.
             co_return false;
@@ -82,11 +82,11 @@
 
     /// False when the table has to be read again: the store did not answer, or no longer has the changes. A read may still find a way where
     /// following does not.
-    boost::asio::awaitable<bool> followOnce()
+    boost::asio::awaitable<bool> followChanges()
     {
         const absl::StatusOr<RowsFeed> feed = co_await m_store.follow(m_options.table, m_version, m_options.longPollTimeout);
         if (!feed.ok()) {
-            noteFailure("follow", feed.status());
+            logCallFailure("follow", feed.status());
             co_return false;
         }
         if (feed->historyCompacted) {
@@ -96,9 +96,9 @@
         if (feed->longerThanTable) {
             co_return false;
         }
-        const std::vector<bool> passedOver = supersededLargeRows(feed->rows, s_largeRow);
+        const std::vector<bool> superseded = supersededLargeRows(feed->rows, s_largeRowBytes);
         for (std::size_t index = 0; index < feed->rows.size(); ++index) {
-            if (!passedOver[index]) {
+            if (!superseded[index]) {
                 m_options.onChange(feed->rows[index]);
             }
         }
@@ -106,44 +106,44 @@
         m_options.onVersion(m_version);
         // Changes that came while the last answer was on its way come all at once. Where each is large and they keep coming, the next
         // answer would take longer still, and so on: the newest one would be ever further away. A whole read has each row once.
-        co_return std::ranges::none_of(passedOver, std::identity{});
+        co_return std::ranges::none_of(superseded, std::identity{});
     }
 
     /// Says why calls fail: `store.lost` alone does not tell a store that is silent from an answer that never comes whole. Of a row of
     /// failures the first, second, fourth, eighth and so on are logged, so that a long outage stays quiet.
-    void noteFailure(std::string_view call, const absl::Status &status)
+    void logCallFailure(std::string_view call, const absl::Status &status)
     {
-        ++m_failures;
-        if (std::has_single_bit(m_failures)) {
+        ++m_consecutiveFailures;
+        if (std::has_single_bit(m_consecutiveFailures)) {
             logLine(Severity::Warning,
                     "store.call_failed",
                     {{"table", m_options.table},
                      {"call", std::string(call)},
-                     {"in_a_row", static_cast<std::int64_t>(m_failures)},
+                     {"in_a_row", static_cast<std::int64_t>(m_consecutiveFailures)},
                      {"detail", toFailure(status).detail}});
         }
     }
 
-    void noteReachable(bool answered)
+    void updateReachability(bool reachable)
     {
-        if (answered != m_reachable) {
-            logLine(answered ? Severity::Info : Severity::Warning,
-                    answered ? "store.regained" : "store.lost",
+        if (reachable != m_reachable) {
+            logLine(reachable ? Severity::Info : Severity::Warning,
+                    reachable ? "store.regained" : "store.lost",
                     {{"table", m_options.table}, {"version", static_cast<std::int64_t>(m_version)}});
         }
-        m_reachable = answered;
-        m_options.onReachable(answered);
+        m_reachable = reachable;
+        m_options.onReachable(reachable);
     }
 
     /// Rows from this size on, in bytes, are passed over where a newer one is at hand: reading a large document takes a small host most of
     /// a second. Smaller ones are all taken, since a target's record may say in between that it leaves.
-    static constexpr std::size_t s_largeRow = 16 * 1024;
+    static constexpr std::size_t s_largeRowBytes = 16 * 1024;
 
     Store &m_store;
     Options m_options;
     std::uint64_t m_version = 0;
     /// Calls that failed since the last whole read.
-    std::uint64_t m_failures = 0;
+    std::uint64_t m_consecutiveFailures = 0;
     bool m_synced = false;
     bool m_reachable = true;
 };
