--- a/src/membership/storerelay.cpp
+++ b/src/membership/storerelay.cpp
@@ -78,7 +78,7 @@
 asio::awaitable<void> StoreRelay::carry(std::string peer, wire::RelayRequest request)
 {
     HttpCallOptions options{.method = request.method(), .path = request.path(), .body = request.body()};
-    const auto reply = co_await m_platform.direct(std::move(options));
+    const auto reply = co_await m_platform.callDirectly(std::move(options));
     wire::Envelope envelope;
     wire::RelayAnswer &answer = *envelope.mutable_relay_answer();
     answer.set_relay_id(request.relay_id());
--- a/src/store/platformclient.cpp
+++ b/src/store/platformclient.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr Duration s_directPause = std::chrono::seconds(5);
+constexpr Duration s_directRetryInterval = std::chrono::seconds(5);
 constexpr unsigned s_ok = 200;
 constexpr unsigned s_notFound = 404;
 
-absl::StatusOr<boost::json::value> parsed(const HttpReply &reply)
+absl::StatusOr<boost::json::value> parseObject(const HttpReply &reply)
 {
     boost::json::error_code error;
     boost::json::value value = boost::json::parse(reply.body, error);
@@ -25,7 +25,7 @@
     return value;
 }
 
-std::vector<TableRow> rowsOf(const boost::json::value &value)
+std::vector<TableRow> rowsFromJson(const boost::json::value &value)
 {
     std::vector<TableRow> rows;
     const auto *list = value.get_object().if_contains("rows");
@@ -50,7 +50,7 @@
     m_relay = std::move(relay);
 }
 
-asio::awaitable<absl::StatusOr<HttpReply>> PlatformClient::direct(HttpCallOptions options)
+asio::awaitable<absl::StatusOr<HttpReply>> PlatformClient::callDirectly(HttpCallOptions options)
 {
     ++m_calls;
     options.timeout = m_timeout;
@@ -66,17 +66,17 @@
 
 asio::awaitable<absl::StatusOr<HttpReply>> PlatformClient::call(HttpCallOptions options)
 {
-    if (m_relay && steadyNow() < m_directBlockedUntil) {
+    if (m_relay && steadyNow() < m_relayFirstUntil) {
         auto relayed = co_await m_relay(options);
         if (relayed.ok()) {
             co_return relayed;
         }
     }
-    auto reply = co_await direct(options);
+    auto reply = co_await callDirectly(options);
     if (reply.ok() || !m_relay) {
         co_return reply;
     }
-    m_directBlockedUntil = steadyNow() + s_directPause;
+    m_relayFirstUntil = steadyNow() + s_directRetryInterval;
     co_return co_await m_relay(options);
 }
 
@@ -87,7 +87,7 @@
     if (!reply.ok()) {
         co_return reply.status();
     }
-    const auto value = parsed(*reply);
+    const auto value = parseObject(*reply);
     if (!value.ok()) {
         co_return value.status();
     }
@@ -106,11 +106,11 @@
     if (!reply.ok()) {
         co_return reply.status();
     }
-    const auto value = parsed(*reply);
+    const auto value = parseObject(*reply);
     if (!value.ok()) {
         co_return value.status();
     }
-    co_return rowsOf(*value);
+    co_return rowsFromJson(*value);
 }
 
 asio::awaitable<absl::StatusOr<TableRow>> PlatformClient::readOne(std::string key)
@@ -133,11 +133,11 @@
     if (!reply.ok()) {
         co_return reply.status();
     }
-    const auto value = parsed(*reply);
+    const auto value = parseObject(*reply);
     if (!value.ok()) {
         co_return value.status();
     }
-    co_return rowsOf(*value);
+    co_return rowsFromJson(*value);
 }
 
 asio::awaitable<absl::Status> PlatformClient::putObject(std::string key, std::string content)
@@ -167,7 +167,7 @@
     if (!reply.ok()) {
         co_return reply.status();
     }
-    const auto value = parsed(*reply);
+    const auto value = parseObject(*reply);
     if (!value.ok()) {
         co_return value.status();
     }
--- a/src/store/platformclient.h
+++ b/src/store/platformclient.h
@@ -47,7 +47,7 @@
     asio::awaitable<absl::StatusOr<std::vector<ListedHost>>> hosts();
 
     /// One call as it stands, without a relay: what a peer carries for another.
-    asio::awaitable<absl::StatusOr<HttpReply>> direct(HttpCallOptions options);
+    asio::awaitable<absl::StatusOr<HttpReply>> callDirectly(HttpCallOptions options);
 
     /// Calls that went out so far: reads and writes.
     std::uint64_t calls() const
@@ -62,7 +62,7 @@
     Duration m_timeout;
     Relay m_relay;
     /// While the direct way is known to fail, the relay is tried first and the direct way now and then.
-    Instant m_directBlockedUntil{};
+    Instant m_relayFirstUntil{};
     std::uint64_t m_calls = 0;
 };
 
--- a/src/store/table.cpp
+++ b/src/store/table.cpp
@@ -23,7 +23,7 @@
     return "remove";
 }
 
-std::optional<TableOperation::Kind> kindOf(std::string_view name)
+std::optional<TableOperation::Kind> kindFromName(std::string_view name)
 {
     for (const auto kind :
          {TableOperation::Kind::Check, TableOperation::Kind::Put, TableOperation::Kind::Add, TableOperation::Kind::Remove}) {
@@ -60,7 +60,7 @@
         return failed(FailureKind::InvalidDocument, "an operation must be an object");
     }
     const boost::json::object &object = value.get_object();
-    const auto kind = kindOf(textField(object, "op"));
+    const auto kind = kindFromName(textField(object, "op"));
     TableOperation operation{.key = textField(object, "key")};
     if (!kind || operation.key.empty()) {
         return failed(FailureKind::InvalidDocument, "an operation needs 'op' (check, put, add, remove) and 'key'");
