--- a/src/tests/memoryrowstest.cpp
+++ b/src/tests/memoryrowstest.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_SUITE(MemoryRowsTest)
 
-BOOST_AUTO_TEST_CASE(allOrNothing)
+BOOST_AUTO_TEST_CASE(appliesAllChangesOrNone)
 {
     MemoryRows rows;
     const RowTransaction create{.conditions = {{.address = address("a"), .version = 0}},
@@ -30,14 +30,14 @@
     BOOST_TEST(rows.read("t", "p", 12).rows.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(onePartATransaction)
+BOOST_AUTO_TEST_CASE(rejectsTransactionAcrossParts)
 {
     MemoryRows rows;
     const RowTransaction across{.changes = {{.address = address("a"), .value = "1"}, {.address = address("a", "q"), .value = "1"}}};
     BOOST_TEST((toFailure(rows.transact(across, 1).status()).kind == FailureKind::InvalidRequest));
 }
 
-BOOST_AUTO_TEST_CASE(feedTellsRemovalsAndForgets)
+BOOST_AUTO_TEST_CASE(feedReportsRemovalsAndCompaction)
 {
     MemoryRows rows;
     BOOST_TEST(rows.transact({.changes = {{.address = address("a"), .value = "1"}}}, 1).ok());
--- a/src/tests/memorytabletest.cpp
+++ b/src/tests/memorytabletest.cpp
@@ -18,7 +18,7 @@
     BOOST_TEST(integerField((*table.read("a")).fields, "free") == 10);
 }
 
-BOOST_AUTO_TEST_CASE(versionsNeverComeBack)
+BOOST_AUTO_TEST_CASE(versionsAreNotReused)
 {
     MemoryTable table;
     (void)table.transact({.operations = {putRow("a", {}, 0)}});
@@ -29,7 +29,7 @@
     BOOST_TEST(!table.transact({.operations = {putRow("a", {}, first)}})->applied);
 }
 
-BOOST_AUTO_TEST_CASE(transactionsSurviveTheirJsonForm)
+BOOST_AUTO_TEST_CASE(transactionsRoundTripThroughJson)
 {
     const TableTransaction transaction{.operations = {checkVersion("a", 0),
                                                       putRow("b", {{"x", "y"}}, 3),
--- a/src/tests/tablewatchertest.cpp
+++ b/src/tests/tablewatchertest.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-constexpr std::size_t s_large = 500'000;
+constexpr std::size_t s_rowBytes = 500'000;
 constexpr StoreTimeMs s_storeTime = 1000;
 
 /// A store behind a slow link, in a time of its own: every answer takes as long as its size, and the row changes all the while.
-struct BusyStore {
+struct SlowLinkStore {
     boost::asio::awaitable<absl::StatusOr<RowsSnapshot>> read(const std::string &table, const std::string &part)
     {
         co_await pause(Duration::zero());
         RowsSnapshot read = rows.read(table, part, s_storeTime);
-        carry(read.rows);
+        changeDuringTransfer(read.rows);
         co_return read;
     }
 
@@ -28,10 +28,10 @@
     {
         co_await pause(Duration::zero());
         if (rows.changesSince(table, version).rows.empty()) {
-            change();
+            writeRow();
         }
         RowsFeed feed = rows.changesSince(table, version);
-        carry(feed.rows);
+        changeDuringTransfer(feed.rows);
         co_return feed;
     }
 
@@ -41,20 +41,20 @@
     }
 
     /// Half a megabyte takes as long as two changes.
-    void carry(const std::vector<StoredRow> &carried)
+    void changeDuringTransfer(const std::vector<StoredRow> &rowsSent)
     {
-        largestAnswer = std::max(largestAnswer, carried.size());
-        for (std::size_t index = 0; index < carried.size(); ++index) {
-            change();
-            change();
+        largestAnswer = std::max(largestAnswer, rowsSent.size());
+        for (std::size_t index = 0; index < rowsSent.size(); ++index) {
+            writeRow();
+            writeRow();
         }
     }
 
-    void change()
+    void writeRow()
     {
         ++changes;
         const RowAddress address{.table = "t", .part = "", .key = "k"};
-        (void)rows.transact({.changes = {{.address = address, .value = std::string(s_large, 'x')}}}, s_storeTime);
+        (void)rows.transact({.changes = {{.address = address, .value = std::string(s_rowBytes, 'x')}}}, s_storeTime);
     }
 
     MemoryRows rows;
@@ -68,36 +68,36 @@
 
 // A large document changes faster than it crosses the link. Each feed brings all that changed during the last one, so each is twice as long
 // as the one before, and what is in force falls ever further behind. After a feed with passed-over states the table is read whole.
-BOOST_AUTO_TEST_CASE(aBacklogOfLargeChangesDoesNotGrow)
+BOOST_AUTO_TEST_CASE(backlogOfLargeChangesDoesNotGrow)
 {
     boost::asio::io_context loop;
-    BusyStore store;
-    int taken = 0;
-    const auto take = [&loop, &taken] {
-        if (++taken > 20) {
+    SlowLinkStore store;
+    int delivered = 0;
+    const auto countDelivery = [&loop, &delivered] {
+        if (++delivered > 20) {
             loop.stop();
         }
     };
-    TableWatcher<BusyStore> watcher(store,
-                                    {.table = "t",
-                                     .onSnapshot =
-                                         [&take](const std::vector<StoredRow> &) {
-                                             take();
-                                         },
-                                     .onChange =
-                                         [&take](const StoredRow &) {
-                                             take();
-                                         },
-                                     .onReachable = [](bool) {}});
-    store.change();
+    TableWatcher<SlowLinkStore> watcher(store,
+                                        {.table = "t",
+                                         .onSnapshot =
+                                             [&countDelivery](const std::vector<StoredRow> &) {
+                                                 countDelivery();
+                                             },
+                                         .onChange =
+                                             [&countDelivery](const StoredRow &) {
+                                                 countDelivery();
+                                             },
+                                         .onReachable = [](bool) {}});
+    store.writeRow();
     boost::asio::co_spawn(loop, watcher.run(), boost::asio::detached);
     loop.run();
     BOOST_TEST(store.largestAnswer <= 2U);
-    BOOST_TEST(taken > 20);
+    BOOST_TEST(delivered > 20);
 }
 
 // A target says that it leaves and is gone soon after, in one answer: small changes are all taken, in order.
-BOOST_AUTO_TEST_CASE(smallChangesAreAllTaken)
+BOOST_AUTO_TEST_CASE(smallChangesAreAllDelivered)
 {
     const RowAddress address{.table = "t", .part = "", .key = "k"};
     const std::vector<StoredRow> changes{{.address = address, .value = "leaving", .version = 1}, {.address = address, .version = 0}};
