--- a/src/gateway/peerexchange.h
+++ b/src/gateway/peerexchange.h
@@ -9,7 +9,7 @@
 #include "membership/planseeker.h"
 #include "membership/plansource.h"
 #include "membership/relayedstore.h"
-#include "net/patience.h"
+#include "net/adaptivetimeout.h"
 #include "net/pause.h"
 #include "net/signal.h"
 #include "operations/log.h"
@@ -42,7 +42,7 @@
         /// How long the answer to a loan request is accepted; after `peerTimeout` the borrowing request no longer waits for it.
         Duration maxLoanWait = std::chrono::seconds(3);
         /// Timeout for a piece of a configuration, which may be queued behind answers to callers on a slow link.
-        Patience::Options pieceTimeout{.least = std::chrono::milliseconds(800), .most = std::chrono::seconds(3)};
+        AdaptiveTimeout::Options pieceTimeout{.minTimeout = std::chrono::milliseconds(800), .maxTimeout = std::chrono::seconds(3)};
         /// Interval at which a router without a configuration asks its peers for one.
         Duration initialPlanInterval = std::chrono::milliseconds(250);
         /// Peers asked for one loan. In a large fleet all of them hold about the same amount.
@@ -372,7 +372,7 @@
         const absl::StatusOr<wire::PeerAnswer> answer = co_await m_link.ask(ask.peer, std::move(call), m_pieceTimeout.current());
         const Instant now = steadyNow();
         if (!answer.ok()) {
-            m_pieceTimeout.missed();
+            m_pieceTimeout.recordTimeout();
             logLine(Severity::Warning,
                     "plan.fetch_failed",
                     {{"peer", ask.peer}, {"offset", static_cast<std::int64_t>(ask.offset)}, {"detail", toFailure(answer.status()).detail}});
@@ -382,7 +382,7 @@
             m_seeker.failed(ask.peer, now);
             co_return;
         }
-        m_pieceTimeout.answered(now - startedAt);
+        m_pieceTimeout.recordAnswer(now - startedAt);
         const wire::PlanDocument &document = answer->plan();
         if (document.has_evacuations()) {
             m_evacuations.applyPeerState(fromWire(document.evacuations()), now);
@@ -414,7 +414,7 @@
     std::map<std::string, Instant> m_backoffUntil;
     PlanSeeker m_seeker;
     PlanSource m_source;
-    Patience m_pieceTimeout;
+    AdaptiveTimeout m_pieceTimeout;
     bool m_seekerRunning = false;
 };
 
--- a/src/tests/patiencetest.cpp
+++ b/src/tests/patiencetest.cpp
@@ -1,4 +1,4 @@
-#include "net/patience.h"
+#include "net/adaptivetimeout.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -11,9 +11,9 @@
     return std::chrono::milliseconds(value);
 }
 
-Patience patience()
+AdaptiveTimeout patience()
 {
-    return Patience({.least = ms(200), .most = ms(1500)});
+    return AdaptiveTimeout({.minTimeout = ms(200), .maxTimeout = ms(1500)});
 }
 
 }
@@ -24,32 +24,32 @@
 // 1.5 s.
 BOOST_AUTO_TEST_CASE(aFastPeerIsAskedAgainSoon)
 {
-    Patience meter = patience();
-    meter.answered(ms(5));
+    AdaptiveTimeout meter = patience();
+    meter.recordAnswer(ms(5));
     BOOST_TEST((meter.current() == ms(200)));
 }
 
 // The store is slow. The timeout adapts to it; otherwise every call would be repeated and slow it further.
 BOOST_AUTO_TEST_CASE(aSlowPeerIsWaitedFor)
 {
-    Patience meter = patience();
+    AdaptiveTimeout meter = patience();
     for (int answer = 0; answer < 20; ++answer) {
-        meter.answered(ms(100));
+        meter.recordAnswer(ms(100));
     }
     BOOST_TEST((meter.current() > ms(700)));
-    meter.answered(ms(4000));
+    meter.recordAnswer(ms(4000));
     BOOST_TEST((meter.current() == ms(1500)));
 }
 
 BOOST_AUTO_TEST_CASE(eachTimeoutDoublesTheWait)
 {
-    Patience meter = patience();
-    meter.missed();
+    AdaptiveTimeout meter = patience();
+    meter.recordTimeout();
     BOOST_TEST((meter.current() == ms(400)));
-    meter.missed();
-    meter.missed();
+    meter.recordTimeout();
+    meter.recordTimeout();
     BOOST_TEST((meter.current() == ms(1500)));
-    meter.answered(ms(5));
+    meter.recordAnswer(ms(5));
     BOOST_TEST((meter.current() == ms(200)));
 }
 
