--- a/src/gateway/requesthandler.cpp
+++ b/src/gateway/requesthandler.cpp
@@ -293,11 +293,11 @@
                             .sendBefore = placement.sendBefore};
     // A delayed event loop learns that a caller has disconnected long after the kernel, and a call that must not run twice is not cancelled
     // by the disconnect. So the connection is checked right before sending.
-    options.wanted = [this] {
+    options.stillWanted = [this] {
         m_callerDisconnected = m_callerDisconnected || m_exchange.hungUp();
         return !m_callerDisconnected;
     };
-    options.belongs = [this](const http::fields &fields) {
+    options.matchesRequest = [this](const http::fields &fields) {
         const ResponseMetadata response = m_gateway.m_options.codec.readResponse(s_minSuccessStatus, fields);
         return response.requestId.empty() || response.requestId == m_metadata.requestId;
     };
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -141,14 +141,14 @@
     if (headError) {
         co_return lost(headError, Executed::Unknown);
     }
-    reply.headAfter = steadyNow() - begun;
-    reply.tooLong = options.mostBodyBytes > 0 && parser.content_length().value_or(0) > options.mostBodyBytes;
-    if (reply.tooLong) {
+    reply.headDelay = steadyNow() - begun;
+    reply.bodyTooLarge = options.maxReplyBodyBytes > 0 && parser.content_length().value_or(0) > options.maxReplyBodyBytes;
+    if (reply.bodyTooLarge) {
         co_return absl::OkStatus();
     }
     parser.eager(true);
     while (!parser.is_done()) {
-        const Duration left = begun + options.longestAnswer - steadyNow();
+        const Duration left = begun + options.replyTimeout - steadyNow();
         connection.stream.expires_after(std::clamp(left, Duration::zero(), options.stallTimeout));
         const auto [error, size] = co_await http::async_read_some(connection.stream, connection.buffer, parser, s_tuple);
         if (error) {
@@ -196,7 +196,7 @@
     reply.status = parser.get().result_int();
     reply.contentType = std::string(parser.get()[http::field::content_type]);
     reply.body = std::move(parser.get().body());
-    if (parser.get().keep_alive() && !reply.tooLong) {
+    if (parser.get().keep_alive() && !reply.bodyTooLarge) {
         giveBack(std::move(connection), parser.get());
     }
     co_return reply;
@@ -221,7 +221,7 @@
     if (m_options.sendBefore && steadyNow() >= *m_options.sendBefore) {
         co_return failed(FailureKind::Cancelled, "its time to be sent is over", Executed::No);
     }
-    if (m_options.wanted && !m_options.wanted()) {
+    if (m_options.stillWanted && !m_options.stillWanted()) {
         co_return failed(FailureKind::Cancelled, "nobody waits for it any more", Executed::No);
     }
     const std::shared_ptr<HttpRequest> request = makeRequest(m_options, m_client.m_endpoint);
@@ -242,7 +242,7 @@
             co_return head;
         }
         const bool final = status() >= s_firstFinalStatus;
-        if (final && (!m_options.belongs || m_options.belongs(headers()))) {
+        if (final && (!m_options.matchesRequest || m_options.matchesRequest(headers()))) {
             co_return absl::OkStatus();
         }
         m_tainted = m_tainted || final;
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -39,18 +39,18 @@
     /// cross a slow link, and the attempts would keep that link full. Long enough for a retransmission after two losses in a row.
     Duration stallTimeout = std::chrono::seconds(1);
     /// Bound on a whole answer, against a peer that sends a little now and then for ever.
-    Duration longestAnswer = std::chrono::seconds(30);
+    Duration replyTimeout = std::chrono::seconds(30);
     /// Bound on opening a connection: a host without power answers nothing at all, and the kernel would try for minutes.
     Duration connectTimeout = std::chrono::seconds(10);
     /// The request is not sent any more from then on, and has not run.
     std::optional<Instant> sendBefore;
     /// Asked right before the request is sent; false: it is not sent, and has not run. Empty: it is sent.
-    std::function<bool()> wanted;
+    std::function<bool()> stillWanted;
     /// The longest body that the caller wants; a longer one, by the head's word, is left untaken, and its connection is closed. 0: any.
-    std::uint64_t mostBodyBytes = 0;
+    std::uint64_t maxReplyBodyBytes = 0;
     /// Tells whether an answer's head belongs to this request; empty: every answer does. Some peers send an answer twice, and the second
     /// one then stands where the answer to the next request is expected.
-    std::function<bool(const http::fields &)> belongs;
+    std::function<bool(const http::fields &)> matchesRequest;
 };
 
 /// A whole answer.
@@ -59,9 +59,9 @@
     std::string contentType;
     std::string body;
     /// How long its head took to come: what the peer needed, apart from the way of the body.
-    Duration headAfter{};
+    Duration headDelay{};
     /// The body was longer than wanted and is not there.
-    bool tooLong = false;
+    bool bodyTooLarge = false;
 };
 
 /// Keeps connections to one address open between calls. Bound to one event loop.
--- a/src/tests/httpclienttest.cpp
+++ b/src/tests/httpclienttest.cpp
@@ -15,9 +15,9 @@
     WorkerPool pool(1);
     ScriptedPeer peer(pool, {{.bytes = completeResponse(200, "", "{}")}});
     HttpClient client(pool.mainLoop().get_executor(), *endpointFrom(peer.address()));
-    const auto callWith = [&](bool wanted) {
-        HttpStreamCall call(client, {.wanted = [wanted] {
-                                return wanted;
+    const auto callWith = [&](bool stillWanted) {
+        HttpStreamCall call(client, {.stillWanted = [stillWanted] {
+                                return stillWanted;
                             }});
         absl::Status started;
         asio::co_spawn(pool.mainLoop(), call.start(), [&](const std::exception_ptr &, absl::Status status) {
