--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -18,16 +18,16 @@
 namespace {
 
 constexpr auto s_tuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t s_pieceBytes = 16 * 1024;
+constexpr std::size_t s_readChunkBytes = 16 * 1024;
 constexpr std::size_t s_maxIdle = 256;
 constexpr std::uint64_t s_maxReplyBytes = 256 * 1024 * 1024;
 /// A longer request is written beside the wait for its answer: a peer may answer before it has read all, and read no further.
-constexpr std::size_t s_writeAsideBytes = 4096;
+constexpr std::size_t s_concurrentWriteBytes = 4096;
 /// A kept connection is not used in the last part of the time after which its peer closes it idle: the request could cross the close.
 /// Half a second covers a peer that counts from its own last byte and a slow link.
 constexpr Duration s_idleMargin = std::chrono::milliseconds(500);
 /// Foreign answers that one request skips before it gives the connection up.
-constexpr int s_maxSkipped = 3;
+constexpr int s_maxSkippedReplies = 3;
 constexpr unsigned s_firstFinalStatus = 200;
 
 std::shared_ptr<HttpRequest> makeRequest(HttpCallOptions &options, const asio::ip::tcp::endpoint &endpoint)
@@ -51,13 +51,13 @@
     return request;
 }
 
-absl::Status lost(const boost::system::error_code &error, Executed ran)
+absl::Status connectionFailure(const boost::system::error_code &error, Executed ran)
 {
     return failed(FailureKind::TargetLost, error.message(), ran);
 }
 
 /// The idle time that a `Keep-Alive: timeout=N` header promises, in whole seconds; empty when there is none.
-std::optional<Duration> promisedIdleTime(const http::fields &answer)
+std::optional<Duration> keepAliveTimeout(const http::fields &answer)
 {
     const std::string value(answer["Keep-Alive"]);
     const std::size_t at = value.find("timeout=");
@@ -72,7 +72,7 @@
     return std::chrono::seconds(whole);
 }
 
-bool silent(asio::ip::tcp::socket &socket)
+bool hasNoPendingInput(asio::ip::tcp::socket &socket)
 {
     boost::system::error_code error;
     char byte = 0;
@@ -95,10 +95,10 @@
     while (!m_idle.empty()) {
         ConnectionPtr connection = std::move(m_idle.back());
         m_idle.pop_back();
-        const bool aged = connection->idleUntil && *connection->idleUntil <= now;
+        const bool expired = connection->idleUntil && *connection->idleUntil <= now;
         // An idle connection that has become readable was closed by its peer, or holds bytes that nobody asked for: a request sent into it
         // could be lost unseen, or be taken for answered.
-        if (!aged && silent(connection->stream.socket())) {
+        if (!expired && hasNoPendingInput(connection->stream.socket())) {
             return connection;
         }
     }
@@ -114,7 +114,7 @@
     connection->stream.expires_after(timeout);
     const auto [error] = co_await connection->stream.async_connect(m_endpoint, s_tuple);
     if (error) {
-        co_return lost(error, Executed::No);
+        co_return connectionFailure(error, Executed::No);
     }
     boost::system::error_code ignored;
     connection->stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -127,7 +127,7 @@
     const auto [error, written] = co_await http::async_write(connection->stream, *request, s_tuple);
     connection->writing = false;
     if (error) {
-        co_return lost(error, Executed::Unknown);
+        co_return connectionFailure(error, Executed::Unknown);
     }
     co_return absl::OkStatus();
 }
@@ -135,21 +135,21 @@
 asio::awaitable<absl::Status>
 HttpClient::receive(Connection &connection, ReplyParser &parser, const HttpCallOptions &options, HttpReply &reply)
 {
-    const Instant begun = steadyNow();
+    const Instant startedAt = steadyNow();
     connection.stream.expires_after(options.timeout);
     const auto [headError, headSize] = co_await http::async_read_header(connection.stream, connection.buffer, parser, s_tuple);
     if (headError) {
-        co_return lost(headError, Executed::Unknown);
+        co_return connectionFailure(headError, Executed::Unknown);
     }
-    reply.headDelay = steadyNow() - begun;
+    reply.headDelay = steadyNow() - startedAt;
     reply.bodyTooLarge = options.maxReplyBodyBytes > 0 && parser.content_length().value_or(0) > options.maxReplyBodyBytes;
     if (reply.bodyTooLarge) {
         co_return absl::OkStatus();
     }
     parser.eager(true);
     while (!parser.is_done()) {
-        const Duration left = begun + options.replyTimeout - steadyNow();
-        connection.stream.expires_after(std::clamp(left, Duration::zero(), options.stallTimeout));
+        const Duration remaining = startedAt + options.replyTimeout - steadyNow();
+        connection.stream.expires_after(std::clamp(remaining, Duration::zero(), options.stallTimeout));
         const auto [error, size] = co_await http::async_read_some(connection.stream, connection.buffer, parser, s_tuple);
         if (error) {
             // How far the answer got tells a peer that fell silent from one whose answer is longer than its time.
@@ -160,13 +160,13 @@
     co_return absl::OkStatus();
 }
 
-void HttpClient::giveBack(ConnectionPtr connection, const http::fields &answer)
+void HttpClient::keepForReuse(ConnectionPtr connection, const http::fields &answer)
 {
     const bool clean = !connection->writing && connection->buffer.size() == 0;
     if (!clean || m_idle.size() >= s_maxIdle) {
         return;
     }
-    if (const auto promised = promisedIdleTime(answer)) {
+    if (const auto promised = keepAliveTimeout(answer)) {
         connection->idleUntil = steadyNow() + *promised - s_idleMargin;
     }
     connection->stream.expires_never();
@@ -197,7 +197,7 @@
     reply.contentType = std::string(parser.get()[http::field::content_type]);
     reply.body = std::move(parser.get().body());
     if (parser.get().keep_alive() && !reply.bodyTooLarge) {
-        giveBack(std::move(connection), parser.get());
+        keepForReuse(std::move(connection), parser.get());
     }
     co_return reply;
 }
@@ -226,7 +226,7 @@
     }
     const std::shared_ptr<HttpRequest> request = makeRequest(m_options, m_client.m_endpoint);
     m_connection->stream.expires_after(m_options.timeout);
-    if (request->body().size() > s_writeAsideBytes) {
+    if (request->body().size() > s_concurrentWriteBytes) {
         asio::co_spawn(m_client.m_executor, m_client.send(m_connection, request), [](const std::exception_ptr &, const absl::Status &) {
             // A failed write shows in the wait for the answer, which the same end of the connection ends.
         });
@@ -236,7 +236,7 @@
             co_return sent;
         }
     }
-    for (int skipped = 0; skipped <= s_maxSkipped; ++skipped) {
+    for (int skipped = 0; skipped <= s_maxSkippedReplies; ++skipped) {
         const absl::Status head = co_await readHead();
         if (!head.ok()) {
             co_return head;
@@ -245,10 +245,10 @@
         if (final && (!m_options.matchesRequest || m_options.matchesRequest(headers()))) {
             co_return absl::OkStatus();
         }
-        m_tainted = m_tainted || final;
+        m_foreignReplySeen = m_foreignReplySeen || final;
         while (final && !m_parser->is_done()) {
-            const auto piece = co_await readSome();
-            if (!piece.ok()) {
+            const auto chunk = co_await readSome();
+            if (!chunk.ok()) {
                 co_return failed(FailureKind::TargetLost, "the connection ended within an answer to another request", Executed::Unknown);
             }
         }
@@ -267,7 +267,7 @@
     m_connection->stream.expires_after(m_options.timeout);
     const auto [error, size] = co_await http::async_read_header(m_connection->stream, m_connection->buffer, *m_parser, s_tuple);
     if (error) {
-        co_return lost(error, Executed::Unknown);
+        co_return connectionFailure(error, Executed::Unknown);
     }
     co_return absl::OkStatus();
 }
@@ -289,24 +289,24 @@
 
 asio::awaitable<absl::StatusOr<std::string>> HttpStreamCall::readSome()
 {
-    m_piece.resize(s_pieceBytes);
+    m_chunk.resize(s_readChunkBytes);
     while (!m_parser->is_done()) {
         auto &body = m_parser->get().body();
-        body.data = m_piece.data();
-        body.size = m_piece.size();
+        body.data = m_chunk.data();
+        body.size = m_chunk.size();
         m_connection->stream.expires_after(m_options.timeout);
         const auto [error, size] = co_await http::async_read_some(m_connection->stream, m_connection->buffer, *m_parser, s_tuple);
         if (error && error != http::error::need_buffer) {
             co_return failed(FailureKind::AnswerIncomplete, error.message(), Executed::Yes);
         }
-        const std::size_t taken = m_piece.size() - m_parser->get().body().size;
+        const std::size_t taken = m_chunk.size() - m_parser->get().body().size;
         if (taken > 0) {
-            co_return std::string(m_piece.data(), taken);
+            co_return std::string(m_chunk.data(), taken);
         }
     }
-    const bool reusable = m_connection && m_parser->get().keep_alive() && !m_tainted;
+    const bool reusable = m_connection && m_parser->get().keep_alive() && !m_foreignReplySeen;
     if (reusable && status() >= s_firstFinalStatus) {
-        m_client.giveBack(std::move(m_connection), m_parser->get());
+        m_client.keepForReuse(std::move(m_connection), m_parser->get());
     }
     co_return std::string();
 }
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -105,7 +105,7 @@
     asio::awaitable<absl::Status> send(ConnectionPtr connection, std::shared_ptr<HttpRequest> request);
     static asio::awaitable<absl::Status>
     receive(Connection &connection, ReplyParser &parser, const HttpCallOptions &options, HttpReply &reply);
-    void giveBack(ConnectionPtr connection, const http::fields &answer);
+    void keepForReuse(ConnectionPtr connection, const http::fields &answer);
 
     asio::any_io_executor m_executor;
     asio::ip::tcp::endpoint m_endpoint;
@@ -157,10 +157,10 @@
     HttpCallOptions m_options;
     HttpClient::ConnectionPtr m_connection;
     std::unique_ptr<Parser> m_parser;
-    std::vector<char> m_piece;
+    std::vector<char> m_chunk;
     bool m_cancelled = false;
     /// True when the connection carried something besides the one answer, so that nothing later on it can be trusted.
-    bool m_tainted = false;
+    bool m_foreignReplySeen = false;
 };
 
 }
