--- a/src/caller/callerapi.cpp
+++ b/src/caller/callerapi.cpp
@@ -50,7 +50,7 @@
     if (m_draining) {
         const Failure failure{.kind = FailureKind::Draining, .detail = "this router is shutting down", .retryAfterMs = s_retryDrainingMs};
         co_await refuse(exchange, failure);
-        exchange.cut();
+        exchange.abortConnection();
         co_return;
     }
     auto request = admit(exchange, *configuration);
--- a/src/caller/requestdriver.cpp
+++ b/src/caller/requestdriver.cpp
@@ -95,7 +95,7 @@
                     .course = RequestCourse({.maxAttempts = m_options.maxAttempts}),
                     .mailbox = std::make_shared<AnswerMailbox>(exchange.executor()),
                     .begin = steadyNow()};
-    exchange.onHangUp([mailbox = journey.mailbox] {
+    exchange.onCallerDisconnect([mailbox = journey.mailbox] {
         mailbox->hangUp();
     });
     if (journey.request.nonIdempotent && !journey.request.idempotencyKey.empty()) {
@@ -470,7 +470,7 @@
     if (journey.streaming) {
         // The chunked body is left without its end, so that no client takes what it has for the whole answer.
         co_await journey.exchange.writeChunk(absl::StrCat("data: ", body, "\n\n"));
-        journey.exchange.cut();
+        journey.exchange.abortConnection();
         co_return;
     }
     std::vector<HttpHeader> headers = answerHeaders(journey.request);
--- a/src/gateway/requesthandler.cpp
+++ b/src/gateway/requesthandler.cpp
@@ -80,7 +80,7 @@
         co_await refuse(toFailure(reserved));
         co_return;
     }
-    m_exchange.onHangUp([this] {
+    m_exchange.onCallerDisconnect([this] {
         m_callerDisconnected = true;
         // A request that must not run twice is left to finish at its target: if it were cancelled midway, nobody would know what it has
         // changed.
@@ -165,7 +165,7 @@
     AttemptOutcome outcome = AttemptOutcome::NotRun;
     m_lastError = "no target";
     do {
-        if (m_callerDisconnected || m_exchange.hungUp()) {
+        if (m_callerDisconnected || m_exchange.isCallerDisconnected()) {
             m_callerDisconnected = true;
             co_return m_possibleExecutions == 0 ? AttemptOutcome::NotRun : AttemptOutcome::CallerDisconnected;
         }
@@ -294,7 +294,7 @@
     // A delayed event loop learns that a caller has disconnected long after the kernel, and a call that must not run twice is not cancelled
     // by the disconnect. So the connection is checked right before sending.
     options.stillWanted = [this] {
-        m_callerDisconnected = m_callerDisconnected || m_exchange.hungUp();
+        m_callerDisconnected = m_callerDisconnected || m_exchange.isCallerDisconnected();
         return !m_callerDisconnected;
     };
     options.matchesRequest = [this](const http::fields &fields) {
@@ -481,13 +481,13 @@
     }
     if (outcome == AttemptOutcome::CallerDisconnected || m_callerDisconnected) {
         logRequestEnd("caller_left", summary);
-        m_exchange.cut();
+        m_exchange.abortConnection();
         co_return;
     }
     if (m_streamStarted) {
         // Closes the connection without the final chunk, so that the caller does not take the stream for complete.
         logRequestEnd("stream_cut", summary);
-        m_exchange.cut();
+        m_exchange.abortConnection();
         co_return;
     }
     if (m_failureResponse) {
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -76,14 +76,14 @@
 }
 
 /// Watches the socket for the caller's end of stream while an answer is made. Shared with the pending wait, which can outlive the exchange.
-struct HttpExchange::HangUpWatch {
+struct HttpExchange::DisconnectWatch {
     std::function<void()> callback;
 };
 
-HttpExchange::HttpExchange(beast::tcp_stream &stream, HttpRequest request, bool last)
+HttpExchange::HttpExchange(beast::tcp_stream &stream, HttpRequest request, bool connectionClose)
     : m_stream(stream)
     , m_request(std::move(request))
-    , m_last(last)
+    , m_connectionClose(connectionClose)
 {
 }
 
@@ -135,7 +135,7 @@
 asio::awaitable<bool> HttpExchange::send(std::string_view first, std::string_view second, std::string_view third)
 {
     m_answered = true;
-    if (m_muted) {
+    if (m_responseDiscarded) {
         co_return true;
     }
     const std::array<asio::const_buffer, 3> buffers = gathered(first, second, third);
@@ -181,13 +181,13 @@
     co_return co_await send("0\r\n\r\n");
 }
 
-void HttpExchange::cut()
+void HttpExchange::abortConnection()
 {
     m_open = false;
     m_stream.close();
 }
 
-bool HttpExchange::hungUp()
+bool HttpExchange::isCallerDisconnected()
 {
     boost::system::error_code error;
     char byte = 0;
@@ -196,9 +196,9 @@
     return size == 0 && error != asio::error::would_block;
 }
 
-void HttpExchange::onHangUp(std::function<void()> callback)
+void HttpExchange::onCallerDisconnect(std::function<void()> callback)
 {
-    m_watch = std::make_shared<HangUpWatch>();
+    m_watch = std::make_shared<DisconnectWatch>();
     m_watch->callback = std::move(callback);
     m_stream.socket().async_wait(asio::ip::tcp::socket::wait_read, [watch = m_watch, this](const boost::system::error_code &error) {
         if (!watch->callback) {
@@ -364,7 +364,7 @@
     }
     HttpExchange exchange(session.stream, parser.release(), m_lastAnswers);
     if (error || unreadable) {
-        exchange.setLast();
+        exchange.setConnectionClose();
         co_await refuseUnread(exchange, error);
         co_return false;
     }
--- a/src/net/httpserver.h
+++ b/src/net/httpserver.h
@@ -41,7 +41,7 @@
 {
 public:
     /// With `last`, the connection takes no further request, and the answer says so.
-    HttpExchange(beast::tcp_stream &stream, HttpRequest request, bool last = false);
+    HttpExchange(beast::tcp_stream &stream, HttpRequest request, bool connectionClose = false);
     ~HttpExchange();
 
     /// What was asked.
@@ -72,36 +72,36 @@
     asio::awaitable<bool> endStream();
 
     /// Cuts the connection, so that the caller cannot take a partial answer for a whole one.
-    void cut();
+    void abortConnection();
 
     /// From now on the answer goes nowhere; for stand-ins that lose answers.
-    void muteAnswer()
+    void discardResponse()
     {
-        m_muted = true;
+        m_responseDiscarded = true;
     }
 
     /// True after muteAnswer().
-    bool muted() const
+    bool isResponseDiscarded() const
     {
-        return m_muted;
+        return m_responseDiscarded;
     }
 
     /// True when the caller has closed its side already. Asks the kernel, so that it also sees what the loop has not got to yet.
-    bool hungUp();
+    bool isCallerDisconnected();
 
     /// Calls back once when the caller hangs up before the answer ends.
-    void onHangUp(std::function<void()> callback);
+    void onCallerDisconnect(std::function<void()> callback);
 
     /// True when the connection can take another request.
     bool keepAlive() const
     {
-        return m_open && !m_last && m_request.keep_alive();
+        return m_open && !m_connectionClose && m_request.keep_alive();
     }
 
     /// The connection takes no further request after this one; said in an answer whose head was not sent yet.
-    void setLast()
+    void setConnectionClose()
     {
-        m_last = true;
+        m_connectionClose = true;
     }
 
     /// True once anything of an answer was sent.
@@ -111,7 +111,7 @@
     }
 
 private:
-    struct HangUpWatch;
+    struct DisconnectWatch;
 
     asio::awaitable<bool> send(std::string_view first, std::string_view second = {}, std::string_view third = {});
 
@@ -119,11 +119,11 @@
 
     beast::tcp_stream &m_stream;
     HttpRequest m_request;
-    std::shared_ptr<HangUpWatch> m_watch;
-    bool m_last = false;
+    std::shared_ptr<DisconnectWatch> m_watch;
+    bool m_connectionClose = false;
     bool m_open = true;
     bool m_answered = false;
-    bool m_muted = false;
+    bool m_responseDiscarded = false;
 };
 
 using HttpHandler = std::function<asio::awaitable<void>(HttpExchange &)>;
--- a/src/standin/engineserver.cpp
+++ b/src/standin/engineserver.cpp
@@ -268,7 +268,7 @@
     job.outputTokens = std::min(natural, limit);
     job.finishReason = natural > limit ? "length" : "stop";
     job.journalIndex = openJournal(exchange);
-    exchange.onHangUp([&job] {
+    exchange.onCallerDisconnect([&job] {
         job.hungUp = true;
     });
     const bool admitted = co_await waitForSlot(exchange, job);
--- a/src/standin/faultswitch.cpp
+++ b/src/standin/faultswitch.cpp
@@ -92,7 +92,7 @@
         co_await pause(exchange, s_freezePollMs);
     }
     if (m_mode == Mode::Down) {
-        exchange.cut();
+        exchange.abortConnection();
         co_return;
     }
     if (m_mode == Mode::Slow) {
@@ -100,11 +100,11 @@
     }
     // The handler answers into a connection that is cut first, so the caller cannot know that the request took effect.
     if (m_mode == Mode::AnswerLost) {
-        exchange.muteAnswer();
+        exchange.discardResponse();
     }
     co_await handler(exchange);
-    if (exchange.muted()) {
-        exchange.cut();
+    if (exchange.isResponseDiscarded()) {
+        exchange.abortConnection();
     }
 }
 
