--- a/src/gateway/gatewaydaemon.h
+++ b/src/gateway/gatewaydaemon.h
@@ -426,7 +426,7 @@
             const Duration roundTrip = m_loads.takeShortestRoundTrip().value_or(Duration::zero());
             m_gateway.recordHostDelay(std::max({Duration::zero(), now - expectedWakeup, roundTrip}));
             overloadedSince = m_gateway.overloaded() ? overloadedSince : now;
-            m_callers.setLastAnswers(m_draining || now - overloadedSince > s_rotationTime);
+            m_callers.setKeepAliveDisabled(m_draining || now - overloadedSince > s_rotationTime);
         }
     }
 
@@ -438,16 +438,16 @@
         const Instant workDeadline = drainStart + m_options.gracePeriod - s_shutdownReserve;
         logLine(Severity::Info, "router.draining", {{"in_flight", static_cast<std::int64_t>(m_gateway.inFlight())}});
         m_gateway.setShutdownTime(workDeadline);
-        m_callers.setLastAnswers(true);
+        m_callers.setKeepAliveDisabled(true);
         co_await pause(s_rotationTime);
         while (m_gateway.streamsInFlight() > 0 && steadyNow() < workDeadline) {
             co_await pause(s_drainPollInterval);
         }
         m_callers.close();
-        m_callers.closeIdle();
+        m_callers.closeIdleConnections();
         while (m_gateway.inFlight() > 0 && steadyNow() < workDeadline) {
             co_await pause(s_shutdownPollInterval);
-            m_callers.closeIdle();
+            m_callers.closeIdleConnections();
         }
         m_ledger.beginClose();
         co_await m_registry.leave();
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -26,7 +26,7 @@
 constexpr auto s_tuple = asio::as_tuple(asio::use_awaitable);
 constexpr int s_backlog = 4096;
 /// Connections taken in one turn of the loop, after the first.
-constexpr int s_acceptedTogether = 64;
+constexpr int s_maxAcceptBatch = 64;
 constexpr Duration s_acceptPause = std::chrono::milliseconds(20);
 
 using ReuseAddress = asio::ip::tcp::acceptor::reuse_address;
@@ -38,7 +38,7 @@
     head.append(name).append(": ").append(value).append("\r\n");
 }
 
-std::array<asio::const_buffer, 3> gathered(std::string_view first, std::string_view second, std::string_view third)
+std::array<asio::const_buffer, 3> gatherBuffers(std::string_view first, std::string_view second, std::string_view third)
 {
     return {asio::buffer(first), asio::buffer(second), asio::buffer(third)};
 }
@@ -58,7 +58,7 @@
 namespace {
 
 /// Answers a request that could not be read: too large, too slow, or not HTTP.
-asio::awaitable<void> refuseUnread(HttpExchange &exchange, const boost::system::error_code &error)
+asio::awaitable<void> respondUnreadable(HttpExchange &exchange, const boost::system::error_code &error)
 {
     unsigned status = 400;
     if (error == http::error::body_limit) {
@@ -138,7 +138,7 @@
     if (m_responseDiscarded) {
         co_return true;
     }
-    const std::array<asio::const_buffer, 3> buffers = gathered(first, second, third);
+    const std::array<asio::const_buffer, 3> buffers = gatherBuffers(first, second, third);
     m_stream.expires_after(s_writeTimeout);
     const auto [error, written] = co_await asio::async_write(m_stream, buffers, s_tuple);
     m_stream.expires_never();
@@ -272,28 +272,28 @@
             co_await pause(s_acceptPause);
             continue;
         }
-        begin(std::move(first));
+        startSession(std::move(first));
         // The loop comes back here once for all that is ready in it. While it is busy that takes tens of milliseconds, and with one
         // connection a time a caller waited for seconds in the kernel's queue, unseen by anything that measures the loop: on a host with a
         // tenth of a core 3,591 callers left before their request was read, in 34 seconds.
-        for (int more = 0; more < s_acceptedTogether; ++more) {
+        for (int more = 0; more < s_maxAcceptBatch; ++more) {
             asio::ip::tcp::socket next(acceptor.get_executor());
             acceptor.accept(next, error);
             if (error) {
                 break;
             }
-            begin(std::move(next));
+            startSession(std::move(next));
         }
     }
 }
 
-void HttpServer::begin(asio::ip::tcp::socket socket)
+void HttpServer::startSession(asio::ip::tcp::socket socket)
 {
     ++m_connections;
     boost::system::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     const asio::any_io_executor executor = socket.get_executor();
-    asio::co_spawn(executor, serve(std::move(socket)), [this](const std::exception_ptr &problem) {
+    asio::co_spawn(executor, serveConnection(std::move(socket)), [this](const std::exception_ptr &problem) {
         --m_connections;
         if (problem) {
             // A handler that throws has left its caller without an answer, and its own state in doubt.
@@ -308,7 +308,7 @@
     beast::flat_buffer buffer;
 };
 
-void HttpServer::closeIdle()
+void HttpServer::closeIdleConnections()
 {
     const std::lock_guard lock(m_idleMutex);
     for (Session *session : m_idle) {
@@ -327,19 +327,19 @@
     co_return !error;
 }
 
-asio::awaitable<bool> HttpServer::serveOne(Session &session)
+asio::awaitable<bool> HttpServer::serveRequest(Session &session)
 {
     const HttpLimits limits = m_options.limits ? m_options.limits() : HttpLimits{};
     {
         const std::lock_guard lock(m_idleMutex);
         m_idle.insert(&session);
     }
-    const bool begun = co_await awaitRequest(session, limits);
+    const bool requestStarted = co_await awaitRequest(session, limits);
     {
         const std::lock_guard lock(m_idleMutex);
         m_idle.erase(&session);
     }
-    if (!begun) {
+    if (!requestStarted) {
         co_return false;
     }
     http::request_parser<http::string_body> parser;
@@ -357,22 +357,22 @@
         std::tie(error, size) = co_await http::async_read(session.stream, session.buffer, parser, s_tuple);
     }
     session.stream.expires_never();
-    const bool cut = error == http::error::end_of_stream || error == http::error::partial_message
+    const bool connectionLost = error == http::error::end_of_stream || error == http::error::partial_message
         || (error && error != beast::error::timeout && error.category() != http::make_error_code(http::error::bad_method).category());
-    if (cut) {
+    if (connectionLost) {
         co_return false;
     }
-    HttpExchange exchange(session.stream, parser.release(), m_lastAnswers);
+    HttpExchange exchange(session.stream, parser.release(), m_keepAliveDisabled);
     if (error || unreadable) {
         exchange.setConnectionClose();
-        co_await refuseUnread(exchange, error);
+        co_await respondUnreadable(exchange, error);
         co_return false;
     }
     co_await m_handler(exchange);
     co_return exchange.keepAlive();
 }
 
-asio::awaitable<void> HttpServer::linger(Session &session)
+asio::awaitable<void> HttpServer::drainBeforeClose(Session &session)
 {
     boost::system::error_code ignored;
     session.stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
@@ -385,14 +385,14 @@
     }
 }
 
-asio::awaitable<void> HttpServer::serve(asio::ip::tcp::socket socket)
+asio::awaitable<void> HttpServer::serveConnection(asio::ip::tcp::socket socket)
 {
     Session session{.stream = beast::tcp_stream(std::move(socket))};
     bool open = true;
     while (open) {
-        open = co_await serveOne(session);
+        open = co_await serveRequest(session);
     }
-    co_await linger(session);
+    co_await drainBeforeClose(session);
 }
 
 std::string errorBody(const Failure &failure, std::string_view requestId)
--- a/src/net/httpserver.h
+++ b/src/net/httpserver.h
@@ -163,13 +163,13 @@
     void close();
 
     /// Whether every connection ends after the answer to the request that it is at: while the process ends, or callers should go elsewhere.
-    void setLastAnswers(bool last)
+    void setKeepAliveDisabled(bool disabled)
     {
-        m_lastAnswers = last;
+        m_keepAliveDisabled = disabled;
     }
 
     /// Ends connections on which no request has begun. For pools of one loop, on that loop.
-    void closeIdle();
+    void closeIdleConnections();
 
     /// Connections that are open.
     std::size_t connections() const
@@ -181,17 +181,17 @@
     struct Session;
 
     asio::awaitable<void> accept(asio::ip::tcp::acceptor &acceptor);
-    void begin(asio::ip::tcp::socket socket);
-    asio::awaitable<void> serve(asio::ip::tcp::socket socket);
-    asio::awaitable<bool> serveOne(Session &session);
+    void startSession(asio::ip::tcp::socket socket);
+    asio::awaitable<void> serveConnection(asio::ip::tcp::socket socket);
+    asio::awaitable<bool> serveRequest(Session &session);
     static asio::awaitable<bool> awaitRequest(Session &session, const HttpLimits &limits);
-    static asio::awaitable<void> linger(Session &session);
+    static asio::awaitable<void> drainBeforeClose(Session &session);
 
     WorkerPool &m_pool;
     Options m_options;
     HttpHandler m_handler;
     std::vector<std::unique_ptr<asio::ip::tcp::acceptor>> m_acceptors;
-    std::atomic<bool> m_lastAnswers = false;
+    std::atomic<bool> m_keepAliveDisabled = false;
     std::atomic<std::size_t> m_connections = 0;
     /// Sessions on which no request has begun. Guarded by a lock of its own; nothing else is taken under it.
     std::mutex m_idleMutex;
