--- a/src/net/tcprelay.cpp
+++ b/src/net/tcprelay.cpp
@@ -24,21 +24,21 @@
 
 constexpr auto s_tuple = asio::as_tuple(asio::use_awaitable);
 /// Calls to the store and its answers are a few hundred bytes; larger ones pass in several pieces.
-constexpr std::size_t s_pieceBytes = 8192;
+constexpr std::size_t s_chunkBytes = 8192;
 /// After a failed accept, most likely for want of descriptors, some connections get time to end.
 constexpr Duration s_acceptPause = std::chrono::milliseconds(100);
 
 }
 
 struct TcpRelay::Session {
-    explicit Session(tcp::socket taken)
-        : caller(std::move(taken))
+    explicit Session(tcp::socket accepted)
+        : caller(std::move(accepted))
         , upstream(caller.get_executor())
         , timer(caller.get_executor())
     {
     }
 
-    void end()
+    void closeBoth()
     {
         boost::system::error_code ignored;
         caller.close(ignored);
@@ -97,7 +97,7 @@
             logLine(Severity::Warning, "relay.accept_failed", {{"detail", error.message()}});
             co_await pause(s_acceptPause);
         }
-        if (error || m_open >= m_options.mostConnections) {
+        if (error || m_openSessions >= m_options.maxConnections) {
             // A closed connection sends the caller to another relay at once.
             continue;
         }
@@ -108,47 +108,47 @@
 
 asio::awaitable<void> TcpRelay::serve(SessionPtr session)
 {
-    ++m_open;
+    ++m_openSessions;
     session->deadline = steadyNow() + m_options.connectTimeout;
-    asio::co_spawn(m_executor, watch(session), asio::detached);
+    asio::co_spawn(m_executor, enforceDeadline(session), asio::detached);
     auto [error] = co_await session->upstream.async_connect(m_options.upstream, s_tuple);
     if (!error) {
         boost::system::error_code ignored;
         session->caller.set_option(tcp::no_delay(true), ignored);
         session->upstream.set_option(tcp::no_delay(true), ignored);
-        asio::co_spawn(m_executor, pass(session, false), asio::detached);
-        co_await pass(session, true);
+        asio::co_spawn(m_executor, forwardBytes(session, false), asio::detached);
+        co_await forwardBytes(session, true);
     }
-    session->end();
-    --m_open;
+    session->closeBoth();
+    --m_openSessions;
 }
 
-asio::awaitable<void> TcpRelay::watch(SessionPtr session)
+asio::awaitable<void> TcpRelay::enforceDeadline(SessionPtr session)
 {
     while (session->caller.is_open() && steadyNow() < session->deadline) {
         session->timer.expires_after(session->deadline - steadyNow());
         co_await session->timer.async_wait(s_tuple);
     }
-    session->end();
+    session->closeBoth();
 }
 
-asio::awaitable<void> TcpRelay::pass(SessionPtr session, bool fromCaller)
+asio::awaitable<void> TcpRelay::forwardBytes(SessionPtr session, bool fromCaller)
 {
     tcp::socket &from = fromCaller ? session->caller : session->upstream;
     tcp::socket &to = fromCaller ? session->upstream : session->caller;
-    std::array<char, s_pieceBytes> piece{};
+    std::array<char, s_chunkBytes> chunk{};
     bool open = true;
     while (open) {
         session->deadline = steadyNow() + m_options.idleTimeout;
-        auto [readError, size] = co_await from.async_read_some(asio::buffer(piece), s_tuple);
+        auto [readError, size] = co_await from.async_read_some(asio::buffer(chunk), s_tuple);
         if (readError) {
             break;
         }
-        auto [writeError, written] = co_await asio::async_write(to, asio::buffer(piece.data(), size), s_tuple);
+        auto [writeError, written] = co_await asio::async_write(to, asio::buffer(chunk.data(), size), s_tuple);
         open = !writeError;
     }
     // One end closed: neither can make use of the other, and a call without its answer must not look open.
-    session->end();
+    session->closeBoth();
 }
 
 }
--- a/src/net/tcprelay.h
+++ b/src/net/tcprelay.h
@@ -30,7 +30,7 @@
         /// connections for some seconds, and the store holds a call back for 1.5 s at most.
         Duration idleTimeout = std::chrono::seconds(20);
         /// Connections at one time; each takes two descriptors of the 3,900 that a small process has, and 16 KiB.
-        std::size_t mostConnections = 512;
+        std::size_t maxConnections = 512;
     };
 
     TcpRelay(boost::asio::any_io_executor executor, Options options);
@@ -50,13 +50,13 @@
 
     boost::asio::awaitable<void> accept();
     boost::asio::awaitable<void> serve(SessionPtr session);
-    boost::asio::awaitable<void> watch(SessionPtr session);
-    boost::asio::awaitable<void> pass(SessionPtr session, bool fromCaller);
+    boost::asio::awaitable<void> enforceDeadline(SessionPtr session);
+    boost::asio::awaitable<void> forwardBytes(SessionPtr session, bool fromCaller);
 
     boost::asio::any_io_executor m_executor;
     Options m_options;
     boost::asio::ip::tcp::acceptor m_acceptor;
-    std::size_t m_open = 0;
+    std::size_t m_openSessions = 0;
 };
 
 }
