--- a/src/net/incarnation.cpp
+++ b/src/net/incarnation.cpp
@@ -19,9 +19,9 @@
 
 }
 
-std::string newIncarnation(std::string_view place)
+std::string newIncarnation(std::string_view name)
 {
-    return std::string(place).append("~").append(randomHex(8));
+    return std::string(name).append("~").append(randomHex(8));
 }
 
 std::string newRequestId()
--- a/src/net/signal.h
+++ b/src/net/signal.h
@@ -26,9 +26,9 @@
     Signal &operator=(const Signal &) = delete;
 
     /// Waits for the next notify(), but no longer than this.
-    boost::asio::awaitable<void> wait(Duration longest)
+    boost::asio::awaitable<void> wait(Duration maxWait)
     {
-        boost::asio::steady_timer timer(m_executor, longest);
+        boost::asio::steady_timer timer(m_executor, maxWait);
         m_waiters.insert(&timer);
         co_await timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
         m_waiters.erase(&timer);
