--- a/src/tests/endpointtest.cpp
+++ b/src/tests/endpointtest.cpp
@@ -14,7 +14,7 @@
     BOOST_TEST(endpoint->port() == 8228);
 }
 
-BOOST_AUTO_TEST_CASE(anythingElseIsNone)
+BOOST_AUTO_TEST_CASE(malformedEndpointsAreRejected)
 {
     for (const char *text : {"", "10.1.0.41", "10.1.0.41:", "10.1.0.41:0", "10.1.0.41:65536", "10.1.0.41:80x", "name:80", ":80"}) {
         BOOST_TEST(!endpointFrom(text).has_value(), text);
--- a/src/tests/httpclienttest.cpp
+++ b/src/tests/httpclienttest.cpp
@@ -10,7 +10,7 @@
 BOOST_AUTO_TEST_SUITE(HttpClientTest)
 
 // Guards against a request being sent although its caller closed the connection while the call was still to be made.
-BOOST_AUTO_TEST_CASE(whatNobodyWaitsForIsNotSent)
+BOOST_AUTO_TEST_CASE(unwantedRequestIsNotSent)
 {
     WorkerPool pool(1);
     ScriptedPeer peer(pool, {{.bytes = completeResponse(200, "", "{}")}});
@@ -28,10 +28,10 @@
         pool.mainLoop().restart();
         return started;
     };
-    const absl::Status left = callWith(false);
-    BOOST_TEST(!left.ok());
-    BOOST_TEST((toFailure(left).kind == FailureKind::Cancelled));
-    BOOST_TEST((toFailure(left).executed == Executed::No));
+    const absl::Status unwanted = callWith(false);
+    BOOST_TEST(!unwanted.ok());
+    BOOST_TEST((toFailure(unwanted).kind == FailureKind::Cancelled));
+    BOOST_TEST((toFailure(unwanted).executed == Executed::No));
     BOOST_TEST(callWith(true).ok());
     BOOST_TEST(peer.requests().size() == 1U);
 }
--- a/src/tests/httpservertest.cpp
+++ b/src/tests/httpservertest.cpp
@@ -14,7 +14,7 @@
 
 // A caller opens many connections at once to a host with little processor time. Each turn of the loop, tens of milliseconds long there,
 // took one of them; the others waited in the kernel for seconds, and their callers left before a byte of theirs was read.
-BOOST_AUTO_TEST_CASE(waitingConnectionsAreTakenTogether)
+BOOST_AUTO_TEST_CASE(pendingConnectionsAreAcceptedInBatches)
 {
     constexpr std::uint16_t s_port = 18447;
     constexpr std::size_t s_callers = 50;
--- a/src/tests/tcprelaytest.cpp
+++ b/src/tests/tcprelaytest.cpp
@@ -26,25 +26,25 @@
 }
 
 /// Answers each connection's first four bytes with four others, and closes it.
-asio::awaitable<void> answerOnce(tcp::acceptor &acceptor, std::string &heard)
+asio::awaitable<void> replyOnce(tcp::acceptor &acceptor, std::string &received)
 {
     auto [error, socket] = co_await acceptor.async_accept(s_tuple);
     BOOST_REQUIRE(!error);
     std::array<char, 4> bytes{};
     co_await asio::async_read(socket, asio::buffer(bytes), s_tuple);
-    heard.assign(bytes.data(), bytes.size());
+    received.assign(bytes.data(), bytes.size());
     const std::string answer = "pong";
     co_await asio::async_write(socket, asio::buffer(answer), s_tuple);
 }
 
 /// Sends four bytes through the relay and takes all that comes back until the end.
-asio::awaitable<void> ask(std::uint16_t port, std::string &answer, bool &closed)
+asio::awaitable<void> sendPing(std::uint16_t port, std::string &answer, bool &closed)
 {
     tcp::socket socket(co_await asio::this_coro::executor);
     auto [error] = co_await socket.async_connect(loopback(port), s_tuple);
     BOOST_REQUIRE(!error);
-    const std::string question = "ping";
-    co_await asio::async_write(socket, asio::buffer(question), s_tuple);
+    const std::string ping = "ping";
+    co_await asio::async_write(socket, asio::buffer(ping), s_tuple);
     auto [readError, size] = co_await asio::async_read(socket, asio::dynamic_buffer(answer), s_tuple);
     closed = readError == asio::error::eof || readError == asio::error::connection_reset;
 }
@@ -53,27 +53,27 @@
 
 BOOST_AUTO_TEST_SUITE(TcpRelayTest)
 
-BOOST_AUTO_TEST_CASE(bytesPassBothWaysAndTheEndIsPassedOn)
+BOOST_AUTO_TEST_CASE(forwardsBytesAndCloseInBothDirections)
 {
     asio::io_context loop;
     tcp::acceptor store(loop, loopback(0));
     TcpRelay relay(loop.get_executor(), {.listen = loopback(0), .upstream = store.local_endpoint()});
     BOOST_REQUIRE(relay.open().ok());
-    std::string heard;
+    std::string received;
     std::string answer;
     bool closed = false;
-    asio::co_spawn(loop, answerOnce(store, heard), asio::detached);
-    asio::co_spawn(loop, ask(relay.port(), answer, closed), asio::detached);
+    asio::co_spawn(loop, replyOnce(store, received), asio::detached);
+    asio::co_spawn(loop, sendPing(relay.port(), answer, closed), asio::detached);
     while (!closed) {
         loop.run_one();
     }
-    BOOST_TEST(heard == "ping");
+    BOOST_TEST(received == "ping");
     BOOST_TEST(answer == "pong");
 }
 
 // The relay's host cannot reach the store either. The router's connection closes at once, so that it tries another relay instead of waiting
 // for its own timeout.
-BOOST_AUTO_TEST_CASE(withoutTheStoreTheCallerIsTurnedAway)
+BOOST_AUTO_TEST_CASE(callerIsDisconnectedWhenStoreIsUnreachable)
 {
     asio::io_context loop;
     std::uint16_t unused = 0;
@@ -85,14 +85,14 @@
     BOOST_REQUIRE(relay.open().ok());
     std::string answer;
     bool closed = false;
-    asio::co_spawn(loop, ask(relay.port(), answer, closed), asio::detached);
+    asio::co_spawn(loop, sendPing(relay.port(), answer, closed), asio::detached);
     while (!closed) {
         loop.run_one();
     }
     BOOST_TEST(answer.empty());
 }
 
-BOOST_AUTO_TEST_CASE(aTakenAddressIsAnInvalidSetting)
+BOOST_AUTO_TEST_CASE(addressInUseIsAnInvalidSetting)
 {
     asio::io_context loop;
     const tcp::acceptor other(loop, loopback(0));
