--- a/src/operations/explanation.cpp
+++ b/src/operations/explanation.cpp
@@ -12,7 +12,7 @@
 
 /// What happened to the team or the target up to this long before the request ended can have to do with it: longer than any cut that a
 /// holding is meant to cover.
-constexpr std::int64_t s_contextMs = 12'000;
+constexpr std::int64_t s_contextWindowMs = 12'000;
 
 constexpr std::string_view s_requestEnded = "request.ended";
 constexpr std::string_view s_attemptEnded = "attempt.ended";
@@ -37,25 +37,25 @@
     std::string_view("checkpoint.fenced"),
 };
 
-bool among(std::span<const std::string_view> events, const LogEntry &entry)
+bool isOneOf(std::span<const std::string_view> events, const LogEntry &entry)
 {
     return std::ranges::find(events, entry.event) != events.end();
 }
 
 /// True when the entry is about the request itself, or about its team, target or host shortly before it ended.
-bool concerns(const LogEntry &entry, const LogEntry &end, std::string_view requestId)
+bool isRelevantTo(const LogEntry &entry, const LogEntry &end, std::string_view requestId)
 {
     if (entry.text("request") == requestId) {
         return true;
     }
-    const bool inTime = entry.timeMs <= end.timeMs && end.timeMs - entry.timeMs <= s_contextMs;
+    const bool inTime = entry.timeMs <= end.timeMs && end.timeMs - entry.timeMs <= s_contextWindowMs;
     if (!inTime) {
         return false;
     }
     const bool sameHost = entry.host == end.host;
-    const bool aboutTeam = sameHost && among(s_teamEvents, entry) && entry.text("team") == end.text("team");
+    const bool aboutTeam = sameHost && isOneOf(s_teamEvents, entry) && entry.text("team") == end.text("team");
     const bool aboutTarget = sameHost && entry.event.starts_with("target.") && entry.text("target") == end.text("target");
-    return aboutTeam || aboutTarget || (sameHost && among(s_hostEvents, entry));
+    return aboutTeam || aboutTarget || (sameHost && isOneOf(s_hostEvents, entry));
 }
 
 /// The last entry of some events in the explanation; null when there is none.
@@ -66,10 +66,11 @@
 }
 
 /// How long after the last such loss the request ended, unless it was over by then.
-std::optional<std::int64_t> lostForMs(const Explanation &explanation, const LogEntry &end, std::string_view loss, std::string_view over)
+std::optional<std::int64_t>
+outageDurationMs(const Explanation &explanation, const LogEntry &end, std::string_view lostEvent, std::string_view regainedEvent)
 {
-    const LogEntry *lost = last(explanation, loss);
-    const LogEntry *regained = last(explanation, over);
+    const LogEntry *lost = last(explanation, lostEvent);
+    const LogEntry *regained = last(explanation, regainedEvent);
     if (lost == nullptr || (regained != nullptr && regained->timeMs > lost->timeMs)) {
         return std::nullopt;
     }
@@ -77,10 +78,10 @@
 }
 
 /// How long the router had been without the store: for the team's rows, or, where it keeps none of them, for its checkpoints.
-std::optional<std::int64_t> withoutStoreMs(const Explanation &explanation, const LogEntry &end)
+std::optional<std::int64_t> storeOutageMs(const Explanation &explanation, const LogEntry &end)
 {
-    const auto rows = lostForMs(explanation, end, "budget.store_lost", "budget.store_regained");
-    return rows ? rows : lostForMs(explanation, end, "checkpoint.store_lost", "checkpoint.store_regained");
+    const auto rows = outageDurationMs(explanation, end, "budget.store_lost", "budget.store_regained");
+    return rows ? rows : outageDurationMs(explanation, end, "checkpoint.store_lost", "checkpoint.store_regained");
 }
 
 std::string budgetCause(const Explanation &explanation, const LogEntry &end)
@@ -88,11 +89,11 @@
     if (end.text("outcome") == "budget_exhausted") {
         return absl::StrCat("the prepaid tokens of team ", end.text("team"), " do not cover it: ", end.text("detail"));
     }
-    if (const auto cut = withoutStoreMs(explanation, end)) {
+    if (const auto outageMs = storeOutageMs(explanation, end)) {
         return absl::StrCat("router ",
                             end.host,
                             " had been without the store for ",
-                            *cut,
+                            *outageMs,
                             " ms and neither held enough nor could borrow it: ",
                             end.text("detail"));
     }
@@ -205,7 +206,7 @@
         return explanation;
     }
     std::ranges::copy_if(log, std::back_inserter(explanation.entries), [&](const LogEntry &entry) {
-        return concerns(entry, *ended, requestId);
+        return isRelevantTo(entry, *ended, requestId);
     });
     std::ranges::stable_sort(explanation.entries, {}, &LogEntry::timeMs);
     explanation.outcome = ended->text("outcome");
