--- a/src/operations/log.cpp
+++ b/src/operations/log.cpp
@@ -25,7 +25,7 @@
     return s_logger;
 }
 
-LogIdentity &identityOfProcess()
+LogIdentity &processIdentity()
 {
     static LogIdentity s_identity;
     return s_identity;
@@ -66,14 +66,14 @@
 
 }
 
-void initLog(const LogIdentity &identity, Severity lowest)
+void initLog(const LogIdentity &identity, Severity minSeverity)
 {
-    identityOfProcess() = identity;
+    processIdentity() = identity;
     auto sink = boost::make_shared<boost::log::sinks::synchronous_sink<LineBackend>>();
     sink->set_formatter(boost::log::expressions::stream << boost::log::expressions::smessage);
     boost::log::core::get()->remove_all_sinks();
     boost::log::core::get()->add_sink(sink);
-    boost::log::core::get()->set_filter(boost::log::expressions::attr<Severity>("Severity") >= lowest);
+    boost::log::core::get()->set_filter(boost::log::expressions::attr<Severity>("Severity") >= minSeverity);
 }
 
 void logLine(Severity severity, std::string_view event, std::initializer_list<LogField> fields)
@@ -82,7 +82,7 @@
     if (!record) {
         return;
     }
-    const LogIdentity &identity = identityOfProcess();
+    const LogIdentity &identity = processIdentity();
     boost::json::object line{{"time_ms", wallClockMs()}, {"severity", text(severityName(severity))}, {"event", text(event)}};
     line["role"] = identity.role;
     line["host"] = identity.host;
--- a/src/operations/log.h
+++ b/src/operations/log.h
@@ -30,7 +30,7 @@
 };
 
 /// Directs the process's log to standard output as JSON lines, without ever waiting for its reader.
-void initLog(const LogIdentity &identity, Severity lowest);
+void initLog(const LogIdentity &identity, Severity minSeverity);
 
 /// Writes one line: time, severity, the event's stable name, identity and the fields given.
 void logLine(Severity severity, std::string_view event, std::initializer_list<LogField> fields = {});
--- a/src/operations/logoutput.cpp
+++ b/src/operations/logoutput.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// A pipe that is ready takes this much without waiting (PIPE_BUF on Linux).
-constexpr std::size_t s_pieceBytes = 4096;
+constexpr std::size_t s_writeChunkBytes = 4096;
 
 }
 
@@ -28,17 +28,17 @@
 
 void LogOutput::write(std::string_view line)
 {
-    if (m_pending.size() + line.size() + 1 > m_options.mostPending) {
+    if (m_pending.size() + line.size() + 1 > m_options.maxPendingBytes) {
         flush();
     }
-    if (m_pending.size() + line.size() + 1 > m_options.mostPending) {
+    if (m_pending.size() + line.size() + 1 > m_options.maxPendingBytes) {
         ++m_dropped;
-        ++m_droppedUnsaid;
+        ++m_unreportedDrops;
         return;
     }
-    if (m_droppedUnsaid > 0) {
-        m_pending.append("{\"event\":\"log.dropped\",\"lines\":").append(std::to_string(m_droppedUnsaid)).append("}\n");
-        m_droppedUnsaid = 0;
+    if (m_unreportedDrops > 0) {
+        m_pending.append("{\"event\":\"log.dropped\",\"lines\":").append(std::to_string(m_unreportedDrops)).append("}\n");
+        m_unreportedDrops = 0;
     }
     m_pending.append(line).push_back('\n');
     flush();
@@ -48,8 +48,8 @@
 {
     std::size_t written = 0;
     while (written < m_pending.size() && writable()) {
-        const std::size_t piece = std::min(s_pieceBytes, m_pending.size() - written);
-        const ssize_t taken = ::write(m_options.descriptor, m_pending.data() + written, piece);
+        const std::size_t chunkSize = std::min(s_writeChunkBytes, m_pending.size() - written);
+        const ssize_t taken = ::write(m_options.descriptor, m_pending.data() + written, chunkSize);
         if (taken <= 0 && errno != EINTR) {
             break;
         }
--- a/src/operations/logoutput.h
+++ b/src/operations/logoutput.h
@@ -16,7 +16,7 @@
     struct Options {
         int descriptor = 1;
         /// About a thousand lines: some seconds of a busy router.
-        std::size_t mostPending = 256 * 1024;
+        std::size_t maxPendingBytes = 256 * 1024;
     };
 
     explicit LogOutput(Options options);
@@ -39,7 +39,7 @@
     Options m_options;
     std::string m_pending;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_droppedUnsaid = 0;
+    std::uint64_t m_unreportedDrops = 0;
 };
 
 }
--- a/src/tests/logoutputtest.cpp
+++ b/src/tests/logoutputtest.cpp
@@ -62,7 +62,7 @@
 {
     constexpr int s_lines = 20'000;
     const Pipe pipe;
-    LogOutput output({.descriptor = pipe.writer, .mostPending = 16 * 1024});
+    LogOutput output({.descriptor = pipe.writer, .maxPendingBytes = 16 * 1024});
     const std::string line(100, 'x');
     for (int count = 0; count < s_lines; ++count) {
         output.write(line);
