--- a/src/operations/metrics.cpp
+++ b/src/operations/metrics.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Combinations of labels that a counter is kept under.
-constexpr std::size_t s_mostCombinations = 1000;
+constexpr std::size_t s_maxLabelCombinations = 1000;
 
 using Values = std::map<std::string, std::map<std::string, std::int64_t>, std::less<>>;
 
@@ -22,7 +22,7 @@
     }
 }
 
-std::int64_t &slot(Values &values, std::string_view series, std::string label)
+std::int64_t &valueFor(Values &values, std::string_view series, std::string label)
 {
     auto found = values.find(series);
     if (found == values.end()) {
@@ -53,18 +53,18 @@
     const std::lock_guard lock(m_mutex);
     const auto found = m_counters.find(series);
     std::string text = labelText(labels);
-    const bool full = found != m_counters.end() && found->second.size() >= s_mostCombinations && !found->second.contains(text);
+    const bool full = found != m_counters.end() && found->second.size() >= s_maxLabelCombinations && !found->second.contains(text);
     if (full) {
         const MetricLabel other{.name = labels.front().name, .value = "other"};
         text = labelText(std::span(&other, 1));
     }
-    slot(m_counters, series, std::move(text)) += amount;
+    valueFor(m_counters, series, std::move(text)) += amount;
 }
 
 void Metrics::gauge(std::string_view series, MetricLabel label, std::int64_t value)
 {
     const std::lock_guard lock(m_mutex);
-    slot(m_gauges, series, labelText(std::span(&label, 1))) = value;
+    valueFor(m_gauges, series, labelText(std::span(&label, 1))) = value;
 }
 
 void Metrics::observe(std::string_view series, MetricLabel label, double seconds)
