--- a/src/tests/explanationtest.cpp
+++ b/src/tests/explanationtest.cpp
@@ -26,7 +26,7 @@
 
 BOOST_AUTO_TEST_SUITE(ExplanationTest)
 
-BOOST_AUTO_TEST_CASE(budgetRefusalDuringACut)
+BOOST_AUTO_TEST_CASE(budgetRefusalDuringStoreOutage)
 {
     const auto log = logOf({
         R"(12.5 host {"time_ms":9000,"event":"budget.store_lost","host":"h1","team":"t1"})",
@@ -52,7 +52,7 @@
 }
 
 // A router that keeps no part of the budget asks the store for none of its rows, so that only its checkpoints show the cut.
-BOOST_AUTO_TEST_CASE(budgetRefusalDuringACutAtABorrower)
+BOOST_AUTO_TEST_CASE(budgetRefusalDuringStoreOutageAtBorrower)
 {
     const auto log = logOf({
         R"({"time_ms":9000,"event":"checkpoint.store_lost","host":"h1"})",
@@ -61,7 +61,7 @@
     BOOST_TEST(contains(explainRequest(log, "r1").cause, "without the store for 3000 ms"));
 }
 
-BOOST_AUTO_TEST_CASE(loanThatWasTooSmall)
+BOOST_AUTO_TEST_CASE(insufficientLoan)
 {
     const auto log = logOf({
         R"({"time_ms":11900,"event":"budget.loan_short","host":"h1","team":"t1","wanted":900,"lent":200,"exhausted":0})",
@@ -71,7 +71,7 @@
     BOOST_TEST(contains(explainRequest(log, "r1").cause, "lent it 200 of 900 tokens 100 ms before"));
 }
 
-BOOST_AUTO_TEST_CASE(streamBrokenByADyingTarget)
+BOOST_AUTO_TEST_CASE(streamBrokenByCrashedTarget)
 {
     const auto log = logOf({
         R"({"time_ms":5100,"event":"request.ended","host":"h1","request":"r2","team":"t","target":"i-1","outcome":"stream_cut","attempts":1})",
--- a/src/tests/logoutputtest.cpp
+++ b/src/tests/logoutputtest.cpp
@@ -58,7 +58,7 @@
 
 // Whoever reads the log stops reading. The process goes on; when the reader is back it gets what was kept, whole lines in order, and is
 // told how many are missing.
-BOOST_AUTO_TEST_CASE(stoppedReaderStopsNothing)
+BOOST_AUTO_TEST_CASE(stalledReaderDoesNotBlockWriter)
 {
     constexpr int s_lines = 20'000;
     const Pipe pipe;
--- a/src/tests/metricstest.cpp
+++ b/src/tests/metricstest.cpp
@@ -22,7 +22,7 @@
 }
 
 // A caller invents teams, or a fleet has many thousands: the process's memory must not follow.
-BOOST_AUTO_TEST_CASE(combinationsAreBounded)
+BOOST_AUTO_TEST_CASE(labelCombinationsAreBounded)
 {
     Metrics metrics;
     constexpr int s_teams = 3000;
