--- a/src/tests/tablewatchertest.cpp
+++ b/src/tests/tablewatchertest.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t s_rowBytes = 500'000;
 constexpr StoreTimeMs s_storeTime = 1000;
 
-/// A store behind a slow link, in a time of its own: every answer takes as long as its size, and the row changes all the while.
+/// A store behind a slow link, in simulated time: the duration of a transfer grows with its size, and the row keeps changing meanwhile.
 struct SlowLinkStore {
     boost::asio::awaitable<absl::StatusOr<RowsSnapshot>> read(const std::string &table, const std::string &part)
     {
@@ -40,7 +40,7 @@
         co_return rows.transact(transaction, s_storeTime);
     }
 
-    /// Half a megabyte takes as long as two changes.
+    /// Simulates a transfer: each row of half a megabyte takes as long as two changes.
     void changeDuringTransfer(const std::vector<StoredRow> &rowsSent)
     {
         largestAnswer = std::max(largestAnswer, rowsSent.size());
@@ -66,8 +66,9 @@
 
 BOOST_AUTO_TEST_SUITE(TableWatcherTest)
 
-// A large document changes faster than it crosses the link. Each feed brings all that changed during the last one, so each is twice as long
-// as the one before, and what is in force falls ever further behind. After a feed with passed-over states the table is read whole.
+// Guards against a growing backlog when a large document changes faster than it can be transferred. Each feed contains all changes made
+// during the previous transfer, so each would be twice as long as the one before and the watcher would fall further and further behind.
+// After a feed with superseded versions the whole table is read instead.
 BOOST_AUTO_TEST_CASE(backlogOfLargeChangesDoesNotGrow)
 {
     boost::asio::io_context loop;
@@ -96,7 +97,7 @@
     BOOST_TEST(delivered > 20);
 }
 
-// A target says that it leaves and is gone soon after, in one answer: small changes are all taken, in order.
+// A target may announce that it is leaving and disappear soon after, within one feed. Small changes are therefore all delivered, in order.
 BOOST_AUTO_TEST_CASE(smallChangesAreAllDelivered)
 {
     const RowAddress address{.table = "t", .part = "", .key = "k"};
