--- a/src/net/adaptivetimeout.h
+++ b/src/net/adaptivetimeout.h
@@ -6,16 +6,17 @@
 
 namespace bamboohold {
 
-/// How long to wait for one peer's answers: a multiple of what they take, and twice as long after each one that did not come. An answer
-/// that got lost is asked for again soon while the peer is quick, and a slow peer is not flooded with repeats.
+/// A timeout for the answers of one peer that adapts to its response times. It is a multiple of their moving average and doubles after each
+/// timeout. A lost answer is thus requested again soon from a fast peer, while a slow peer is not flooded with repeated requests.
 class AdaptiveTimeout
 {
 public:
     struct Options {
-        /// The least and the most to wait.
+        /// The bounds of the timeout. It starts at minTimeout.
         Duration minTimeout{};
         Duration maxTimeout{};
-        /// Answers vary: those of a queue at a busy moment take several times the mean.
+        /// The timeout is this multiple of the average response time. Response times vary: those of a briefly overloaded queue are several
+        /// times the average.
         int meanMultiple = 8;
     };
 
@@ -25,27 +26,27 @@
     {
     }
 
-    /// How long to wait for the next answer.
+    /// Returns the timeout for the next answer.
     Duration current() const
     {
         return m_current;
     }
 
-    /// An answer came after this time.
+    /// Records an answer that arrived after this time.
     void recordAnswer(Duration responseTime)
     {
         m_mean = m_mean == Duration::zero() ? responseTime : m_mean + (responseTime - m_mean) / s_meanWeight;
         m_current = std::clamp(m_mean * m_options.meanMultiple, m_options.minTimeout, m_options.maxTimeout);
     }
 
-    /// None came in time.
+    /// Records that no answer arrived in time.
     void recordTimeout()
     {
         m_current = std::min(m_current * 2, m_options.maxTimeout);
     }
 
 private:
-    /// The newest answer's share in the mean is one in this many.
+    /// The latest response time contributes one part in this many to the average.
     static constexpr int s_meanWeight = 4;
 
     Options m_options;
--- a/src/net/endpoint.h
+++ b/src/net/endpoint.h
@@ -7,7 +7,7 @@
 
 namespace bamboohold {
 
-/// The endpoint that ADDRESS:PORT names, with a numeric address and a port other than 0; none when it does not.
+/// Parses ADDRESS:PORT with a numeric address and a port other than 0. Returns an empty optional for anything else.
 std::optional<boost::asio::ip::tcp::endpoint> endpointFrom(std::string_view text);
 
 }
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -21,12 +21,13 @@
 constexpr std::size_t s_readChunkBytes = 16 * 1024;
 constexpr std::size_t s_maxIdle = 256;
 constexpr std::uint64_t s_maxReplyBytes = 256 * 1024 * 1024;
-/// A longer request is written beside the wait for its answer: a peer may answer before it has read all, and read no further.
+/// A longer request is written concurrently with the wait for its answer, because a peer may answer before it has read the whole request
+/// and then stop reading.
 constexpr std::size_t s_concurrentWriteBytes = 4096;
-/// A kept connection is not used in the last part of the time after which its peer closes it idle: the request could cross the close.
-/// Half a second covers a peer that counts from its own last byte and a slow link.
+/// An idle connection is not reused during the last part of its keep-alive time, because the request could cross the peer's close. Half a
+/// second covers a slow link and a peer that counts from its own last byte.
 constexpr Duration s_idleMargin = std::chrono::milliseconds(500);
-/// Foreign answers that one request skips before it gives the connection up.
+/// Maximum number of interim answers and answers to other requests that are skipped before the call fails.
 constexpr int s_maxSkippedReplies = 3;
 constexpr unsigned s_firstFinalStatus = 200;
 
@@ -56,7 +57,7 @@
     return failed(FailureKind::TargetLost, error.message(), ran);
 }
 
-/// The idle time that a `Keep-Alive: timeout=N` header promises, in whole seconds; empty when there is none.
+/// Returns the idle time from a `Keep-Alive: timeout=N` header, in whole seconds, or an empty optional when there is none.
 std::optional<Duration> keepAliveTimeout(const http::fields &answer)
 {
     const std::string value(answer["Keep-Alive"]);
@@ -96,8 +97,8 @@
         ConnectionPtr connection = std::move(m_idle.back());
         m_idle.pop_back();
         const bool expired = connection->idleUntil && *connection->idleUntil <= now;
-        // An idle connection that has become readable was closed by its peer, or holds bytes that nobody asked for: a request sent into it
-        // could be lost unseen, or be taken for answered.
+        // An idle connection that has become readable was either closed by its peer or holds unexpected bytes. A request sent on it could
+        // be lost unnoticed, or those bytes could be taken for its answer.
         if (!expired && hasNoPendingInput(connection->stream.socket())) {
             return connection;
         }
@@ -152,7 +153,7 @@
         connection.stream.expires_after(std::clamp(remaining, Duration::zero(), options.stallTimeout));
         const auto [error, size] = co_await http::async_read_some(connection.stream, connection.buffer, parser, s_tuple);
         if (error) {
-            // How far the answer got tells a peer that fell silent from one whose answer is longer than its time.
+            // The number of received bytes distinguishes a peer that fell silent from one whose answer takes longer than the time limit.
             const std::string detail = absl::StrCat(error.message(), " after ", parser.get().body().size(), " bytes of the answer");
             co_return failed(FailureKind::TargetLost, detail, Executed::Unknown);
         }
@@ -228,7 +229,7 @@
     m_connection->stream.expires_after(m_options.timeout);
     if (request->body().size() > s_concurrentWriteBytes) {
         asio::co_spawn(m_client.m_executor, m_client.send(m_connection, request), [](const std::exception_ptr &, const absl::Status &) {
-            // A failed write shows in the wait for the answer, which the same end of the connection ends.
+            // A write error is reported by the wait for the answer, which fails because it uses the same connection.
         });
     } else {
         const absl::Status sent = co_await m_client.send(m_connection, request);
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -22,59 +22,63 @@
 
 namespace bamboohold {
 
-/// A request to an engine, a plain service or the platform.
+/// A request to an engine, a plain service or the platform, with its time limits.
 struct HttpCallOptions {
     std::string method = "GET";
     std::string path = "/";
-    /// Empty when the type, if any, stands among the headers.
+    /// Empty: no Content-Type is added; the caller may set one in the headers.
     std::string contentType = "application/json";
     std::string body;
     std::vector<HttpHeader> headers;
-    /// The Host header; empty: the address that is called.
+    /// Value of the Host header. Empty: the address and port of the endpoint.
     std::string host;
-    /// Bound on each wait for the peer, not on the whole answer: for the head, and in a streamed answer for each further piece.
+    /// Timeout of each wait for the peer, not of the whole answer: it applies to the head and, for a streamed answer, to each further part
+    /// of the body.
     Duration timeout = std::chrono::seconds(10);
-    /// Bound on each wait for more of a whole answer that has begun to come. A peer that has answered in time is alive; how long the rest
-    /// takes is a matter of its size and of the link, so only silence ends it. With one limit on the whole answer, a large one would never
-    /// cross a slow link, and the attempts would keep that link full. Long enough for a retransmission after two losses in a row.
+    /// Timeout of each wait for more of a non-streamed answer after its head. A peer that has sent the head in time is alive, and the time
+    /// that the rest takes depends on its size and on the link, so only silence ends it. With a single timeout for the whole answer, a
+    /// large one would never get across a slow link and the repeated attempts would keep that link saturated. The value allows for a
+    /// retransmission after two consecutive losses.
     Duration stallTimeout = std::chrono::seconds(1);
-    /// Bound on a whole answer, against a peer that sends a little now and then for ever.
+    /// Time limit of a non-streamed answer as a whole, against a peer that keeps sending a few bytes indefinitely.
     Duration replyTimeout = std::chrono::seconds(30);
-    /// Bound on opening a connection: a host without power answers nothing at all, and the kernel would try for minutes.
+    /// Timeout of connecting. A host without power does not respond at all, and the kernel would retry for minutes.
     Duration connectTimeout = std::chrono::seconds(10);
-    /// The request is not sent any more from then on, and has not run.
+    /// The request is not sent at or after this time; the call then fails as not executed.
     std::optional<Instant> sendBefore;
-    /// Asked right before the request is sent; false: it is not sent, and has not run. Empty: it is sent.
+    /// Checked immediately before the request is sent. If it returns false, the request is not sent and the call fails as not executed.
+    /// Empty: the request is always sent.
     std::function<bool()> stillWanted;
-    /// The longest body that the caller wants; a longer one, by the head's word, is left untaken, and its connection is closed. 0: any.
+    /// Maximum size of the body, in bytes. If the Content-Length exceeds it, the body is not read and the connection is closed. 0: no
+    /// limit.
     std::uint64_t maxReplyBodyBytes = 0;
-    /// Tells whether an answer's head belongs to this request; empty: every answer does. Some peers send an answer twice, and the second
-    /// one then stands where the answer to the next request is expected.
+    /// Returns whether an answer's headers show that it belongs to this request. Empty: every answer does. Some peers send an answer twice,
+    /// and the second copy would be taken for the answer to the next request on the connection.
     std::function<bool(const http::fields &)> matchesRequest;
 };
 
-/// A whole answer.
+/// A complete answer.
 struct HttpReply {
     unsigned status = 0;
     std::string contentType;
     std::string body;
-    /// How long its head took to come: what the peer needed, apart from the way of the body.
+    /// Time until the head of the answer arrived. It measures how long the peer took, without the transfer of the body.
     Duration headDelay{};
-    /// The body was longer than wanted and is not there.
+    /// True when the body exceeded maxReplyBodyBytes and was not read.
     bool bodyTooLarge = false;
 };
 
-/// Keeps connections to one address open between calls. Bound to one event loop.
+/// An HTTP client for one endpoint. Keeps idle connections open for later calls. Bound to one event loop.
 class HttpClient
 {
 public:
     HttpClient(asio::any_io_executor executor, asio::ip::tcp::endpoint endpoint);
 
-    /// Sends a request and takes the whole answer. Failures: TargetLost with Executed::No when nothing was sent, with Executed::Unknown
-    /// afterwards.
+    /// Sends a request and reads the complete answer. Fails with TargetLost: with Executed::No when nothing was sent, with
+    /// Executed::Unknown afterwards.
     asio::awaitable<absl::StatusOr<HttpReply>> call(HttpCallOptions options);
 
-    /// The address it calls.
+    /// Returns the endpoint that this client calls.
     const asio::ip::tcp::endpoint &endpoint() const
     {
         return m_endpoint;
@@ -91,9 +95,9 @@
 
         beast::tcp_stream stream;
         beast::flat_buffer buffer;
-        /// True while a request is still being written.
+        /// True while a request is being written.
         bool writing = false;
-        /// When the peer is going to close the idle connection, by its own word.
+        /// The time at which the peer will close the idle connection according to its Keep-Alive header, less a safety margin.
         std::optional<Instant> idleUntil;
     };
 
@@ -112,37 +116,39 @@
     std::vector<ConnectionPtr> m_idle;
 };
 
-/// One call whose answer is taken piece by piece.
+/// A call whose answer is read in parts as it arrives.
 class HttpStreamCall
 {
 public:
     HttpStreamCall(HttpClient &client, HttpCallOptions options);
 
-    /// Sends the request and waits for the head of the answer. Failures as for HttpClient::call.
+    /// Sends the request and waits for the head of the answer. Fails like HttpClient::call, and with Cancelled and Executed::No when the
+    /// request was not sent because of cancel(), sendBefore or stillWanted.
     asio::awaitable<absl::Status> start();
 
-    /// Status of the answer's head.
+    /// Returns the status code of the answer.
     unsigned status() const;
 
-    /// Content type of the answer's head.
+    /// Returns the content type of the answer.
     std::string contentType() const;
 
-    /// The headers of the answer's head.
+    /// Returns the headers of the answer.
     const http::fields &headers() const;
 
-    /// Changes the bound on each further wait.
+    /// Changes the timeout of each further wait.
     void setTimeout(Duration timeout)
     {
         m_options.timeout = timeout;
     }
 
-    /// The next piece of the body, empty at its end. Fails with AnswerIncomplete when the peer cuts the answer.
+    /// Returns the next part of the body, empty at its end. Fails with AnswerIncomplete when the connection ends before the answer is
+    /// complete or when a wait times out.
     asio::awaitable<absl::StatusOr<std::string>> readSome();
 
-    /// Closes the connection, which tells the peer to stop. A pending start or read ends with a failure.
+    /// Closes the connection, which tells the peer to stop. A pending start() or readSome() fails.
     void cancel();
 
-    /// True after cancel(): the peer did not break the answer off.
+    /// Returns true after cancel(), which means that the peer did not abort the answer.
     bool cancelled() const
     {
         return m_cancelled;
@@ -159,7 +165,7 @@
     std::unique_ptr<Parser> m_parser;
     std::vector<char> m_chunk;
     bool m_cancelled = false;
-    /// True when the connection carried something besides the one answer, so that nothing later on it can be trusted.
+    /// True when the connection carried an answer to another request, so that nothing that arrives on it later can be trusted.
     bool m_foreignReplySeen = false;
 };
 
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -25,12 +25,12 @@
 
 constexpr auto s_tuple = asio::as_tuple(asio::use_awaitable);
 constexpr int s_backlog = 4096;
-/// Connections taken in one turn of the loop, after the first.
+/// Maximum number of connections that are accepted in one turn of the loop after the first.
 constexpr int s_maxAcceptBatch = 64;
 constexpr Duration s_acceptPause = std::chrono::milliseconds(20);
 
 using ReuseAddress = asio::ip::tcp::acceptor::reuse_address;
-/// Lets each loop accept for itself; the kernel spreads connections over them.
+/// Lets every loop listen on the same port; the kernel distributes connections among them.
 using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
 void appendHeader(std::string &head, std::string_view name, std::string_view value)
@@ -43,13 +43,13 @@
     return {asio::buffer(first), asio::buffer(second), asio::buffer(third)};
 }
 
-/// A caller that takes nothing for this long is gone or stuck; either way its connection is worth no more memory.
+/// A caller that accepts no data for this long is gone or stuck. Its connection is closed to free the memory.
 constexpr Duration s_writeTimeout = std::chrono::seconds(5);
-/// After the last answer the caller's remaining bytes are read away for this long: closing over unread bytes resets the connection, and a
-/// reset can destroy an answer that the caller has not read yet.
+/// After the last answer, remaining input from the caller is read and discarded for this long. Closing a socket with unread input resets
+/// the connection, and a reset can destroy an answer that the caller has not read yet.
 constexpr Duration s_lingerTime = std::chrono::milliseconds(500);
 constexpr std::size_t s_lingerBytes = 4096;
-/// Room for the first read of a request; most heads fit, and an idle connection keeps no more.
+/// Buffer size of the first read of a request. Most heads fit, and an idle connection does not hold more memory.
 constexpr std::size_t s_firstReadBytes = 2048;
 constexpr std::string_view s_continue = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -57,7 +57,7 @@
 
 namespace {
 
-/// Answers a request that could not be read: too large, too slow, or not HTTP.
+/// Answers a request that could not be read because it is too large, too slow or not valid HTTP.
 asio::awaitable<void> respondUnreadable(HttpExchange &exchange, const boost::system::error_code &error)
 {
     unsigned status = 400;
@@ -75,7 +75,7 @@
 
 }
 
-/// Watches the socket for the caller's end of stream while an answer is made. Shared with the pending wait, which can outlive the exchange.
+/// Waits for the caller to close its side while an answer is in progress. Shared with the pending wait, which can outlive the exchange.
 struct HttpExchange::DisconnectWatch {
     std::function<void()> callback;
 };
@@ -268,14 +268,15 @@
     while (acceptor.is_open()) {
         auto [failure, first] = co_await acceptor.async_accept(s_tuple);
         if (failure) {
-            // Most likely for want of descriptors: some connections get time to end.
+            // The most likely cause is a lack of file descriptors. The pause gives open connections time to end.
             co_await pause(s_acceptPause);
             continue;
         }
         startSession(std::move(first));
-        // The loop comes back here once for all that is ready in it. While it is busy that takes tens of milliseconds, and with one
-        // connection a time a caller waited for seconds in the kernel's queue, unseen by anything that measures the loop: on a host with a
-        // tenth of a core 3,591 callers left before their request was read, in 34 seconds.
+        // Pending connections are accepted in batches, because the loop returns here only after it has handled everything else that is
+        // ready. On a busy loop that takes tens of milliseconds. When one connection was accepted per turn, callers waited for seconds in
+        // the kernel's backlog, invisible to measurements of the loop: on a host with a tenth of a core, 3,591 callers disconnected within
+        // 34 seconds before their request was read.
         for (int more = 0; more < s_maxAcceptBatch; ++more) {
             asio::ip::tcp::socket next(acceptor.get_executor());
             acceptor.accept(next, error);
@@ -296,13 +297,13 @@
     asio::co_spawn(executor, serveConnection(std::move(socket)), [this](const std::exception_ptr &problem) {
         --m_connections;
         if (problem) {
-            // A handler that throws has left its caller without an answer, and its own state in doubt.
+            // A handler that throws has left its caller without an answer, and its own state may be inconsistent.
             std::rethrow_exception(problem);
         }
     });
 }
 
-/// One caller's connection.
+/// A connection of a caller.
 struct HttpServer::Session {
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
@@ -347,7 +348,8 @@
     parser.body_limit(limits.maxBodyBytes);
     session.stream.expires_after(limits.headerTimeout);
     auto [error, size] = co_await http::async_read_header(session.stream, session.buffer, parser, s_tuple);
-    // A transfer coding that this server does not read would leave the end of the request open, and let another one hide in its body.
+    // With a transfer coding that this server does not support, the end of the request is unknown and another request could be smuggled in
+    // its body.
     const bool unreadable = !error && parser.get().count(http::field::transfer_encoding) > 0 && !parser.chunked();
     if (!error && !unreadable && !parser.is_done()) {
         if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
--- a/src/net/httpserver.h
+++ b/src/net/httpserver.h
@@ -30,81 +30,83 @@
 
 using HttpRequest = http::request<http::string_body>;
 
-/// A header of an answer.
+/// A header field of a request or an answer.
 struct HttpHeader {
     std::string name;
     std::string value;
 };
 
-/// One request on a connection and the means to answer it, whole or as a stream. Lives on the connection's loop.
+/// A request received on a connection, with the means to answer it either completely or as a stream. Runs on the event loop of the
+/// connection.
 class HttpExchange
 {
 public:
-    /// With `last`, the connection takes no further request, and the answer says so.
+    /// With connectionClose, the connection closes after the answer, and the answer has a `Connection: close` header.
     HttpExchange(beast::tcp_stream &stream, HttpRequest request, bool connectionClose = false);
     ~HttpExchange();
 
-    /// What was asked.
+    /// Returns the request.
     const HttpRequest &request() const
     {
         return m_request;
     }
 
-    /// The path without its query.
+    /// Returns the path without its query.
     std::string_view path() const;
 
-    /// A header's value, empty when absent.
+    /// Returns the value of a header, or an empty string when it is absent.
     std::string_view header(std::string_view name) const;
 
-    /// The connection's loop.
+    /// Returns the executor of the connection's event loop.
     asio::any_io_executor executor();
 
-    /// Sends a whole answer.
+    /// Sends a complete answer.
     asio::awaitable<void> respond(unsigned status, std::string_view contentType, std::string body, std::vector<HttpHeader> headers = {});
 
-    /// Begins a chunked answer. False when the caller is gone.
+    /// Starts a chunked answer. Returns false when the caller has disconnected.
     asio::awaitable<bool> beginStream(unsigned status, std::string_view contentType, std::vector<HttpHeader> headers = {});
 
-    /// Sends a piece of a chunked answer. False when the caller is gone.
+    /// Sends a part of a chunked answer. Returns false when the caller has disconnected.
     asio::awaitable<bool> writeChunk(std::string_view data);
 
-    /// Ends a chunked answer.
+    /// Ends a chunked answer. Returns false when the caller has disconnected.
     asio::awaitable<bool> endStream();
 
-    /// Cuts the connection, so that the caller cannot take a partial answer for a whole one.
+    /// Closes the connection immediately, so that the caller cannot mistake a partial answer for a complete one.
     void abortConnection();
 
-    /// From now on the answer goes nowhere; for stand-ins that lose answers.
+    /// Discards everything that is sent from now on. Used by stand-ins that simulate lost answers.
     void discardResponse()
     {
         m_responseDiscarded = true;
     }
 
-    /// True after muteAnswer().
+    /// Returns true after discardResponse().
     bool isResponseDiscarded() const
     {
         return m_responseDiscarded;
     }
 
-    /// True when the caller has closed its side already. Asks the kernel, so that it also sees what the loop has not got to yet.
+    /// Returns true when the caller has already closed its side. Queries the kernel, so it also detects a close that the event loop has not
+    /// processed yet.
     bool isCallerDisconnected();
 
-    /// Calls back once when the caller hangs up before the answer ends.
+    /// Invokes the callback once if the caller disconnects before the answer is complete.
     void onCallerDisconnect(std::function<void()> callback);
 
-    /// True when the connection can take another request.
+    /// Returns true when the connection can serve another request.
     bool keepAlive() const
     {
         return m_open && !m_connectionClose && m_request.keep_alive();
     }
 
-    /// The connection takes no further request after this one; said in an answer whose head was not sent yet.
+    /// Closes the connection after this answer. The answer has a `Connection: close` header if its head was not sent yet.
     void setConnectionClose()
     {
         m_connectionClose = true;
     }
 
-    /// True once anything of an answer was sent.
+    /// Returns true once any part of an answer was sent.
     bool answered() const
     {
         return m_answered;
@@ -128,50 +130,52 @@
 
 using HttpHandler = std::function<asio::awaitable<void>(HttpExchange &)>;
 
-/// What callers may send and how long they may take. The defaults suit the fleet's own interfaces.
+/// Size limits and timeouts for requests. The defaults are meant for the fleet's own interfaces.
 struct HttpLimits {
     std::uint32_t maxHeaderBytes = 16 * 1024;
     std::uint64_t maxBodyBytes = 8 * 1024 * 1024;
     /// From the first byte of a request to the end of its headers.
     Duration headerTimeout = std::chrono::seconds(10);
-    /// For each further part of its body.
+    /// For each further part of the request body.
     Duration bodyTimeout = std::chrono::seconds(10);
-    /// How long a connection may lie idle before a request.
+    /// How long a connection may be idle before the next request.
     Duration idleTimeout = std::chrono::minutes(5);
 };
 
-/// Accepts HTTP connections on every loop of the pool and hands each request to the handler. A request that is too large or not HTTP is
-/// answered with a typed error.
+/// Accepts HTTP connections on every event loop of the pool and passes each request to the handler. A request that is too large or is not
+/// valid HTTP is answered with a typed error.
 class HttpServer
 {
 public:
     struct Options {
         std::string address;
         std::uint16_t port = 0;
-        /// Fails to open while another process listens on the same port. Listening then proves that no other process of this address does.
+        /// Makes open() fail while another process listens on the same address and port. A successful open() then proves that there is no
+        /// such process.
         bool exclusive = false;
-        /// Asked before each request; empty: the defaults.
+        /// Called before each request for the limits that apply to it. Empty: the defaults.
         std::function<HttpLimits()> limits;
     };
 
     HttpServer(WorkerPool &pool, Options options, HttpHandler handler);
 
-    /// Binds and listens; a taken address is an InvalidSetting.
+    /// Binds and listens. Fails with InvalidSetting when the address is invalid or in use.
     absl::Status open();
 
-    /// Takes no further connection.
+    /// Stops accepting connections.
     void close();
 
-    /// Whether every connection ends after the answer to the request that it is at: while the process ends, or callers should go elsewhere.
+    /// Sets whether connections close after the next answer. Applies to requests that are completely received from now on. Used while the
+    /// process is shutting down, or when callers should connect elsewhere.
     void setKeepAliveDisabled(bool disabled)
     {
         m_keepAliveDisabled = disabled;
     }
 
-    /// Ends connections on which no request has begun. For pools of one loop, on that loop.
+    /// Closes connections on which no request has started. Only for pools with a single loop, called on that loop.
     void closeIdleConnections();
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     std::size_t connections() const
     {
         return m_connections;
@@ -193,21 +197,21 @@
     std::vector<std::unique_ptr<asio::ip::tcp::acceptor>> m_acceptors;
     std::atomic<bool> m_keepAliveDisabled = false;
     std::atomic<std::size_t> m_connections = 0;
-    /// Sessions on which no request has begun. Guarded by a lock of its own; nothing else is taken under it.
+    /// Sessions on which no request has started. Guarded by m_idleMutex, under which no other lock is taken.
     std::mutex m_idleMutex;
     std::set<Session *> m_idle;
 };
 
-/// The JSON error body that every HTTP interface of the fleet uses.
+/// Returns the JSON error body that every HTTP interface of the fleet uses.
 std::string errorBody(const Failure &failure, std::string_view requestId);
 
-/// Answers with a failure that has no more to it than its kind and detail.
+/// Answers with a failure that consists only of a kind and a detail text.
 asio::awaitable<void> respondFailure(HttpExchange &exchange, FailureKind kind, std::string_view detail);
 
-/// Adds the standard header that tells a caller when to come back, if the failure knows.
+/// Adds a Retry-After header if the failure says when to retry.
 void appendRetryAfter(std::vector<HttpHeader> &headers, const Failure &failure);
 
-/// The HTTP status for a failure.
+/// Returns the HTTP status for a kind of failure.
 unsigned httpStatus(FailureKind kind);
 
 }
--- a/src/net/incarnation.h
+++ b/src/net/incarnation.h
@@ -5,10 +5,11 @@
 
 namespace bamboohold {
 
-/// A name for this process that no earlier or later one at the same place has: the place's name and 64 random bits.
+/// Returns a name for this process that no earlier or later process with the same base name has: the base name, `~` and 64 random bits in
+/// hexadecimal.
 std::string newIncarnation(std::string_view name);
 
-/// A random 128-bit identifier for a request, as 32 hexadecimal digits.
+/// Returns a random 128-bit request identifier as 32 hexadecimal digits.
 std::string newRequestId();
 
 }
--- a/src/net/pause.h
+++ b/src/net/pause.h
@@ -10,7 +10,7 @@
 
 namespace bamboohold {
 
-/// Lets the calling coroutine wait on its own loop.
+/// Suspends the calling coroutine for the given time without blocking its event loop.
 inline boost::asio::awaitable<void> pause(Duration duration)
 {
     boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor, duration);
--- a/src/net/signal.h
+++ b/src/net/signal.h
@@ -12,8 +12,8 @@
 
 namespace bamboohold {
 
-/// Wakes every coroutine that waits for something to happen. Each waiter has a timer of its own: on a shared one, setting one waiter's time
-/// would wake the others, and two waiters would keep each other awake. For one event loop.
+/// Lets coroutines wait until another one calls notify(). Each waiter has its own timer: with a shared one, setting the expiry for one
+/// waiter would wake the others, and two waiters would keep waking each other. For use on a single event loop.
 class Signal
 {
 public:
@@ -25,7 +25,7 @@
     Signal(const Signal &) = delete;
     Signal &operator=(const Signal &) = delete;
 
-    /// Waits for the next notify(), but no longer than this.
+    /// Waits for the next notify(), but not longer than maxWait.
     boost::asio::awaitable<void> wait(Duration maxWait)
     {
         boost::asio::steady_timer timer(m_executor, maxWait);
@@ -34,7 +34,7 @@
         m_waiters.erase(&timer);
     }
 
-    /// Wakes all who wait now.
+    /// Wakes all current waiters.
     void notify()
     {
         for (boost::asio::steady_timer *waiter : m_waiters) {
--- a/src/net/tcprelay.cpp
+++ b/src/net/tcprelay.cpp
@@ -23,9 +23,9 @@
 using tcp = asio::ip::tcp;
 
 constexpr auto s_tuple = asio::as_tuple(asio::use_awaitable);
-/// Calls to the store and its answers are a few hundred bytes; larger ones pass in several pieces.
+/// Buffer size per direction. Calls to the store and their answers are a few hundred bytes; larger ones are forwarded in several parts.
 constexpr std::size_t s_chunkBytes = 8192;
-/// After a failed accept, most likely for want of descriptors, some connections get time to end.
+/// Pause after a failed accept. The most likely cause is a lack of file descriptors, and the pause gives open connections time to end.
 constexpr Duration s_acceptPause = std::chrono::milliseconds(100);
 
 }
@@ -49,7 +49,7 @@
     tcp::socket caller;
     tcp::socket upstream;
     asio::steady_timer timer;
-    /// When the session ends unless something passes before.
+    /// The time at which the session is closed unless data is forwarded before.
     Instant deadline{};
 };
 
@@ -98,7 +98,7 @@
             co_await pause(s_acceptPause);
         }
         if (error || m_openSessions >= m_options.maxConnections) {
-            // A closed connection sends the caller to another relay at once.
+            // The caller sees its connection closed and can try another relay at once.
             continue;
         }
         auto session = std::make_shared<Session>(std::move(socket));
@@ -147,7 +147,8 @@
         auto [writeError, written] = co_await asio::async_write(to, asio::buffer(chunk.data(), size), s_tuple);
         open = !writeError;
     }
-    // One end closed: neither can make use of the other, and a call without its answer must not look open.
+    // When one end has closed, the connection to the other end is of no use, and a call that can no longer be answered must not appear to
+    // be pending.
     session->closeBoth();
 }
 
--- a/src/net/tcprelay.h
+++ b/src/net/tcprelay.h
@@ -13,35 +13,35 @@
 
 namespace bamboohold {
 
-/// Passes bytes between whoever connects and one fixed endpoint, and knows nothing of what they mean.
+/// Forwards TCP connections to one fixed endpoint without interpreting the data.
 ///
-/// A router that is cut off from the store still reaches hosts that are not. A relay there gives it a second way to the store, so that a
-/// cut of a router's own path stops neither its budgets nor its configurations. The relay keeps no state: what it may do to a call is what
-/// a bad connection may do, and the store's conditional writes stand that.
+/// A router that cannot reach the store may still reach hosts that can. A relay on such a host gives it a second path to the store, so that
+/// losing its own path affects neither its budgets nor its configuration. The relay keeps no state. It can affect a call only in ways in
+/// which an unreliable connection can, and the store's conditional writes are safe against those.
 class TcpRelay
 {
 public:
     struct Options {
         boost::asio::ip::tcp::endpoint listen;
         boost::asio::ip::tcp::endpoint upstream;
-        /// Opening a connection to the store takes a few milliseconds; callers wait no longer than this for it.
+        /// Connecting to the store normally takes a few milliseconds. Callers wait at most this long for it.
         Duration connectTimeout = std::chrono::milliseconds(600);
-        /// A connection that passed nothing for this long is given up: a caller without power never closes its end. Callers keep idle
-        /// connections for some seconds, and the store holds a call back for 1.5 s at most.
+        /// A connection without traffic for this long is closed, because a caller that lost power never closes its end. Callers keep idle
+        /// connections for some seconds, and the store delays an answer by at most 1.5 s.
         Duration idleTimeout = std::chrono::seconds(20);
-        /// Connections at one time; each takes two descriptors of the 3,900 that a small process has, and 16 KiB.
+        /// Maximum number of concurrent connections. Each uses 16 KiB and two of the 3,900 file descriptors that a small process has.
         std::size_t maxConnections = 512;
     };
 
     TcpRelay(boost::asio::any_io_executor executor, Options options);
 
-    /// Listens; a taken address is an InvalidSetting.
+    /// Starts listening. Fails with InvalidSetting when the address is in use.
     absl::Status open();
 
-    /// Takes no further connection. Those that are open go on until their ends close.
+    /// Stops accepting connections. Open connections continue until one of their ends closes.
     void close();
 
-    /// The port it listens on.
+    /// Returns the port that the relay listens on.
     std::uint16_t port() const;
 
 private:
--- a/src/net/workerpool.cpp
+++ b/src/net/workerpool.cpp
@@ -28,7 +28,7 @@
 
 void WorkerPool::run()
 {
-    // One more thread than loops is allowed to exist, since the caller counts as one; the arena bounds how many run loops.
+    // The limit is one more than the number of loops, since the calling thread counts as well. The arena limits how many threads run loops.
     const oneapi::tbb::global_control control(oneapi::tbb::global_control::max_allowed_parallelism, m_loops.size() + 1);
     oneapi::tbb::task_group group;
     m_arena.execute([this, &group] {
--- a/src/net/workerpool.h
+++ b/src/net/workerpool.h
@@ -11,8 +11,8 @@
 
 namespace bamboohold {
 
-/// The process's workers: a oneTBB arena in which each worker runs one event loop. A connection stays on the loop it was opened on, so its
-/// state needs no lock; what loops share is in tables with a lock each.
+/// The worker threads of the process: a oneTBB arena in which each worker runs one event loop. A connection stays on the loop on which it
+/// was opened, so its state needs no lock. State that is shared between loops is kept in tables that have a lock each.
 class WorkerPool
 {
 public:
@@ -22,31 +22,31 @@
     WorkerPool(const WorkerPool &) = delete;
     WorkerPool &operator=(const WorkerPool &) = delete;
 
-    /// The next event loop in turn.
+    /// Returns the event loops in turn (round robin).
     boost::asio::io_context &nextLoop();
 
-    /// The first event loop: timers and housekeeping.
+    /// Returns the first event loop, which also runs timers and housekeeping.
     boost::asio::io_context &mainLoop()
     {
         return *m_loops.front();
     }
 
-    /// Number of event loops.
+    /// Returns the number of event loops.
     std::size_t size() const
     {
         return m_loops.size();
     }
 
-    /// The loop of that index.
+    /// Returns the event loop with this index.
     boost::asio::io_context &loop(std::size_t index)
     {
         return *m_loops.at(index);
     }
 
-    /// Runs the loops until stop(); the calling thread becomes one of the workers.
+    /// Runs the event loops until stop(). The calling thread becomes one of the workers.
     void run();
 
-    /// Ends run(). Callable from any thread.
+    /// Makes run() return. Can be called from any thread.
     void stop();
 
 private:
