--- a/src/tests/httpclienttest.cpp
+++ b/src/tests/httpclienttest.cpp
@@ -9,7 +9,7 @@
 
 BOOST_AUTO_TEST_SUITE(HttpClientTest)
 
-// Guards against a request being sent although its caller closed the connection while the call was still to be made.
+// Guards against sending a request whose caller disconnected before the call was made.
 BOOST_AUTO_TEST_CASE(unwantedRequestIsNotSent)
 {
     WorkerPool pool(1);
--- a/src/tests/httpservertest.cpp
+++ b/src/tests/httpservertest.cpp
@@ -12,13 +12,14 @@
 
 BOOST_AUTO_TEST_SUITE(HttpServerTest)
 
-// A caller opens many connections at once to a host with little processor time. Each turn of the loop, tens of milliseconds long there,
-// took one of them; the others waited in the kernel for seconds, and their callers left before a byte of theirs was read.
+// Guards against accepting one connection per turn of the loop. On a host with little processor time a turn takes tens of milliseconds, so
+// connections that were opened together waited in the kernel's backlog for seconds and their callers disconnected before a request was
+// read.
 BOOST_AUTO_TEST_CASE(pendingConnectionsAreAcceptedInBatches)
 {
     constexpr std::uint16_t s_port = 18447;
     constexpr std::size_t s_callers = 50;
-    // Turns of the loop: far fewer than connections.
+    // Far fewer turns of the loop than connections.
     constexpr std::size_t s_turns = 10;
     WorkerPool pool(1);
     HttpServer server(
--- a/src/tests/ownaddress.h
+++ b/src/tests/ownaddress.h
@@ -8,7 +8,8 @@
 
 namespace bamboohold {
 
-/// A loopback address for each process: tests that run at the same time, from one checkout or several, listen on the same ports.
+/// Returns a loopback address that depends on the process ID, so that test processes that run at the same time, from one checkout or
+/// several, can listen on the same ports.
 inline std::string ownAddress()
 {
     constexpr unsigned byte = 256;
--- a/src/tests/tcprelaytest.cpp
+++ b/src/tests/tcprelaytest.cpp
@@ -25,7 +25,7 @@
     return {asio::ip::address_v4::loopback(), port};
 }
 
-/// Answers each connection's first four bytes with four others, and closes it.
+/// Accepts one connection, reads four bytes, replies with four others and closes it.
 asio::awaitable<void> replyOnce(tcp::acceptor &acceptor, std::string &received)
 {
     auto [error, socket] = co_await acceptor.async_accept(s_tuple);
@@ -37,7 +37,7 @@
     co_await asio::async_write(socket, asio::buffer(answer), s_tuple);
 }
 
-/// Sends four bytes through the relay and takes all that comes back until the end.
+/// Sends four bytes through the relay and reads everything that comes back until the connection ends.
 asio::awaitable<void> sendPing(std::uint16_t port, std::string &answer, bool &closed)
 {
     tcp::socket socket(co_await asio::this_coro::executor);
@@ -71,8 +71,8 @@
     BOOST_TEST(answer == "pong");
 }
 
-// The relay's host cannot reach the store either. The router's connection closes at once, so that it tries another relay instead of waiting
-// for its own timeout.
+// The relay's host cannot reach the store either. The relay closes the router's connection at once, so that the router tries another relay
+// instead of waiting for its own timeout.
 BOOST_AUTO_TEST_CASE(callerIsDisconnectedWhenStoreIsUnreachable)
 {
     asio::io_context loop;
