--- a/src/operations/bucketcounts.h
+++ b/src/operations/bucketcounts.h
@@ -11,13 +11,13 @@
 
 namespace bamboohold {
 
-/// Upper bounds of the latency buckets, in seconds; the users' targets (61 ms, 0.64 s) are bounds themselves, so that "95 in 100 within"
-/// reads off.
+/// Upper bounds of the latency buckets, in seconds. The users' latency targets (61 ms and 0.64 s) are bounds themselves, so that the share
+/// of requests within a target can be read directly.
 inline constexpr std::array s_bucketBounds{
     0.001, 0.002, 0.005, 0.01, 0.02, 0.04, 0.061, 0.1, 0.2, 0.4, 0.64, 1.0, 2.0, 5.0, 10.0, 30.0, 120.0};
 
-/// Counts samples in fixed buckets. Boost's own density chooses its bounds from the first samples, so two processes' histograms could not
-/// be added.
+/// Counts samples in cumulative buckets with fixed bounds. Boost's own density accumulator derives its bounds from the first samples, so
+/// the histograms of two processes could not be added.
 class BucketCountsImpl : public boost::accumulators::accumulator_base
 {
 public:
@@ -55,7 +55,7 @@
 
 }
 
-/// Takes the bucket counts out of an accumulator set.
+/// Extracts the bucket counts from an accumulator set.
 inline const boost::accumulators::extractor<tag::BucketCounts> s_bucketCounts{};
 
 }
--- a/src/operations/explanation.cpp
+++ b/src/operations/explanation.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// What happened to the team or the target up to this long before the request ended can have to do with it: longer than any cut that a
-/// holding is meant to cover.
+/// Events of the team, target or host up to this long before the end of a request are considered related to it. This is longer than any
+/// store outage that a holding is meant to bridge.
 constexpr std::int64_t s_contextWindowMs = 12'000;
 
 constexpr std::string_view s_requestEnded = "request.ended";
@@ -42,7 +42,8 @@
     return std::ranges::find(events, entry.event) != events.end();
 }
 
-/// True when the entry is about the request itself, or about its team, target or host shortly before it ended.
+/// Returns true when the entry belongs to the request itself, or to its team, target or host within the context window before the request
+/// ended.
 bool isRelevantTo(const LogEntry &entry, const LogEntry &end, std::string_view requestId)
 {
     if (entry.text("request") == requestId) {
@@ -58,14 +59,15 @@
     return aboutTeam || aboutTarget || (sameHost && isOneOf(s_hostEvents, entry));
 }
 
-/// The last entry of some events in the explanation; null when there is none.
+/// Returns the last entry with this event, or null when there is none.
 const LogEntry *last(const Explanation &explanation, std::string_view event)
 {
     const auto found = std::ranges::find(explanation.entries.rbegin(), explanation.entries.rend(), event, &LogEntry::event);
     return found == explanation.entries.rend() ? nullptr : &*found;
 }
 
-/// How long after the last such loss the request ended, unless it was over by then.
+/// Returns the time in milliseconds from the last lostEvent to the end of the request. Empty when there was none or when a regainedEvent
+/// followed it.
 std::optional<std::int64_t>
 outageDurationMs(const Explanation &explanation, const LogEntry &end, std::string_view lostEvent, std::string_view regainedEvent)
 {
@@ -77,7 +79,8 @@
     return end.timeMs - lost->timeMs;
 }
 
-/// How long the router had been without the store: for the team's rows, or, where it keeps none of them, for its checkpoints.
+/// Returns how long the router had been without the store, in milliseconds: according to the rows of the team or, on a router that keeps
+/// none of them, according to its checkpoints.
 std::optional<std::int64_t> storeOutageMs(const Explanation &explanation, const LogEntry &end)
 {
     const auto rows = outageDurationMs(explanation, end, "budget.store_lost", "budget.store_regained");
--- a/src/operations/explanation.h
+++ b/src/operations/explanation.h
@@ -18,27 +18,28 @@
     std::string host;
     boost::json::object fields;
 
-    /// A text field, empty when absent.
+    /// Returns a text field, or an empty string when it is absent or not a string.
     std::string text(std::string_view name) const;
 
-    /// A number field, 0 when absent.
+    /// Returns an integer field, or 0 when it is absent or not an integer.
     std::int64_t number(std::string_view name) const;
 };
 
-/// Reads a line; none when it holds no entry. Whatever a collector put before the entry is skipped.
+/// Parses a log line. Text in front of the JSON object, as added by log collectors, is skipped. Returns an empty optional when the line
+/// contains no log entry.
 std::optional<LogEntry> readLogEntry(std::string_view line);
 
-/// What the logs of all processes say about one request.
+/// What the logs of all processes tell about one request.
 struct Explanation {
-    /// The lines about the request, and those about its team and target in the time before, in order.
+    /// The log entries of the request, and those of its team, target and host shortly before it ended, ordered by time.
     std::vector<LogEntry> entries;
-    /// How it ended; empty when no log has its end.
+    /// The outcome of the request. Empty when no log contains its end.
     std::string outcome;
-    /// One sentence for the engineer on call.
+    /// The cause of the outcome in one sentence, for the engineer on call.
     std::string cause;
 };
 
-/// Joins the lines about a request and names what made it end as it did.
+/// Collects the log entries related to a request and determines the cause of its outcome.
 Explanation explainRequest(std::span<const LogEntry> log, std::string_view requestId);
 
 }
--- a/src/operations/log.cpp
+++ b/src/operations/log.cpp
@@ -46,7 +46,7 @@
     return "error";
 }
 
-/// Hands formatted lines to an output that does not wait for its reader. The frontend's lock guards it.
+/// Passes formatted lines to a non-blocking output. Calls are serialized by the lock of the sink frontend.
 class LineBackend : public boost::log::sinks::basic_formatted_sink_backend<char>
 {
 public:
--- a/src/operations/log.h
+++ b/src/operations/log.h
@@ -8,7 +8,7 @@
 
 namespace bamboohold {
 
-/// How much a log line matters.
+/// Severity of a log line.
 enum class Severity {
     Debug,
     Info,
@@ -16,23 +16,23 @@
     Error,
 };
 
-/// One named value of a log line.
+/// A named value in a log line.
 struct LogField {
     std::string_view name;
     std::variant<std::string_view, std::int64_t> value;
 };
 
-/// Who writes: stands in every line of the process.
+/// Identifies the process in each of its log lines.
 struct LogIdentity {
     std::string role;
     std::string host;
     std::string failureDomain;
 };
 
-/// Directs the process's log to standard output as JSON lines, without ever waiting for its reader.
+/// Writes log lines of at least minSeverity to standard output as JSON lines. Never blocks on a slow reader.
 void initLog(const LogIdentity &identity, Severity minSeverity);
 
-/// Writes one line: time, severity, the event's stable name, identity and the fields given.
+/// Writes one line with the time, the severity, the stable name of the event, the identity of the process and the given fields.
 void logLine(Severity severity, std::string_view event, std::initializer_list<LogField> fields = {});
 
 }
--- a/src/operations/logoutput.cpp
+++ b/src/operations/logoutput.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A pipe that is ready takes this much without waiting (PIPE_BUF on Linux).
+/// A pipe that polls as writable accepts this many bytes without blocking (PIPE_BUF on Linux).
 constexpr std::size_t s_writeChunkBytes = 4096;
 
 }
--- a/src/operations/logoutput.h
+++ b/src/operations/logoutput.h
@@ -7,27 +7,27 @@
 
 namespace bamboohold {
 
-/// Writes lines to a descriptor and never waits for its reader. What the reader has not taken is kept up to a bound; beyond it whole lines
-/// are dropped and counted, and the count is written as a line of its own as soon as there is room again. A reader that stops reading must
-/// not stop the process that it watches.
+/// Writes lines to a file descriptor without ever blocking on its reader, so that a log reader that stalls cannot stall the process. Unread
+/// output is buffered up to a limit. Beyond it whole lines are dropped and counted, and the count is written as a line of its own once
+/// there is space again.
 class LogOutput
 {
 public:
     struct Options {
         int descriptor = 1;
-        /// About a thousand lines: some seconds of a busy router.
+        /// About a thousand lines, which is some seconds of output of a busy router.
         std::size_t maxPendingBytes = 256 * 1024;
     };
 
     explicit LogOutput(Options options);
 
-    /// Takes a line without its end.
+    /// Writes a line, given without its line terminator.
     void write(std::string_view line);
 
-    /// Hands over what the reader takes now.
+    /// Writes as much buffered output as the reader accepts without blocking.
     void flush();
 
-    /// Lines dropped so far.
+    /// Returns the number of lines dropped so far.
     std::uint64_t dropped() const
     {
         return m_dropped;
--- a/src/operations/metrics.cpp
+++ b/src/operations/metrics.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Combinations of labels that a counter is kept under.
+/// Maximum number of label combinations of a counter.
 constexpr std::size_t s_maxLabelCombinations = 1000;
 
 using Values = std::map<std::string, std::map<std::string, std::int64_t>, std::less<>>;
--- a/src/operations/metrics.h
+++ b/src/operations/metrics.h
@@ -16,22 +16,22 @@
 
 namespace bamboohold {
 
-/// The label that a series is kept under: a team or a request class.
+/// A label of a series, such as a team or a request class.
 struct MetricLabel {
     std::string_view name;
     std::string_view value;
 };
 
-/// Counters, gauges and histograms of the process, shown in Prometheus' text format. One lock, last in every lock order: nothing else is
-/// taken under it.
+/// Counters, gauges and histograms of the process, exported in the Prometheus text format. Thread-safe. The single lock comes last in every
+/// lock order: no other lock is taken while it is held.
 class Metrics
 {
 public:
     /// Adds to a counter.
     void count(std::string_view series, MetricLabel label, std::int64_t amount = 1);
 
-    /// Adds to a counter under several labels. Beyond a thousand combinations of a series, new ones are counted together under `other`: a
-    /// fleet of many thousand teams must not grow its metrics without bound.
+    /// Adds to a counter with several labels. When a series has a thousand label combinations, new ones are counted together under `other`,
+    /// so that metrics stay bounded in a fleet with many thousands of teams.
     void count(std::string_view series, std::span<const MetricLabel> labels, std::int64_t amount = 1);
 
     /// Sets a gauge.
@@ -40,7 +40,7 @@
     /// Adds a duration in seconds to a histogram.
     void observe(std::string_view series, MetricLabel label, double seconds);
 
-    /// All series in Prometheus' text format.
+    /// Returns all series in the Prometheus text format.
     std::string text() const;
 
 private:
