--- a/src/tests/explanationtest.cpp
+++ b/src/tests/explanationtest.cpp
@@ -51,7 +51,7 @@
     BOOST_TEST(contains(explainRequest(log, "r1").cause, "held too little"));
 }
 
-// A router that keeps no part of the budget asks the store for none of its rows, so that only its checkpoints show the cut.
+// A router that keeps no part of the budget does not access the team's rows in the store, so only its checkpoint events show the outage.
 BOOST_AUTO_TEST_CASE(budgetRefusalDuringStoreOutageAtBorrower)
 {
     const auto log = logOf({
--- a/src/tests/logoutputtest.cpp
+++ b/src/tests/logoutputtest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A pipe whose reader reads only when told.
+/// A pipe that is read only on request.
 struct Pipe {
     Pipe()
     {
@@ -56,8 +56,8 @@
     BOOST_TEST(pipe.read() == "one\ntwo\n");
 }
 
-// Whoever reads the log stops reading. The process goes on; when the reader is back it gets what was kept, whole lines in order, and is
-// told how many are missing.
+// Guards against a stalled log reader blocking the process. When the reader resumes, it receives the buffered lines complete and in order,
+// and a line with the number of dropped ones.
 BOOST_AUTO_TEST_CASE(stalledReaderDoesNotBlockWriter)
 {
     constexpr int s_lines = 20'000;
--- a/src/tests/metricstest.cpp
+++ b/src/tests/metricstest.cpp
@@ -21,7 +21,7 @@
     BOOST_TEST(text.find("requests_total{outcome=\"answered\"} 2") != std::string::npos);
 }
 
-// A caller invents teams, or a fleet has many thousands: the process's memory must not follow.
+// Memory must stay bounded when a caller makes up team names or a fleet has many thousands of teams.
 BOOST_AUTO_TEST_CASE(labelCombinationsAreBounded)
 {
     Metrics metrics;
