--- a/src/clock/instant.h
+++ b/src/clock/instant.h
@@ -5,10 +5,11 @@
 
 namespace bamboohold {
 
-/// Time as decision code sees it. Microseconds; the origin is whatever the caller chose, so a test starts at zero.
+/// Duration type of decision code, in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// Tag that keeps the fleet's instants apart from the clocks of std::chrono: decision code can take one but never read one.
+/// Clock tag that keeps the fleet's time points apart from those of the std::chrono clocks. It has no now(): decision code receives the
+/// time and cannot read it. The caller chooses the origin, so a test can start at zero.
 struct FleetClock {
     using duration = Duration;
     using rep = Duration::rep;
@@ -16,13 +17,13 @@
     using time_point = std::chrono::time_point<FleetClock, Duration>;
 };
 
-/// A point in time handed to decision code by whoever drives it.
+/// A point in time, passed to decision code by its caller.
 using Instant = FleetClock::time_point;
 
-/// Tokens, prompt and output together: the unit of budgets.
+/// Number of tokens, prompt and output together: the unit of budgets.
 using Tokens = std::int64_t;
 
-/// Seconds as a real number, for rates.
+/// Converts a duration to seconds as a floating-point number, for rates.
 inline double seconds(Duration duration)
 {
     return std::chrono::duration<double>(duration).count();
--- a/src/clock/steadytime.h
+++ b/src/clock/steadytime.h
@@ -4,14 +4,15 @@
 
 namespace bamboohold {
 
-/// The process's monotonic time for the runtime around decision code. A paused process sees it jump on waking.
+/// Returns the monotonic time of the process, for the runtime around decision code. After a suspended process resumes, the time has jumped
+/// ahead.
 inline Instant steadyNow()
 {
     const auto sinceBoot = std::chrono::steady_clock::now().time_since_epoch();
     return Instant(std::chrono::duration_cast<Duration>(sinceBoot));
 }
 
-/// Wall-clock milliseconds since 1970 for logs and ledger lines only; no decision depends on it.
+/// Returns the wall-clock time in milliseconds since 1970. For logs and ledger lines only; no decision depends on it.
 inline std::int64_t wallClockMs()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
