--- a/src/standin/enginemain.cpp
+++ b/src/standin/enginemain.cpp
@@ -37,7 +37,7 @@
                          .reportFactor = FLAGS_report_factor});
     FaultSwitch faults;
     HttpServer server(
-        pool, {.address = FLAGS_address, .port = static_cast<std::uint16_t>(FLAGS_port)}, faults.around([&engine](HttpExchange &exchange) {
+        pool, {.address = FLAGS_address, .port = static_cast<std::uint16_t>(FLAGS_port)}, faults.wrap([&engine](HttpExchange &exchange) {
             return engine.handle(exchange);
         }));
     if (const absl::Status status = server.open(); !status.ok()) {
--- a/src/standin/faultswitch.cpp
+++ b/src/standin/faultswitch.cpp
@@ -34,11 +34,11 @@
 std::string queryParameter(const HttpExchange &exchange, std::string_view name)
 {
     const std::string target(exchange.request().target());
-    const std::size_t mark = target.find('?');
-    if (mark == std::string::npos) {
+    const std::size_t queryStart = target.find('?');
+    if (queryStart == std::string::npos) {
         return {};
     }
-    for (const absl::string_view part : absl::StrSplit(target.substr(mark + 1), '&')) {
+    for (const absl::string_view part : absl::StrSplit(target.substr(queryStart + 1), '&')) {
         const std::pair<std::string, std::string> pair = absl::StrSplit(part, absl::MaxSplits('=', 1));
         if (pair.first == name) {
             return pair.second;
@@ -47,20 +47,20 @@
     return {};
 }
 
-HttpHandler FaultSwitch::around(HttpHandler handler)
+HttpHandler FaultSwitch::wrap(HttpHandler handler)
 {
     return [this, handler = std::move(handler)](HttpExchange &exchange) {
         return handle(handler, exchange);
     };
 }
 
-asio::awaitable<void> FaultSwitch::pause(HttpExchange &exchange, std::int64_t milliseconds)
+asio::awaitable<void> FaultSwitch::delay(HttpExchange &exchange, std::int64_t milliseconds)
 {
     asio::steady_timer timer(exchange.executor(), std::chrono::milliseconds(milliseconds));
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-asio::awaitable<void> FaultSwitch::answerSwitch(HttpExchange &exchange)
+asio::awaitable<void> FaultSwitch::handleFaultRequest(HttpExchange &exchange)
 {
     const std::string wanted = queryParameter(exchange, "mode");
     bool known = wanted.empty();
@@ -68,7 +68,7 @@
         if (entry.name == wanted) {
             std::int64_t milliseconds = 0;
             (void)absl::SimpleAtoi(queryParameter(exchange, "ms"), &milliseconds);
-            m_milliseconds = milliseconds;
+            m_delayMs = milliseconds;
             m_mode = entry.mode;
             known = true;
         }
@@ -79,24 +79,24 @@
         co_return;
     }
     const std::string name(s_modes.at(static_cast<std::size_t>(m_mode.load())).name);
-    co_await exchange.respond(200, "application/json", absl::StrCat("{\"mode\":\"", name, "\",\"ms\":", m_milliseconds.load(), "}"));
+    co_await exchange.respond(200, "application/json", absl::StrCat("{\"mode\":\"", name, "\",\"ms\":", m_delayMs.load(), "}"));
 }
 
 asio::awaitable<void> FaultSwitch::handle(const HttpHandler &handler, HttpExchange &exchange)
 {
     if (exchange.path() == "/fault") {
-        co_await answerSwitch(exchange);
+        co_await handleFaultRequest(exchange);
         co_return;
     }
     while (m_mode == Mode::Freeze) {
-        co_await pause(exchange, s_freezePollMs);
+        co_await delay(exchange, s_freezePollMs);
     }
     if (m_mode == Mode::Down) {
         exchange.cut();
         co_return;
     }
     if (m_mode == Mode::Slow) {
-        co_await pause(exchange, m_milliseconds);
+        co_await delay(exchange, m_delayMs);
     }
     // The handler answers into a connection that is cut first, so the caller cannot know that the request took effect.
     if (m_mode == Mode::AnswerLost) {
--- a/src/standin/faultswitch.h
+++ b/src/standin/faultswitch.h
@@ -27,7 +27,7 @@
     };
 
     /// Wraps a handler in the fault and in the switch's own path.
-    HttpHandler around(HttpHandler handler);
+    HttpHandler wrap(HttpHandler handler);
 
     /// The mode in force.
     Mode mode() const
@@ -37,11 +37,11 @@
 
 private:
     asio::awaitable<void> handle(const HttpHandler &handler, HttpExchange &exchange);
-    asio::awaitable<void> answerSwitch(HttpExchange &exchange);
-    asio::awaitable<void> pause(HttpExchange &exchange, std::int64_t milliseconds);
+    asio::awaitable<void> handleFaultRequest(HttpExchange &exchange);
+    asio::awaitable<void> delay(HttpExchange &exchange, std::int64_t milliseconds);
 
     std::atomic<Mode> m_mode = Mode::None;
-    std::atomic<std::int64_t> m_milliseconds = 0;
+    std::atomic<std::int64_t> m_delayMs = 0;
 };
 
 /// A parameter of a request's query, empty when absent.
--- a/src/standin/platformmain.cpp
+++ b/src/standin/platformmain.cpp
@@ -21,11 +21,10 @@
     WorkerPool pool(1);
     PlatformServer platform({.listLag = std::chrono::milliseconds(FLAGS_list_lag_ms)});
     FaultSwitch faults;
-    HttpServer server(pool,
-                      {.address = FLAGS_address, .port = static_cast<std::uint16_t>(FLAGS_port)},
-                      faults.around([&platform](HttpExchange &exchange) {
-                          return platform.handle(exchange);
-                      }));
+    HttpServer server(
+        pool, {.address = FLAGS_address, .port = static_cast<std::uint16_t>(FLAGS_port)}, faults.wrap([&platform](HttpExchange &exchange) {
+            return platform.handle(exchange);
+        }));
     if (const absl::Status status = server.open(); !status.ok()) {
         std::cerr << status.message() << "\n";
         return 2;
