--- a/src/standin/engineserver.cpp
+++ b/src/standin/engineserver.cpp
@@ -67,7 +67,7 @@
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-std::size_t EngineServer::openJournal(const HttpExchange &exchange)
+std::size_t EngineServer::addJournalEntry(const HttpExchange &exchange)
 {
     const std::lock_guard lock(m_mutex);
     m_journal.push_back({.requestId = std::string(exchange.header("X-Request-Id")),
@@ -77,7 +77,7 @@
     return m_journal.size() - 1;
 }
 
-void EngineServer::closeJournal(std::size_t index, Tokens output, std::string_view state)
+void EngineServer::updateJournalEntry(std::size_t index, Tokens output, std::string_view state)
 {
     const std::lock_guard lock(m_mutex);
     m_journal[index].outputTokens = output;
@@ -188,14 +188,14 @@
             absl::StrAppend(&events, "}\n\n");
         }
         // In the journal before the caller can have it: whatever reached a caller counts as run.
-        closeJournal(job.journalIndex, given, "running");
+        updateJournalEntry(job.journalIndex, given, "running");
         open = co_await exchange.writeChunk(events);
     }
     if (!open || job.hungUp) {
-        closeJournal(job.journalIndex, given, "cut");
+        updateJournalEntry(job.journalIndex, given, "cut");
         co_return;
     }
-    closeJournal(job.journalIndex, given, "finished");
+    updateJournalEntry(job.journalIndex, given, "finished");
     std::string last =
         absl::StrCat("data: {\"id\":\"cmpl-", job.journalIndex, "\",\"object\":\"", object, "\",\"model\":\"", m_options.model);
     absl::StrAppend(&last, "\",\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"", job.finishReason, "\"}]");
@@ -219,9 +219,9 @@
         for (; given < due; ++given) {
             text += word(given);
         }
-        closeJournal(job.journalIndex, given, "running");
+        updateJournalEntry(job.journalIndex, given, "running");
     }
-    closeJournal(job.journalIndex, given, job.hungUp ? "cut" : "finished");
+    updateJournalEntry(job.journalIndex, given, job.hungUp ? "cut" : "finished");
     if (job.hungUp) {
         co_return;
     }
@@ -267,13 +267,13 @@
         object.contains("min_tokens") ? std::max(integerField(object, "min_tokens"), s_shortestAnswer) : naturalLength(job.prompt);
     job.outputTokens = std::min(natural, limit);
     job.finishReason = natural > limit ? "length" : "stop";
-    job.journalIndex = openJournal(exchange);
+    job.journalIndex = addJournalEntry(exchange);
     exchange.onHangUp([&job] {
         job.hungUp = true;
     });
     const bool admitted = co_await waitForSlot(exchange, job);
     if (!admitted) {
-        closeJournal(job.journalIndex, 0, "cut");
+        updateJournalEntry(job.journalIndex, 0, "cut");
         co_return;
     }
     {
@@ -309,9 +309,9 @@
 
 asio::awaitable<void> EngineServer::servePlain(HttpExchange &exchange)
 {
-    const std::size_t index = openJournal(exchange);
+    const std::size_t index = addJournalEntry(exchange);
     co_await sleep(exchange, m_options.perToken);
-    closeJournal(index, 0, "finished");
+    updateJournalEntry(index, 0, "finished");
     boost::json::object body{{"accepted", true}, {"call", static_cast<std::int64_t>(index)}, {"path", std::string(exchange.path())}};
     co_await exchange.respond(200, "application/json", boost::json::serialize(body));
 }
--- a/src/standin/engineserver.h
+++ b/src/standin/engineserver.h
@@ -99,8 +99,8 @@
     std::string journalJson();
     std::string loadJson();
     std::string cacheEventsJson(std::uint64_t after);
-    std::size_t openJournal(const HttpExchange &exchange);
-    void closeJournal(std::size_t index, Tokens output, std::string_view state);
+    std::size_t addJournalEntry(const HttpExchange &exchange);
+    void updateJournalEntry(std::size_t index, Tokens output, std::string_view state);
 
     Options m_options;
     std::mutex m_mutex;
