--- a/src/standin/engineserver.cpp
+++ b/src/standin/engineserver.cpp
@@ -49,7 +49,7 @@
     return s_shortestAnswer + static_cast<Tokens>(std::hash<std::string>{}(prompt) % s_answerSpread);
 }
 
-std::string word(Tokens index)
+std::string tokenText(Tokens index)
 {
     return absl::StrCat("w", index, " ");
 }
@@ -92,7 +92,7 @@
     }
 }
 
-void EngineServer::cacheEvent(std::string block, bool stored)
+void EngineServer::recordCacheEvent(std::string block, bool stored)
 {
     const std::uint64_t number = m_nextEvent++;
     if (number % s_eventGap == 0) {
@@ -120,9 +120,9 @@
         }
         m_cacheOrder.push_front(block);
         m_cache[block] = m_cacheOrder.begin();
-        cacheEvent(block, true);
+        recordCacheEvent(block, true);
         if (m_cache.size() > m_options.cacheBlocks) {
-            cacheEvent(m_cacheOrder.back(), false);
+            recordCacheEvent(m_cacheOrder.back(), false);
             m_cache.erase(m_cacheOrder.back());
             m_cacheOrder.pop_back();
         }
@@ -152,11 +152,11 @@
     while (true) {
         {
             const std::lock_guard lock(m_mutex);
-            if (m_running < m_options.slots || job.hungUp) {
+            if (m_running < m_options.slots || job.callerDisconnected) {
                 --m_waiting;
-                m_running += job.hungUp ? 0 : 1;
+                m_running += job.callerDisconnected ? 0 : 1;
                 sampleLoad();
-                co_return !job.hungUp;
+                co_return !job.callerDisconnected;
             }
         }
         co_await sleep(exchange, s_slotPoll);
@@ -167,62 +167,62 @@
 {
     co_await exchange.beginStream(200, "text/event-stream");
     const std::string object = job.chat ? "chat.completion.chunk" : "text_completion";
-    const Instant begin = steadyNow();
-    Tokens given = 0;
-    bool open = true;
-    while (given < job.outputTokens && open && !job.hungUp && !stopped(job)) {
+    const Instant startedAt = steadyNow();
+    Tokens generated = 0;
+    bool connected = true;
+    while (generated < job.outputTokens && connected && !job.callerDisconnected && !isCancelled(job)) {
         co_await sleep(exchange, m_options.perToken);
-        const auto due = std::min<Tokens>(job.outputTokens,
-                                          std::max<Tokens>(given + 1, (steadyNow() - begin) / std::max(m_options.perToken, Duration(1))));
+        const auto targetCount = std::min<Tokens>(
+            job.outputTokens, std::max<Tokens>(generated + 1, (steadyNow() - startedAt) / std::max(m_options.perToken, Duration(1))));
         std::string events;
-        for (; given < due; ++given) {
-            const std::string content =
-                job.chat ? absl::StrCat("\"delta\":{\"content\":\"", word(given), "\"}") : absl::StrCat("\"text\":\"", word(given), "\"");
+        for (; generated < targetCount; ++generated) {
+            const std::string content = job.chat ? absl::StrCat("\"delta\":{\"content\":\"", tokenText(generated), "\"}")
+                                                 : absl::StrCat("\"text\":\"", tokenText(generated), "\"");
             absl::StrAppend(
                 &events, "data: {\"id\":\"cmpl-", job.journalIndex, "\",\"object\":\"", object, "\",\"model\":\"", m_options.model);
             absl::StrAppend(&events, "\",\"system_fingerprint\":\"", job.fingerprint);
             absl::StrAppend(&events, "\",\"choices\":[{\"index\":0,", content, ",\"finish_reason\":null}]");
             if (m_options.reportFactor > 0) {
-                absl::StrAppend(&events, ",\"usage\":", usageJson(job, given + 1));
+                absl::StrAppend(&events, ",\"usage\":", usageJson(job, generated + 1));
             }
             absl::StrAppend(&events, "}\n\n");
         }
         // In the journal before the caller can have it: whatever reached a caller counts as run.
-        updateJournalEntry(job.journalIndex, given, "running");
-        open = co_await exchange.writeChunk(events);
+        updateJournalEntry(job.journalIndex, generated, "running");
+        connected = co_await exchange.writeChunk(events);
     }
-    if (!open || job.hungUp) {
-        updateJournalEntry(job.journalIndex, given, "cut");
+    if (!connected || job.callerDisconnected) {
+        updateJournalEntry(job.journalIndex, generated, "cut");
         co_return;
     }
-    updateJournalEntry(job.journalIndex, given, "finished");
+    updateJournalEntry(job.journalIndex, generated, "finished");
     std::string last =
         absl::StrCat("data: {\"id\":\"cmpl-", job.journalIndex, "\",\"object\":\"", object, "\",\"model\":\"", m_options.model);
     absl::StrAppend(&last, "\",\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"", job.finishReason, "\"}]");
     if (m_options.reportFactor > 0) {
-        absl::StrAppend(&last, ",\"usage\":", usageJson(job, given));
+        absl::StrAppend(&last, ",\"usage\":", usageJson(job, generated));
     }
     absl::StrAppend(&last, "}\n\ndata: [DONE]\n\n");
     co_await exchange.writeChunk(last);
     co_await exchange.endStream();
 }
 
-asio::awaitable<void> EngineServer::wholeAnswer(HttpExchange &exchange, Job &job)
+asio::awaitable<void> EngineServer::sendFullResponse(HttpExchange &exchange, Job &job)
 {
-    Tokens given = 0;
+    Tokens generated = 0;
     std::string text;
-    const Instant begin = steadyNow();
-    while (given < job.outputTokens && !job.hungUp && !stopped(job)) {
+    const Instant startedAt = steadyNow();
+    while (generated < job.outputTokens && !job.callerDisconnected && !isCancelled(job)) {
         co_await sleep(exchange, m_options.perToken);
-        const auto due = std::min<Tokens>(job.outputTokens,
-                                          std::max<Tokens>(given + 1, (steadyNow() - begin) / std::max(m_options.perToken, Duration(1))));
-        for (; given < due; ++given) {
-            text += word(given);
+        const auto targetCount = std::min<Tokens>(
+            job.outputTokens, std::max<Tokens>(generated + 1, (steadyNow() - startedAt) / std::max(m_options.perToken, Duration(1))));
+        for (; generated < targetCount; ++generated) {
+            text += tokenText(generated);
         }
-        updateJournalEntry(job.journalIndex, given, "running");
+        updateJournalEntry(job.journalIndex, generated, "running");
     }
-    updateJournalEntry(job.journalIndex, given, job.hungUp ? "cut" : "finished");
-    if (job.hungUp) {
+    updateJournalEntry(job.journalIndex, generated, job.callerDisconnected ? "cut" : "finished");
+    if (job.callerDisconnected) {
         co_return;
     }
     const std::string choice = job.chat ? absl::StrCat("\"message\":{\"role\":\"assistant\",\"content\":\"", text, "\"}")
@@ -240,13 +240,13 @@
                     job.finishReason,
                     "\"}]");
     if (m_options.reportFactor > 0) {
-        absl::StrAppend(&body, ",\"usage\":", usageJson(job, given));
+        absl::StrAppend(&body, ",\"usage\":", usageJson(job, generated));
     }
     absl::StrAppend(&body, "}");
     co_await exchange.respond(200, "application/json", std::move(body));
 }
 
-asio::awaitable<void> EngineServer::complete(HttpExchange &exchange)
+asio::awaitable<void> EngineServer::handleCompletion(HttpExchange &exchange)
 {
     boost::json::error_code error;
     const boost::json::value body = boost::json::parse(exchange.request().body(), error);
@@ -269,10 +269,10 @@
     job.finishReason = natural > limit ? "length" : "stop";
     job.journalIndex = addJournalEntry(exchange);
     exchange.onHangUp([&job] {
-        job.hungUp = true;
+        job.callerDisconnected = true;
     });
-    const bool admitted = co_await waitForSlot(exchange, job);
-    if (!admitted) {
+    const bool hasSlot = co_await waitForSlot(exchange, job);
+    if (!hasSlot) {
         updateJournalEntry(job.journalIndex, 0, "cut");
         co_return;
     }
@@ -285,14 +285,14 @@
     if (job.stream) {
         co_await streamTokens(exchange, job);
     } else {
-        co_await wholeAnswer(exchange, job);
+        co_await sendFullResponse(exchange, job);
     }
     const std::lock_guard lock(m_mutex);
     --m_running;
     sampleLoad();
 }
 
-asio::awaitable<void> EngineServer::cancel(HttpExchange &exchange)
+asio::awaitable<void> EngineServer::handleCancel(HttpExchange &exchange)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -301,7 +301,7 @@
     co_await exchange.respond(200, "application/json", "{\"cancelled\":true}");
 }
 
-bool EngineServer::stopped(const Job &job)
+bool EngineServer::isCancelled(const Job &job)
 {
     const std::lock_guard lock(m_mutex);
     return m_cancelled.contains(job.requestId);
@@ -316,20 +316,20 @@
     co_await exchange.respond(200, "application/json", boost::json::serialize(body));
 }
 
-asio::awaitable<void> EngineServer::order(HttpExchange &exchange)
+asio::awaitable<void> EngineServer::handleOrder(HttpExchange &exchange)
 {
-    std::int64_t fencing = 0;
-    (void)absl::SimpleAtoi(queryParameter(exchange, "fencing"), &fencing);
-    bool taken = true;
+    std::int64_t fencingNumber = 0;
+    (void)absl::SimpleAtoi(queryParameter(exchange, "fencing"), &fencingNumber);
+    bool accepted = true;
     {
         const std::lock_guard lock(m_mutex);
-        taken = !m_options.checksFencing || fencing >= m_fencing;
-        if (taken) {
-            m_fencing = std::max(m_fencing, fencing);
-            m_loaded = queryParameter(exchange, "load");
+        accepted = !m_options.checksFencing || fencingNumber >= m_highestFencingNumber;
+        if (accepted) {
+            m_highestFencingNumber = std::max(m_highestFencingNumber, fencingNumber);
+            m_loadedModel = queryParameter(exchange, "load");
         }
     }
-    if (!taken) {
+    if (!accepted) {
         co_await respondFailure(exchange, FailureKind::Fenced, "the order's fencing number is old");
         co_return;
     }
@@ -388,13 +388,13 @@
         (void)absl::SimpleAtoi(queryParameter(exchange, "after"), &after);
         co_await exchange.respond(200, "application/json", cacheEventsJson(after));
     } else if (path == "/v1/cancel") {
-        co_await cancel(exchange);
+        co_await handleCancel(exchange);
     } else if (path == "/orders") {
-        co_await order(exchange);
+        co_await handleOrder(exchange);
     } else if (m_options.plainService) {
         co_await servePlain(exchange);
     } else if (path == "/v1/chat/completions" || path == "/v1/completions") {
-        co_await complete(exchange);
+        co_await handleCompletion(exchange);
     } else if (path == "/v1/models") {
         co_await exchange.respond(200,
                                   "application/json",
--- a/src/standin/engineserver.h
+++ b/src/standin/engineserver.h
@@ -65,7 +65,7 @@
         Tokens outputTokens = 0;
         bool chat = true;
         bool stream = false;
-        bool hungUp = false;
+        bool callerDisconnected = false;
         std::string finishReason = "stop";
     };
 
@@ -82,18 +82,18 @@
         Instant visibleAt;
     };
 
-    asio::awaitable<void> complete(HttpExchange &exchange);
+    asio::awaitable<void> handleCompletion(HttpExchange &exchange);
     asio::awaitable<void> servePlain(HttpExchange &exchange);
     asio::awaitable<void> streamTokens(HttpExchange &exchange, Job &job);
-    asio::awaitable<void> wholeAnswer(HttpExchange &exchange, Job &job);
-    asio::awaitable<void> order(HttpExchange &exchange);
-    asio::awaitable<void> cancel(HttpExchange &exchange);
-    bool stopped(const Job &job);
+    asio::awaitable<void> sendFullResponse(HttpExchange &exchange, Job &job);
+    asio::awaitable<void> handleOrder(HttpExchange &exchange);
+    asio::awaitable<void> handleCancel(HttpExchange &exchange);
+    bool isCancelled(const Job &job);
     asio::awaitable<bool> waitForSlot(HttpExchange &exchange, Job &job);
     asio::awaitable<void> sleep(HttpExchange &exchange, Duration duration);
 
     Tokens uncachedTokens(const std::string &prompt, Tokens promptTokens);
-    void cacheEvent(std::string block, bool stored);
+    void recordCacheEvent(std::string block, bool stored);
     void sampleLoad();
     std::string usageJson(const Job &job, Tokens output) const;
     std::string journalJson();
@@ -113,8 +113,8 @@
     std::uint64_t m_nextEvent = 1;
     std::uint32_t m_running = 0;
     std::uint32_t m_waiting = 0;
-    std::int64_t m_fencing = 0;
-    std::string m_loaded;
+    std::int64_t m_highestFencingNumber = 0;
+    std::string m_loadedModel;
 };
 
 }
