--- a/src/standin/enginemain.cpp
+++ b/src/standin/enginemain.cpp
@@ -30,8 +30,8 @@
     EngineServer engine({.model = FLAGS_model,
                          .plainService = FLAGS_plain_service,
                          .slots = static_cast<std::uint32_t>(FLAGS_slots),
-                         .perToken = Duration(FLAGS_token_us),
-                         .perPromptToken = Duration(FLAGS_prompt_token_us),
+                         .timePerToken = Duration(FLAGS_token_us),
+                         .timePerPromptToken = Duration(FLAGS_prompt_token_us),
                          .reportLag = std::chrono::milliseconds(FLAGS_report_lag_ms),
                          .checksFencing = FLAGS_checks_fencing,
                          .reportFactor = FLAGS_report_factor});
--- a/src/standin/engineserver.cpp
+++ b/src/standin/engineserver.cpp
@@ -21,11 +21,11 @@
 
 constexpr std::size_t s_bytesPerToken = 4;
 constexpr std::size_t s_blockBytes = 256;
-constexpr std::uint64_t s_eventGap = 17;
+constexpr std::uint64_t s_lostEventInterval = 17;
 constexpr Tokens s_defaultMaxTokens = 256;
-constexpr Tokens s_shortestAnswer = 16;
-constexpr Tokens s_answerSpread = 64;
-constexpr Duration s_slotPoll = std::chrono::milliseconds(1);
+constexpr Tokens s_minNaturalTokens = 16;
+constexpr Tokens s_naturalTokensRange = 64;
+constexpr Duration s_slotPollInterval = std::chrono::milliseconds(1);
 
 std::string promptOf(const boost::json::object &body)
 {
@@ -44,9 +44,9 @@
 }
 
 /// How long the model "wants" to answer: fixed by the prompt, so that a run can be repeated.
-Tokens naturalLength(const std::string &prompt)
+Tokens naturalOutputTokens(const std::string &prompt)
 {
-    return s_shortestAnswer + static_cast<Tokens>(std::hash<std::string>{}(prompt) % s_answerSpread);
+    return s_minNaturalTokens + static_cast<Tokens>(std::hash<std::string>{}(prompt) % s_naturalTokensRange);
 }
 
 std::string tokenText(Tokens index)
@@ -95,7 +95,7 @@
 void EngineServer::recordCacheEvent(std::string block, bool stored)
 {
     const std::uint64_t number = m_nextEvent++;
-    if (number % s_eventGap == 0) {
+    if (number % s_lostEventInterval == 0) {
         return;
     }
     m_cacheEvents.push_back({.number = number, .block = std::move(block), .stored = stored, .visibleAt = steadyNow() + m_options.eventLag});
@@ -159,7 +159,7 @@
                 co_return !job.callerDisconnected;
             }
         }
-        co_await sleep(exchange, s_slotPoll);
+        co_await sleep(exchange, s_slotPollInterval);
     }
 }
 
@@ -171,9 +171,9 @@
     Tokens generated = 0;
     bool connected = true;
     while (generated < job.outputTokens && connected && !job.callerDisconnected && !isCancelled(job)) {
-        co_await sleep(exchange, m_options.perToken);
+        co_await sleep(exchange, m_options.timePerToken);
         const auto targetCount = std::min<Tokens>(
-            job.outputTokens, std::max<Tokens>(generated + 1, (steadyNow() - startedAt) / std::max(m_options.perToken, Duration(1))));
+            job.outputTokens, std::max<Tokens>(generated + 1, (steadyNow() - startedAt) / std::max(m_options.timePerToken, Duration(1))));
         std::string events;
         for (; generated < targetCount; ++generated) {
             const std::string content = job.chat ? absl::StrCat("\"delta\":{\"content\":\"", tokenText(generated), "\"}")
@@ -213,9 +213,9 @@
     std::string text;
     const Instant startedAt = steadyNow();
     while (generated < job.outputTokens && !job.callerDisconnected && !isCancelled(job)) {
-        co_await sleep(exchange, m_options.perToken);
+        co_await sleep(exchange, m_options.timePerToken);
         const auto targetCount = std::min<Tokens>(
-            job.outputTokens, std::max<Tokens>(generated + 1, (steadyNow() - startedAt) / std::max(m_options.perToken, Duration(1))));
+            job.outputTokens, std::max<Tokens>(generated + 1, (steadyNow() - startedAt) / std::max(m_options.timePerToken, Duration(1))));
         for (; generated < targetCount; ++generated) {
             text += tokenText(generated);
         }
@@ -263,10 +263,10 @@
     job.fingerprint = fingerprintOf(job.prompt);
     job.stream = stream != nullptr && stream->is_bool() && stream->get_bool();
     job.promptTokens = static_cast<Tokens>((job.prompt.size() + s_bytesPerToken - 1) / s_bytesPerToken);
-    const Tokens natural =
-        object.contains("min_tokens") ? std::max(integerField(object, "min_tokens"), s_shortestAnswer) : naturalLength(job.prompt);
-    job.outputTokens = std::min(natural, limit);
-    job.finishReason = natural > limit ? "length" : "stop";
+    const Tokens naturalTokens =
+        object.contains("min_tokens") ? std::max(integerField(object, "min_tokens"), s_minNaturalTokens) : naturalOutputTokens(job.prompt);
+    job.outputTokens = std::min(naturalTokens, limit);
+    job.finishReason = naturalTokens > limit ? "length" : "stop";
     job.journalIndex = addJournalEntry(exchange);
     exchange.onHangUp([&job] {
         job.callerDisconnected = true;
@@ -281,7 +281,7 @@
         m_journal[job.journalIndex].promptTokens = job.promptTokens;
     }
     const Tokens uncached = uncachedTokens(job.prompt, job.promptTokens);
-    co_await sleep(exchange, m_options.perPromptToken * uncached);
+    co_await sleep(exchange, m_options.timePerPromptToken * uncached);
     if (job.stream) {
         co_await streamTokens(exchange, job);
     } else {
@@ -310,7 +310,7 @@
 asio::awaitable<void> EngineServer::servePlain(HttpExchange &exchange)
 {
     const std::size_t index = addJournalEntry(exchange);
-    co_await sleep(exchange, m_options.perToken);
+    co_await sleep(exchange, m_options.timePerToken);
     updateJournalEntry(index, 0, "finished");
     boost::json::object body{{"accepted", true}, {"call", static_cast<std::int64_t>(index)}, {"path", std::string(exchange.path())}};
     co_await exchange.respond(200, "application/json", boost::json::serialize(body));
--- a/src/standin/engineserver.h
+++ b/src/standin/engineserver.h
@@ -26,8 +26,8 @@
         /// True for a plain service, which answers any path and must not be called twice for one submission.
         bool plainService = false;
         std::uint32_t slots = 32;
-        Duration perToken = std::chrono::milliseconds(5);
-        Duration perPromptToken = std::chrono::microseconds(20);
+        Duration timePerToken = std::chrono::milliseconds(5);
+        Duration timePerPromptToken = std::chrono::microseconds(20);
         /// Prefix blocks kept in the cache.
         std::size_t cacheBlocks = 4096;
         /// How old a load report is.
