--- a/src/standin/platformserver.cpp
+++ b/src/standin/platformserver.cpp
@@ -45,7 +45,7 @@
 {
 }
 
-PlatformServer::Answer PlatformServer::transact(const HttpExchange &exchange)
+PlatformServer::Response PlatformServer::transact(const HttpExchange &exchange)
 {
     const auto transaction = transactionFromJson(parsedBody(exchange));
     if (!transaction.ok()) {
@@ -54,7 +54,7 @@
     return {.body = boost::json::serialize(toJson(*m_table.transact(*transaction)))};
 }
 
-PlatformServer::Answer PlatformServer::readRows(const HttpExchange &exchange)
+PlatformServer::Response PlatformServer::readRows(const HttpExchange &exchange)
 {
     const boost::json::value body = parsedBody(exchange);
     const auto *keys = body.is_object() ? body.get_object().if_contains("keys") : nullptr;
@@ -69,13 +69,13 @@
     return {.body = rowsBody(rows)};
 }
 
-PlatformServer::Answer PlatformServer::scanRows(const HttpExchange &exchange)
+PlatformServer::Response PlatformServer::scanRows(const HttpExchange &exchange)
 {
     ++m_reads;
     return {.body = rowsBody(*m_table.scan(queryParameter(exchange, "prefix")))};
 }
 
-PlatformServer::Answer PlatformServer::object(const HttpExchange &exchange)
+PlatformServer::Response PlatformServer::handleObject(const HttpExchange &exchange)
 {
     const std::string_view key = exchange.path().substr(s_objectsPath.size());
     if (exchange.request().method() == http::verb::put) {
@@ -89,7 +89,7 @@
     return {.body = *content, .contentType = "application/octet-stream"};
 }
 
-PlatformServer::Answer PlatformServer::hosts(const HttpExchange &exchange)
+PlatformServer::Response PlatformServer::handleHosts(const HttpExchange &exchange)
 {
     const Instant now = steadyNow();
     if (exchange.request().method() == http::verb::post) {
@@ -113,25 +113,25 @@
     return {.body = boost::json::serialize(boost::json::object{{"hosts", std::move(list)}})};
 }
 
-PlatformServer::Answer PlatformServer::counters()
+PlatformServer::Response PlatformServer::handleCounters()
 {
     const boost::json::object body{{"writes", static_cast<std::int64_t>(m_table.writes())}, {"reads", static_cast<std::int64_t>(m_reads)}};
     return {.body = boost::json::serialize(body)};
 }
 
-asio::awaitable<void> PlatformServer::weights(HttpExchange &exchange)
+asio::awaitable<void> PlatformServer::handleWeights(HttpExchange &exchange)
 {
     std::int64_t bytes = 0;
     (void)absl::SimpleAtoi(queryParameter(exchange, "bytes"), &bytes);
-    Duration wait{};
+    Duration delay{};
     {
         const std::lock_guard lock(m_mutex);
         const Instant now = steadyNow();
         const auto transfer = Duration(bytes * 1'000'000 / m_options.weightBytesPerSecond);
         m_weightsFreeAt = std::max(now, m_weightsFreeAt) + transfer;
-        wait = m_weightsFreeAt - now;
+        delay = m_weightsFreeAt - now;
     }
-    asio::steady_timer timer(exchange.executor(), wait);
+    asio::steady_timer timer(exchange.executor(), delay);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     co_await exchange.respond(200, "application/json", "{}");
 }
@@ -140,29 +140,29 @@
 {
     const std::string_view path = exchange.path();
     if (path == "/v1/weights") {
-        co_await weights(exchange);
+        co_await handleWeights(exchange);
         co_return;
     }
-    Answer answer{.status = 404, .body = errorBody({.kind = FailureKind::NotFound, .detail = std::string(path)}, "")};
+    Response response{.status = 404, .body = errorBody({.kind = FailureKind::NotFound, .detail = std::string(path)}, "")};
     {
         const std::lock_guard lock(m_mutex);
         if (path == "/v1/table/transact") {
-            answer = transact(exchange);
+            response = transact(exchange);
         } else if (path == "/v1/table/read") {
-            answer = readRows(exchange);
+            response = readRows(exchange);
         } else if (path == "/v1/table/scan") {
-            answer = scanRows(exchange);
+            response = scanRows(exchange);
         } else if (path.starts_with(s_objectsPath)) {
-            answer = object(exchange);
+            response = handleObject(exchange);
         } else if (path == "/v1/hosts") {
-            answer = hosts(exchange);
+            response = handleHosts(exchange);
         } else if (path == "/healthz") {
-            answer = {.body = "{}"};
+            response = {.body = "{}"};
         } else if (path == "/counters") {
-            answer = counters();
+            response = handleCounters();
         }
     }
-    co_await exchange.respond(answer.status, answer.contentType, std::move(answer.body));
+    co_await exchange.respond(response.status, response.contentType, std::move(response.body));
 }
 
 }
--- a/src/standin/platformserver.h
+++ b/src/standin/platformserver.h
@@ -34,19 +34,19 @@
         Instant visibleAt;
     };
 
-    struct Answer {
+    struct Response {
         unsigned status = 200;
         std::string body;
         std::string contentType = "application/json";
     };
 
-    Answer transact(const HttpExchange &exchange);
-    Answer readRows(const HttpExchange &exchange);
-    Answer scanRows(const HttpExchange &exchange);
-    Answer object(const HttpExchange &exchange);
-    Answer hosts(const HttpExchange &exchange);
-    Answer counters();
-    asio::awaitable<void> weights(HttpExchange &exchange);
+    Response transact(const HttpExchange &exchange);
+    Response readRows(const HttpExchange &exchange);
+    Response scanRows(const HttpExchange &exchange);
+    Response handleObject(const HttpExchange &exchange);
+    Response handleHosts(const HttpExchange &exchange);
+    Response handleCounters();
+    asio::awaitable<void> handleWeights(HttpExchange &exchange);
 
     Options m_options;
     std::mutex m_mutex;
