--- a/src/standin/enginemain.cpp
+++ b/src/standin/enginemain.cpp
@@ -10,17 +10,17 @@
 
 DEFINE_string(address, "127.0.0.1", "IP address to listen on");
 DEFINE_int32(port, 9000, "port to listen on");
-DEFINE_string(model, "", "model served; empty for a plain service");
-DEFINE_bool(plain_service, false, "be a plain service instead of a model engine");
-DEFINE_int32(slots, 32, "requests at a time");
-DEFINE_int64(token_us, 5000, "time per token, in microseconds");
+DEFINE_string(model, "", "name of the served model; empty for a plain service");
+DEFINE_bool(plain_service, false, "run as a plain service instead of a model engine");
+DEFINE_int32(slots, 32, "maximum number of concurrent requests");
+DEFINE_int64(token_us, 5000, "time per output token, in microseconds");
 DEFINE_int64(prompt_token_us, 20, "time per uncached prompt token, in microseconds");
 DEFINE_int64(report_lag_ms, 500, "age of load reports, in milliseconds");
-DEFINE_bool(checks_fencing, true, "refuse orders with an old fencing number");
-DEFINE_double(report_factor, 1, "tokens reported for each one given; 0 reports none");
-DEFINE_int32(workers, 1, "event loops");
+DEFINE_bool(checks_fencing, true, "reject orders with an outdated fencing number");
+DEFINE_double(report_factor, 1, "tokens reported per generated token; 0 disables the report");
+DEFINE_int32(workers, 1, "number of event loops");
 
-/// The engine stand-in as a process of its own.
+/// Runs the engine stand-in as a separate process.
 int main(int argc, char **argv)
 {
     using namespace bamboohold;
--- a/src/standin/engineserver.cpp
+++ b/src/standin/engineserver.cpp
@@ -35,7 +35,7 @@
     return textField(body, "prompt");
 }
 
-/// Tells a caller whose prompt an answer belongs to: every piece of an answer carries it.
+/// Returns an identifier of the prompt, which each part of the response contains so that callers can check whose response it is.
 std::string fingerprintOf(const std::string &prompt)
 {
     boost::crc_32_type crc;
@@ -43,7 +43,7 @@
     return absl::StrCat("fp-", crc.checksum());
 }
 
-/// How long the model "wants" to answer: fixed by the prompt, so that a run can be repeated.
+/// Returns the length of the response if no limit applies. It depends only on the prompt, so that runs are reproducible.
 Tokens naturalOutputTokens(const std::string &prompt)
 {
     return s_minNaturalTokens + static_cast<Tokens>(std::hash<std::string>{}(prompt) % s_naturalTokensRange);
@@ -187,7 +187,7 @@
             }
             absl::StrAppend(&events, "}\n\n");
         }
-        // In the journal before the caller can have it: whatever reached a caller counts as run.
+        // Update the journal before the caller can receive the tokens, since any token that reached a caller counts as generated.
         updateJournalEntry(job.journalIndex, generated, "running");
         connected = co_await exchange.writeChunk(events);
     }
--- a/src/standin/engineserver.h
+++ b/src/standin/engineserver.h
@@ -15,34 +15,36 @@
 
 namespace bamboohold {
 
-/// The stand-in for a model engine or a plain service. A model engine speaks the OpenAI interface, runs a limited number of requests at a
-/// time, spends time on prompt tokens that its prefix cache lacks and then gives tokens at a steady pace. Every run is in its journal: the
-/// ground truth that the fleet's ledger is compared with.
+/// Stand-in for a model engine or a plain service.
+///
+/// A model engine implements the OpenAI API, runs a limited number of requests concurrently, spends time on the prompt tokens that are not
+/// in its prefix cache and then generates tokens at a constant rate. Its journal records every run and is the ground truth that the
+/// fleet's ledger is compared with.
 class EngineServer
 {
 public:
     struct Options {
         std::string model;
-        /// True for a plain service, which answers any path and must not be called twice for one submission.
+        /// True for a plain service, which responds on any path and must not be called twice for one submission.
         bool plainService = false;
         std::uint32_t slots = 32;
         Duration timePerToken = std::chrono::milliseconds(5);
         Duration timePerPromptToken = std::chrono::microseconds(20);
-        /// Prefix blocks kept in the cache.
+        /// Maximum number of prefix blocks in the cache.
         std::size_t cacheBlocks = 4096;
-        /// How old a load report is.
+        /// Age of a load report.
         Duration reportLag = std::chrono::milliseconds(500);
-        /// How late a cache event is; every s_eventGap-th is lost.
+        /// Delay of a cache event. One in s_lostEventInterval events is lost.
         Duration eventLag = std::chrono::seconds(1);
-        /// True: an order with an old fencing number is refused.
+        /// If true, orders with an outdated fencing number are rejected.
         bool checksFencing = true;
-        /// Tokens reported for each one given; 1 is the truth, 0 reports none at all.
+        /// Tokens reported per generated token; 1 reports the true number, 0 disables the report.
         double reportFactor = 1;
     };
 
     explicit EngineServer(Options options);
 
-    /// Answers one request.
+    /// Handles one request.
     asio::awaitable<void> handle(HttpExchange &exchange);
 
 private:
--- a/src/standin/faultswitch.cpp
+++ b/src/standin/faultswitch.cpp
@@ -98,7 +98,7 @@
     if (m_mode == Mode::Slow) {
         co_await delay(exchange, m_delayMs);
     }
-    // The handler answers into a connection that is cut first, so the caller cannot know that the request took effect.
+    // The handler runs, but its response is discarded, so the caller cannot know that the request took effect.
     if (m_mode == Mode::AnswerLost) {
         exchange.muteAnswer();
     }
--- a/src/standin/faultswitch.h
+++ b/src/standin/faultswitch.h
@@ -10,26 +10,26 @@
 
 namespace bamboohold {
 
-/// The failure a stand-in shows on demand. Set with `POST /fault?mode=MODE&ms=N`, read with `GET /fault`.
+/// Injects faults into a stand-in. The fault is set with `POST /fault?mode=MODE&ms=N` and read with `GET /fault`.
 class FaultSwitch
 {
 public:
     enum class Mode {
         None,
-        /// Connections are cut before the request is looked at.
+        /// Closes connections without handling the request.
         Down,
-        /// Each answer takes so many milliseconds longer.
+        /// Delays each request by the number of milliseconds given with the mode.
         Slow,
-        /// The request takes effect and the connection is cut instead of an answer.
+        /// Handles the request, but closes the connection instead of sending the response.
         AnswerLost,
-        /// Nothing moves until the mode changes.
+        /// Holds all requests until the mode changes.
         Freeze,
     };
 
-    /// Wraps a handler in the fault and in the switch's own path.
+    /// Returns a handler that serves `/fault` itself and applies the current fault to all requests for `handler`.
     HttpHandler wrap(HttpHandler handler);
 
-    /// The mode in force.
+    /// Returns the current mode.
     Mode mode() const
     {
         return m_mode;
@@ -44,7 +44,7 @@
     std::atomic<std::int64_t> m_delayMs = 0;
 };
 
-/// A parameter of a request's query, empty when absent.
+/// Returns a parameter of a request's query string, or an empty string if it is absent.
 std::string queryParameter(const HttpExchange &exchange, std::string_view name);
 
 }
--- a/src/standin/platformmain.cpp
+++ b/src/standin/platformmain.cpp
@@ -10,9 +10,9 @@
 
 DEFINE_string(address, "127.0.0.1", "IP address to listen on");
 DEFINE_int32(port, 7300, "port to listen on");
-DEFINE_int64(list_lag_ms, 5000, "time until a host's change of state shows in the list, in milliseconds");
+DEFINE_int64(list_lag_ms, 5000, "delay until a state change of a host appears in the list, in milliseconds");
 
-/// The platform stand-in as a process of its own.
+/// Runs the platform stand-in as a separate process.
 int main(int argc, char **argv)
 {
     using namespace bamboohold;
--- a/src/standin/platformserver.h
+++ b/src/standin/platformserver.h
@@ -11,20 +11,20 @@
 
 namespace bamboohold {
 
-/// The platform's stand-in over HTTP: table, object store, lagging host list and rate-limited weight store.
+/// HTTP stand-in for the platform: table, object store, delayed host list and rate-limited weight store.
 class PlatformServer
 {
 public:
     struct Options {
-        /// How long a change of a host's state takes to show in the list.
+        /// Delay until a state change of a host appears in the list.
         Duration listLag = std::chrono::seconds(5);
-        /// Bytes a second that the weight store hands out.
+        /// Throughput of the weight store, shared by all downloads, in bytes per second.
         std::int64_t weightBytesPerSecond = 100'000'000;
     };
 
     explicit PlatformServer(Options options);
 
-    /// Answers one request.
+    /// Handles one request.
     asio::awaitable<void> handle(HttpExchange &exchange);
 
 private:
--- a/src/standin/untilsignal.h
+++ b/src/standin/untilsignal.h
@@ -8,7 +8,7 @@
 
 namespace bamboohold {
 
-/// Runs a stand-in's loops until the process is asked to end. It keeps nothing, so there is nothing to finish.
+/// Runs the event loops of a stand-in until SIGTERM or SIGINT. Stand-ins keep no state on disk, so nothing has to be completed first.
 inline void runUntilSignal(WorkerPool &pool)
 {
     boost::asio::signal_set signals(pool.mainLoop(), SIGTERM, SIGINT);
