--- a/src/standin/engineserver.h
+++ b/src/standin/engineserver.h
@@ -15,34 +15,36 @@
 
 namespace bamboohold {
 
-/// The stand-in for a model engine or a plain service. A model engine speaks the OpenAI interface, runs a limited number of requests at a
-/// time, spends time on prompt tokens that its prefix cache lacks and then gives tokens at a steady pace. Every run is in its journal: the
-/// ground truth that the fleet's ledger is compared with.
+/// Stand-in for a model engine or a plain service.
+///
+/// A model engine implements the OpenAI API, runs a limited number of requests concurrently, spends time on the prompt tokens that are not
+/// in its prefix cache and then generates tokens at a constant rate. Its journal records every run and is the ground truth that the
+/// fleet's ledger is compared with.
 class EngineServer
 {
 public:
     struct Options {
         std::string model;
-        /// True for a plain service, which answers any path and must not be called twice for one submission.
+        /// True for a plain service, which responds on any path and must not be called twice for one submission.
         bool plainService = false;
         std::uint32_t slots = 32;
-        Duration perToken = std::chrono::milliseconds(5);
-        Duration perPromptToken = std::chrono::microseconds(20);
-        /// Prefix blocks kept in the cache.
+        Duration timePerToken = std::chrono::milliseconds(5);
+        Duration timePerPromptToken = std::chrono::microseconds(20);
+        /// Maximum number of prefix blocks in the cache.
         std::size_t cacheBlocks = 4096;
-        /// How old a load report is.
+        /// Age of a load report.
         Duration reportLag = std::chrono::milliseconds(500);
-        /// How late a cache event is; every s_eventGap-th is lost.
+        /// Delay of a cache event. One in s_lostEventInterval events is lost.
         Duration eventLag = std::chrono::seconds(1);
-        /// True: an order with an old fencing number is refused.
+        /// If true, orders with an outdated fencing number are rejected.
         bool checksFencing = true;
-        /// Tokens reported for each one given; 1 is the truth, 0 reports none at all.
+        /// Tokens reported per generated token; 1 reports the true number, 0 disables the report.
         double reportFactor = 1;
     };
 
     explicit EngineServer(Options options);
 
-    /// Answers one request.
+    /// Handles one request.
     asio::awaitable<void> handle(HttpExchange &exchange);
 
 private:
@@ -65,7 +67,7 @@
         Tokens outputTokens = 0;
         bool chat = true;
         bool stream = false;
-        bool hungUp = false;
+        bool callerDisconnected = false;
         std::string finishReason = "stop";
     };
 
@@ -82,25 +84,25 @@
         Instant visibleAt;
     };
 
-    asio::awaitable<void> complete(HttpExchange &exchange);
+    asio::awaitable<void> handleCompletion(HttpExchange &exchange);
     asio::awaitable<void> servePlain(HttpExchange &exchange);
     asio::awaitable<void> streamTokens(HttpExchange &exchange, Job &job);
-    asio::awaitable<void> wholeAnswer(HttpExchange &exchange, Job &job);
-    asio::awaitable<void> order(HttpExchange &exchange);
-    asio::awaitable<void> cancel(HttpExchange &exchange);
-    bool stopped(const Job &job);
+    asio::awaitable<void> sendFullResponse(HttpExchange &exchange, Job &job);
+    asio::awaitable<void> handleOrder(HttpExchange &exchange);
+    asio::awaitable<void> handleCancel(HttpExchange &exchange);
+    bool isCancelled(const Job &job);
     asio::awaitable<bool> waitForSlot(HttpExchange &exchange, Job &job);
     asio::awaitable<void> sleep(HttpExchange &exchange, Duration duration);
 
     Tokens uncachedTokens(const std::string &prompt, Tokens promptTokens);
-    void cacheEvent(std::string block, bool stored);
+    void recordCacheEvent(std::string block, bool stored);
     void sampleLoad();
     std::string usageJson(const Job &job, Tokens output) const;
     std::string journalJson();
     std::string loadJson();
     std::string cacheEventsJson(std::uint64_t after);
-    std::size_t openJournal(const HttpExchange &exchange);
-    void closeJournal(std::size_t index, Tokens output, std::string_view state);
+    std::size_t addJournalEntry(const HttpExchange &exchange);
+    void updateJournalEntry(std::size_t index, Tokens output, std::string_view state);
 
     Options m_options;
     std::mutex m_mutex;
@@ -113,8 +115,8 @@
     std::uint64_t m_nextEvent = 1;
     std::uint32_t m_running = 0;
     std::uint32_t m_waiting = 0;
-    std::int64_t m_fencing = 0;
-    std::string m_loaded;
+    std::int64_t m_highestFencingNumber = 0;
+    std::string m_loadedModel;
 };
 
 }
--- a/src/standin/platformserver.h
+++ b/src/standin/platformserver.h
@@ -11,20 +11,20 @@
 
 namespace bamboohold {
 
-/// The platform's stand-in over HTTP: table, object store, lagging host list and rate-limited weight store.
+/// HTTP stand-in for the platform: table, object store, delayed host list and rate-limited weight store.
 class PlatformServer
 {
 public:
     struct Options {
-        /// How long a change of a host's state takes to show in the list.
+        /// Delay until a state change of a host appears in the list.
         Duration listLag = std::chrono::seconds(5);
-        /// Bytes a second that the weight store hands out.
+        /// Throughput of the weight store, shared by all downloads, in bytes per second.
         std::int64_t weightBytesPerSecond = 100'000'000;
     };
 
     explicit PlatformServer(Options options);
 
-    /// Answers one request.
+    /// Handles one request.
     asio::awaitable<void> handle(HttpExchange &exchange);
 
 private:
@@ -34,19 +34,19 @@
         Instant visibleAt;
     };
 
-    struct Answer {
+    struct Response {
         unsigned status = 200;
         std::string body;
         std::string contentType = "application/json";
     };
 
-    Answer transact(const HttpExchange &exchange);
-    Answer readRows(const HttpExchange &exchange);
-    Answer scanRows(const HttpExchange &exchange);
-    Answer object(const HttpExchange &exchange);
-    Answer hosts(const HttpExchange &exchange);
-    Answer counters();
-    asio::awaitable<void> weights(HttpExchange &exchange);
+    Response transact(const HttpExchange &exchange);
+    Response readRows(const HttpExchange &exchange);
+    Response scanRows(const HttpExchange &exchange);
+    Response handleObject(const HttpExchange &exchange);
+    Response handleHosts(const HttpExchange &exchange);
+    Response handleCounters();
+    asio::awaitable<void> handleWeights(HttpExchange &exchange);
 
     Options m_options;
     std::mutex m_mutex;
